--- a/daemon/src/engine/fleet_control.rs
+++ b/daemon/src/engine/fleet_control.rs
@@ -58,7 +58,7 @@
             let engine = engine.clone();
             tokio::spawn(async move { heartbeat(&engine, &target).await });
         }
-        tokio::spawn(right_control::renew_by_store(engine.clone(), directory.clone()));
+        tokio::spawn(right_control::renew_leases_from_store(engine.clone(), directory.clone()));
         engine.share_connections();
         engine.close_unused_links();
         instance_control::remove_lost(&engine, &directory, at);
--- a/daemon/src/engine/replacement.rs
+++ b/daemon/src/engine/replacement.rs
@@ -239,7 +239,7 @@
         let began_at = now();
         // One order a token: with an old one under the same token nobody could
         // tell which of both was carried out last.
-        self.replacer.engine.with_duties(|duties| duties.spend(&self.duty));
+        self.replacer.engine.with_duties(|duties| duties.mark_token_used(&self.duty));
         let promoted = self.replacer.promoter.promote(&self.duty, &target.id).await;
         self.metrics_step("promote", began_at);
         let event = Event::new(EventKind::PromotionAnswered).with("group", self.shard.id());
--- a/daemon/src/engine/shared.rs
+++ b/daemon/src/engine/shared.rs
@@ -39,7 +39,7 @@
 use crate::engine::clock::now;
 use crate::engine::contacts::Contacts;
 use crate::engine::directory::Revision;
-use crate::engine::duty_control::DutyBook;
+use crate::engine::duty_control::DutyTable;
 use crate::engine::guest::GuestSession;
 use crate::engine::holders::Holders;
 use crate::engine::leader_control::LeaderWatches;
@@ -79,7 +79,7 @@
     started_at: Moment,
     fleet: Mutex<Fleet>,
     peers: Arc<Peers>,
-    duties: Mutex<DutyBook>,
+    duties: Mutex<DutyTable>,
     metrics: EngineMetrics,
     holders: Holders,
     contacts: Contacts,
@@ -219,7 +219,7 @@
     }
 
     /// Reads or updates what is known of the duties.
-    pub fn with_duties<R>(&self, f: impl FnOnce(&mut DutyBook) -> R) -> R {
+    pub fn with_duties<R>(&self, f: impl FnOnce(&mut DutyTable) -> R) -> R {
         f(&mut self.duties.lock().expect("never poisoned"))
     }
 
--- a/daemon/tests/test_duty.rs
+++ b/daemon/tests/test_duty.rs
@@ -17,7 +17,7 @@
 use chervilwharf_daemon::engine::directory::RecordKind;
 use chervilwharf_daemon::engine::directory::Revision;
 use chervilwharf_daemon::engine::directory::WriteError;
-use chervilwharf_daemon::engine::duty_control::DutyBook;
+use chervilwharf_daemon::engine::duty_control::DutyTable;
 use chervilwharf_daemon::engine::duty_control::OrderChange;
 use chervilwharf_daemon::engine::duty_control::claim;
 use chervilwharf_daemon::engine::shared::Engine;
@@ -124,7 +124,7 @@
 /// store does not have it.
 #[test]
 fn test_order_that_a_copy_lacks_stays_known() {
-    let mut duties = DutyBook::default();
+    let mut duties = DutyTable::default();
     duties.learn(Revision::new(1, 50), duty_of("a", 7, Some(order("theirs"))));
     assert!(duties.learn(Revision::new(2, 40), duty_of("b", 5, None)));
     let known = duties.record(&"db".into()).unwrap();
@@ -140,7 +140,7 @@
 /// never read here.
 #[test]
 fn test_promised_order_that_a_copy_lacks_is_known() {
-    let mut duties = DutyBook::default();
+    let mut duties = DutyTable::default();
     let ending = Ending {
         term: 1,
         token: 7,
--- a/daemon/tests/test_follow.rs
+++ b/daemon/tests/test_follow.rs
@@ -17,7 +17,7 @@
 use chervilwharf_daemon::engine::directory::RecordKind;
 use chervilwharf_daemon::engine::directory::Revision;
 use chervilwharf_daemon::engine::follow::Follower;
-use chervilwharf_daemon::engine::follow::OTHERS_LISTED;
+use chervilwharf_daemon::engine::follow::PEER_LISTING_TIME;
 use chervilwharf_daemon::engine::follow::StoreState;
 use chervilwharf_daemon::engine::follow::follow;
 use chervilwharf_daemon::engine::server_control::ServerFollower;
@@ -110,7 +110,7 @@
 
 impl ServersRegister {
     fn revision(&self) -> u64 {
-        let watched_for = self.began_at.elapsed().saturating_sub(OTHERS_LISTED);
+        let watched_for = self.began_at.elapsed().saturating_sub(PEER_LISTING_TIME);
         let passed = watched_for.as_millis() / BETWEEN_CHANGES.as_millis();
         u64::try_from(passed).expect("a short time").min(REGISTERING) + 1
     }
