--- a/daemon/src/engine/duty_control.rs
+++ b/daemon/src/engine/duty_control.rs
@@ -39,7 +39,7 @@
     /// Tokens of this life that an order was given under. One that went
     /// unanswered can be carried out seconds later; only a higher token keeps it
     /// from undoing what is ordered after it.
-    spent: HashMap<GroupId, DutyToken>,
+    used_tokens: HashMap<GroupId, DutyToken>,
     /// The order under the highest token that this instance read or promised, by
     /// group. A copy of the store may lack it.
     latest_orders: HashMap<GroupId, LatestOrder>,
@@ -66,13 +66,14 @@
     }
 
     /// A record was read. Returns whether it is new.
-    pub fn learn(&mut self, revision: Revision, record: DutyRecord) -> bool {
+    pub fn apply_record(&mut self, revision: Revision, record: DutyRecord) -> bool {
         let known = self.duties.get(&record.group);
         if known.is_some_and(|(at, _)| *at >= revision) {
             return false;
         }
-        self.note_order_under(&record.group, record.token, record.order.clone());
-        let record = if revision.era > 0 { self.with_lost_order(record) } else { record };
+        self.note_order_of_token(&record.group, record.token, record.order.clone());
+        let record =
+            if revision.era > 0 { self.with_order_lost_in_restore(record) } else { record };
         // A copy of the store can hold what is known already.
         let is_new = self.record(&record.group) != Some(&record);
         self.duties.insert(record.group.clone(), (revision, record));
@@ -80,7 +81,7 @@
     }
 
     /// A record of a copy, with the order under a higher token that the copy lacks.
-    fn with_lost_order(&self, record: DutyRecord) -> DutyRecord {
+    fn with_order_lost_in_restore(&self, record: DutyRecord) -> DutyRecord {
         let known = self.record(&record.group);
         let retired = known.map_or(0, |known| known.retired).max(record.retired);
         let latest = self.latest_orders.get(&record.group);
@@ -90,7 +91,7 @@
         }
     }
 
-    fn note_order_under(&mut self, group: &GroupId, token: DutyToken, order: Option<DutyOrder>) {
+    fn note_order_of_token(&mut self, group: &GroupId, token: DutyToken, order: Option<DutyOrder>) {
         let known = self.latest_orders.get(group);
         if known.is_none_or(|known| known.token <= token) {
             self.latest_orders.insert(group.clone(), LatestOrder { token, order });
@@ -100,7 +101,7 @@
     /// This instance promised an order.
     pub fn note_promised(&mut self, group: &GroupId, ending: &Ending) {
         let order = DutyOrder { server: ending.successor.clone(), term: ending.term + 1 };
-        self.note_order_under(group, ending.token, Some(order));
+        self.note_order_of_token(group, ending.token, Some(order));
     }
 
     /// An order was not given, and never will be.
@@ -131,7 +132,7 @@
 
     /// A token must not be used again.
     pub fn mark_token_used(&mut self, duty: &DutyRecord) {
-        self.spent.insert(duty.group.clone(), duty.token);
+        self.used_tokens.insert(duty.group.clone(), duty.token);
     }
 
     /// An order that the store does not know, under a token kept from before.
@@ -151,7 +152,7 @@
     #[must_use]
     pub fn is_token_used(&self, group: &GroupId) -> bool {
         let token = self.record(group).map(|record| record.token);
-        token.is_some() && self.spent.get(group).copied() >= token
+        token.is_some() && self.used_tokens.get(group).copied() >= token
     }
 
     fn usable(&self, group: &GroupId, id: &InstanceId, life: u64) -> Option<DutyRecord> {
@@ -173,12 +174,12 @@
         Self { engine }
     }
 
-    fn take(&self, entry: Entry) {
+    fn apply(&self, entry: Entry) {
         let Record::Duty(record) = entry.record else {
             return;
         };
         let (group, holder, token) = (record.group.clone(), record.holder.clone(), record.token);
-        let new = self.engine.with_duties(|duties| duties.learn(entry.revision, record));
+        let new = self.engine.with_duties(|duties| duties.apply_record(entry.revision, record));
         if new {
             let event = Event::new(EventKind::DutyTaken).with("group", &group);
             event_log::emit(&event.with("holder", &holder).with("token", token));
@@ -198,14 +199,14 @@
 
     fn replace(&mut self, listing: Listing) {
         for entry in listing.entries {
-            self.take(entry);
+            self.apply(entry);
         }
     }
 
     fn change(&mut self, _revision: Revision, changes: Vec<Change>) {
         for change in changes {
             if let Change::Present(entry) = change {
-                self.take(entry);
+                self.apply(entry);
             }
         }
     }
@@ -233,7 +234,7 @@
 
 /// Takes the duty of a group under a new token, unless another instance took it
 /// under a later one than `since`, which was known when this one decided to act.
-/// While the store cannot be reached, a token of this life that was never spent
+/// While the store cannot be reached, a token of this life that was never used_tokens
 /// will do.
 pub async fn claim(
     engine: &Engine,
@@ -282,7 +283,7 @@
     engine.note_store_era(expected.unwrap_or_default().era, RecordKind::Duties);
     let era = engine.store_era().latest();
     if let Some(Entry { record: Record::Duty(record), revision, .. }) = &present {
-        engine.with_duties(|duties| duties.learn(*revision, record.clone()));
+        engine.with_duties(|duties| duties.apply_record(*revision, record.clone()));
         // Somebody took the duty since this instance decided to act, and acts
         // now. Two that replace a primary at once undo each other's work, and an
         // order that is overwritten is seen by nobody who reads the store.
@@ -296,7 +297,7 @@
         OrderChange::Keep => next,
         OrderChange::Put(order) => DutyRecord { order, ..next },
     };
-    let next = with_word_of_most(engine, next, era)
+    let next = with_majority_retired_term(engine, next, era)
         .ok_or(WriteError::NotDone(DirectoryError::OrdersUnknown))?;
     let record = Record::Duty(next.clone());
     let written = match directory.write(group, &record, expected).await {
@@ -310,7 +311,7 @@
         }
         result => result?,
     };
-    engine.with_duties(|duties| duties.learn(written, next.clone()));
+    engine.with_duties(|duties| duties.apply_record(written, next.clone()));
     // The store came back from a copy meanwhile: it may hold another record under the
     // revision that was expected, and a higher token was given out before.
     if written.era != era {
@@ -325,7 +326,7 @@
 /// The first record of an era, with the terms that most voters have retired; `None` if
 /// too few told. A copy of the store can lack the order for which they did so, and
 /// nobody else may know it.
-fn with_word_of_most(engine: &Engine, next: DutyRecord, era: Era) -> Option<DutyRecord> {
+fn with_majority_retired_term(engine: &Engine, next: DutyRecord, era: Era) -> Option<DutyRecord> {
     if !engine.with_duties(|duties| duties.may_lack_order(&next.group, era)) {
         return Some(next);
     }
--- a/daemon/src/engine/leader_control.rs
+++ b/daemon/src/engine/leader_control.rs
@@ -99,12 +99,12 @@
         // Who holds no connections cannot tell how a primary is, and leaves it
         // to those who do.
         for shard in replacer.engine.held_shards() {
-            look_at(&replacer, &shard, claims_from);
+            check_group(&replacer, &shard, claims_from);
         }
     }
 }
 
-fn look_at(replacer: &Replacer, shard: &Arc<Shard>, claims_from: Moment) {
+fn check_group(replacer: &Replacer, shard: &Arc<Shard>, claims_from: Moment) {
     let engine = &replacer.engine;
     let rank = engine.duty_rank(shard.id());
     let (claimants, actions) = shard.with_group(|group| {
@@ -152,7 +152,7 @@
             tokio::spawn(async move { probe::sample(&shard, &id).await });
         }
         WatchAction::AskPeers(leader) => {
-            tokio::spawn(async move { ask_peers(&replacer.engine, &shard, leader).await });
+            tokio::spawn(async move { ask_holders(&replacer.engine, &shard, leader).await });
         }
         WatchAction::Replace { from, reason } => {
             let Some(guard) = ReplacingGuard::new(&replacer.engine, shard.id()) else {
@@ -205,7 +205,7 @@
 /// Pause after a duty could not be taken.
 const CLAIM_PAUSE: Duration = Duration::from_millis(500);
 
-async fn ask_peers(engine: &Arc<Engine>, shard: &Arc<Shard>, leader: Option<TargetId>) {
+async fn ask_holders(engine: &Arc<Engine>, shard: &Arc<Shard>, leader: Option<TargetId>) {
     let others = engine.co_holders(shard.id());
     let question = LeaderQuery {
         group: shard.id().to_string(),
@@ -224,7 +224,7 @@
             continue;
         };
         opinions.replacing |= reply.replacing;
-        hear_of_leader(shard, &reply);
+        adopt_reported_leader(shard, &reply);
         match (reply.contact(), &leader) {
             (Contact::Answered, Some(_)) => helpers.push(peer.peer_address),
             (Contact::Failed, _) => opinions.failed += 1,
@@ -255,7 +255,7 @@
 /// Another instance knows a primary. In a later term than ours it is taken
 /// for true without a question: this instance may be cut off from it, and
 /// would replace it by a server that lacks what it has acknowledged.
-fn hear_of_leader(shard: &Arc<Shard>, reply: &LeaderReply) {
+fn adopt_reported_leader(shard: &Arc<Shard>, reply: &LeaderReply) {
     if reply.leader.is_empty() {
         return;
     }
@@ -297,8 +297,8 @@
             return true;
         };
         if record.holder == self.me().id {
-            let spent = self.with_duties(|duties| duties.is_token_used(group));
-            return spent || record.life != self.me().life;
+            let is_used = self.with_duties(|duties| duties.is_token_used(group));
+            return is_used || record.life != self.me().life;
         }
         !self.holders(group).iter().any(|holder| holder.id == record.holder)
     }
--- a/daemon/src/engine/probe.rs
+++ b/daemon/src/engine/probe.rs
@@ -28,11 +28,11 @@
 const QUEUE_FACTOR: u32 = 4;
 
 /// Longest time for an answer of a server with a queue.
-const LONGEST_PROBE: Duration = Duration::from_millis(800);
+const LONGEST_PROBE_TIMEOUT: Duration = Duration::from_millis(800);
 
 fn probe_timeout(shard: &Shard, id: &str) -> Duration {
     let usual_time = shard.with_group(|group| group.read_time(id));
-    (usual_time * QUEUE_FACTOR).clamp(PROBE_TIMEOUT, LONGEST_PROBE)
+    (usual_time * QUEUE_FACTOR).clamp(PROBE_TIMEOUT, LONGEST_PROBE_TIMEOUT)
 }
 
 /// Place of samples among the waiting requests: last.
--- a/daemon/src/engine/replacement.rs
+++ b/daemon/src/engine/replacement.rs
@@ -60,11 +60,11 @@
 
 /// Questions in a row that a server about to lead may leave unanswered before
 /// it is taken for dead.
-const LEAD_FAILURES: u32 = 3;
+const LEAD_FAILURE_LIMIT: u32 = 3;
 
 /// How long to look for the effect of an order that got no answer before it
 /// is given again under a higher token.
-const UNANSWERED_LIMIT: Duration = Duration::from_millis(500);
+const UNANSWERED_ORDER_LIMIT: Duration = Duration::from_millis(500);
 
 /// How long what runs at a primary may take to end before a planned change.
 /// Half of the statements take under 14 ms; writes wait meanwhile.
@@ -102,7 +102,7 @@
 }
 
 /// Why a replacement went no further.
-enum Dropped {
+enum Abandoned {
     /// Nothing was ordered.
     BeforeOrder(&'static str),
     /// Nothing was ordered, and another instance may be able to.
@@ -125,7 +125,7 @@
     /// The server that the order names.
     successor: TargetId,
     /// Token of an order of this replacement that was not given; 0 for none.
-    withdrawn: DutyToken,
+    withdrawn_token: DutyToken,
     /// When the store took the order; `None` if an old token has to do.
     written_at: Option<Moment>,
     /// Era of the store that took it.
@@ -141,8 +141,8 @@
 ) -> bool {
     match try_replace(replacer, shard, from.clone(), reason).await {
         Ok(()) => true,
-        Err(Dropped::AfterOrder) => false,
-        Err(Dropped::BeforeOrder(reason) | Dropped::LeftToOthers(reason)) => {
+        Err(Abandoned::AfterOrder) => false,
+        Err(Abandoned::BeforeOrder(reason) | Abandoned::LeftToOthers(reason)) => {
             let event = Event::new(EventKind::ReplacementDropped).with("group", shard.id());
             event_log::emit(&event.with_some("from", from).with("reason", reason));
             false
@@ -155,26 +155,26 @@
     shard: &Arc<Shard>,
     from: Option<TargetId>,
     reason: ReplaceReason,
-) -> Result<(), Dropped> {
+) -> Result<(), Abandoned> {
     let last_resort = reason == ReplaceReason::LastResort;
     let since = replacer.engine.with_duties(|duties| duties.token(shard.id()));
     let found = survey(&replacer.engine, shard, from.as_ref(), reason).await;
     if found.leading.is_some_and(|leading| from.as_ref() != Some(&leading.id)) {
         return Ok(());
     }
-    let target = found.best.ok_or(Dropped::BeforeOrder("no replica can take over"))?;
+    let target = found.best.ok_or(Abandoned::BeforeOrder("no replica can take over"))?;
     let seen_term = shard.with_group(|group| group.seen_term()).max(target.status.term);
     let known = replacer.engine.with_duties(|duties| duties.record(shard.id()).cloned());
     let last_order = known.and_then(|record| record.order);
     if !last_resort && !duty::order_permits(last_order.as_ref(), &target.id, seen_term) {
-        return Err(Dropped::BeforeOrder("an order for another server is unsettled"));
+        return Err(Abandoned::BeforeOrder("an order for another server is unsettled"));
     }
     let highest_term = shard.with_group(|group| group.highest_term()).max(seen_term);
     let order = DutyOrder { server: target.id.clone(), term: highest_term + 1 };
     let metrics = replacer.engine.metrics();
     let began_at = now();
     let claim = claim(replacer, shard.id(), OrderChange::Put(Some(order)), since).await;
-    let claim = claim.ok_or(Dropped::BeforeOrder("the duty could not be taken"))?;
+    let claim = claim.ok_or(Abandoned::BeforeOrder("the duty could not be taken"))?;
     metrics.replacement_step("claim", now().saturating_sub(began_at));
     let mut replacement = Replacement {
         replacer,
@@ -185,14 +185,14 @@
         last_order,
         duty: claim.duty,
         successor: target.id.clone(),
-        withdrawn: 0,
+        withdrawn_token: 0,
         written_at: claim.written_at,
         written_era: claim.written_era,
     };
     let result = replacement.carry_out(target).await;
     match result {
-        Err(Dropped::BeforeOrder(_)) => replacement.withdraw().await,
-        Err(Dropped::LeftToOthers(_)) => {
+        Err(Abandoned::BeforeOrder(_)) => replacement.withdraw().await,
+        Err(Abandoned::LeftToOthers(_)) => {
             replacement.withdraw().await;
             replacer.engine.watches().step_back(shard.id());
         }
@@ -211,9 +211,9 @@
 }
 
 impl Replacement<'_> {
-    async fn carry_out(&mut self, first: Candidate) -> Result<(), Dropped> {
+    async fn carry_out(&mut self, first: Candidate) -> Result<(), Abandoned> {
         if self.is_outdated() {
-            return Err(Dropped::BeforeOrder("outdated"));
+            return Err(Abandoned::BeforeOrder("outdated"));
         }
         let event = Event::new(EventKind::ReplacementBegun)
             .with("group", self.shard.id())
@@ -227,21 +227,21 @@
         if self.is_planned() {
             self.prepare_planned().await;
         }
-        if self.written_at.is_none() && !self.all_voters_answer().await {
-            return Err(Dropped::LeftToOthers("the store has not the order, and not all answer"));
+        if self.written_at.is_none() && !self.do_all_voters_answer().await {
+            return Err(Abandoned::LeftToOthers("the store has not the order, and not all answer"));
         }
         self.collect_promises().await?;
-        self.metrics_step("agree", began_at);
+        self.record_step("agree", began_at);
         let began_at = now();
         let target = self.choose_successor(first).await?;
-        self.check_written()?;
-        self.metrics_step("choose", began_at);
+        self.check_order_stored()?;
+        self.record_step("choose", began_at);
         let began_at = now();
         // One order a token: with an old one under the same token nobody could
         // tell which of both was carried out last.
         self.replacer.engine.with_duties(|duties| duties.mark_token_used(&self.duty));
         let promoted = self.replacer.promoter.promote(&self.duty, &target.id).await;
-        self.metrics_step("promote", began_at);
+        self.record_step("promote", began_at);
         let event = Event::new(EventKind::PromotionAnswered).with("group", self.shard.id());
         let event = event.with("server", &target.id).with("token", self.duty.token);
         event_log::emit(&event.with("outcome", format_args!("{promoted:?}")));
@@ -250,10 +250,10 @@
 
     /// Whether the store still holds the order, as far as is known: silent instances are
     /// to read it there.
-    fn check_written(&self) -> Result<(), Dropped> {
+    fn check_order_stored(&self) -> Result<(), Abandoned> {
         let latest = self.replacer.engine.store_era().latest();
         if self.written_era.is_some_and(|era| era < latest) {
-            return Err(Dropped::BeforeOrder("the store came back from a copy"));
+            return Err(Abandoned::BeforeOrder("the store came back from a copy"));
         }
         Ok(())
     }
@@ -262,7 +262,7 @@
         self.reason == ReplaceReason::Leaving
     }
 
-    fn metrics_step(&self, step: &'static str, began_at: Moment) {
+    fn record_step(&self, step: &'static str, began_at: Moment) {
         let took = now().saturating_sub(began_at);
         self.replacer.engine.metrics().replacement_step(step, took);
     }
@@ -289,7 +289,7 @@
         }
         let until = now() + PAUSE_LIMIT;
         loop {
-            let replies = self.ask_all(true).await;
+            let replies = self.send_term_end_to_all(true).await;
             let running: u64 = replies.iter().map(|(_, reply)| reply.running).sum();
             if running == 0 || now() >= until {
                 return;
@@ -301,8 +301,8 @@
     /// Whether all that vote answer, so that they can promise in person. Asked
     /// before the term is ended: an instance that the store turned away ended it
     /// again and again, and a group had no primary for twelve seconds.
-    async fn all_voters_answer(&self) -> bool {
-        let replies = self.ask_all(true).await;
+    async fn do_all_voters_answer(&self) -> bool {
+        let replies = self.send_term_end_to_all(true).await;
         let answers = |voter: &InstanceId| replies.iter().any(|(id, _)| id == voter);
         self.replacer.engine.voters(self.shard.id()).iter().all(answers)
     }
@@ -315,11 +315,11 @@
         records
     }
 
-    async fn ask_all(&self, only_pause: bool) -> Vec<(InstanceId, TermEndReply)> {
-        self.ask(&self.participants(), only_pause).await
+    async fn send_term_end_to_all(&self, only_pause: bool) -> Vec<(InstanceId, TermEndReply)> {
+        self.send_term_end(&self.participants(), only_pause).await
     }
 
-    async fn ask(
+    async fn send_term_end(
         &self,
         participants: &[InstanceRecord],
         only_pause: bool,
@@ -333,7 +333,7 @@
             server: self.from.as_ref().map(ToString::to_string).unwrap_or_default(),
             token: self.duty.token,
             successor: self.successor.to_string(),
-            withdrawn_token: self.withdrawn,
+            withdrawn_token: self.withdrawn_token,
             written_era: self.written_era,
         };
         let asking = participants.iter().map(async |record| {
@@ -350,7 +350,7 @@
     }
 
     /// Collects promises until nobody uses the old term any more.
-    async fn collect_promises(&self) -> Result<(), Dropped> {
+    async fn collect_promises(&self) -> Result<(), Abandoned> {
         let engine = &self.replacer.engine;
         let participants = self.participants();
         let ids: Vec<_> = participants.iter().map(|record| record.id.clone()).collect();
@@ -362,10 +362,10 @@
             let missing: Vec<_> = agreement.missing().cloned().collect();
             let left = participants.iter().filter(|record| missing.contains(&record.id));
             let left: Vec<_> = left.cloned().collect();
-            for (id, reply) in self.ask(&left, false).await {
-                self.take_reply(&mut agreement, &id, &reply)?;
+            for (id, reply) in self.send_term_end(&left, false).await {
+                self.apply_reply(&mut agreement, &id, &reply)?;
             }
-            self.check_written()?;
+            self.check_order_stored()?;
             let at = now();
             let why = match agreement.readiness(last_resort) {
                 Readiness::From(from) if from <= at => {
@@ -377,35 +377,35 @@
                 Readiness::SomeSilent => "some are silent and the store has not the order",
             };
             if at >= until {
-                return Err(Dropped::BeforeOrder(why));
+                return Err(Abandoned::BeforeOrder(why));
             }
             tokio::time::sleep(PROMISE_PAUSE).await;
         }
     }
 
-    fn take_reply(
+    fn apply_reply(
         &self,
         agreement: &mut Agreement,
         id: &InstanceId,
         reply: &TermEndReply,
-    ) -> Result<(), Dropped> {
+    ) -> Result<(), Abandoned> {
         if reply.later_term > self.term {
-            return Err(Dropped::BeforeOrder("a later term is in use"));
+            return Err(Abandoned::BeforeOrder("a later term is in use"));
         }
         if reply.higher_token > self.duty.token {
-            return Err(Dropped::BeforeOrder("another instance has a higher token"));
+            return Err(Abandoned::BeforeOrder("another instance has a higher token"));
         }
         if reply.later_era > 0 {
             self.replacer.engine.note_store_era(reply.later_era, id);
-            return self.check_written();
+            return self.check_order_stored();
         }
         if !reply.other_successor.is_empty() {
-            return Err(Dropped::BeforeOrder("an order for another server is outstanding"));
+            return Err(Abandoned::BeforeOrder("an order for another server is outstanding"));
         }
         if !reply.promised {
             return match self.reason {
                 ReplaceReason::Unreachable => {
-                    Err(Dropped::BeforeOrder("another instance reaches the primary"))
+                    Err(Abandoned::BeforeOrder("another instance reaches the primary"))
                 }
                 _ => Ok(()),
             };
@@ -423,30 +423,30 @@
 
     /// The server to promote, now that no commit is acknowledged any more. If
     /// the old primary answers, the server has received all that it has.
-    async fn choose_successor(&mut self, first: Candidate) -> Result<Candidate, Dropped> {
+    async fn choose_successor(&mut self, first: Candidate) -> Result<Candidate, Abandoned> {
         let until = now() + RECEIVE_LIMIT;
         let best = loop {
             let found =
                 survey(&self.replacer.engine, self.shard, self.from.as_ref(), self.reason).await;
             if found.leading.is_some() {
-                return Err(Dropped::BeforeOrder("a server leads in a later term"));
+                return Err(Abandoned::BeforeOrder("a server leads in a later term"));
             }
-            let best = found.best.ok_or(Dropped::BeforeOrder("no replica can take over"))?;
+            let best = found.best.ok_or(Abandoned::BeforeOrder("no replica can take over"))?;
             let complete = found.old_received.is_none_or(|old| best.status.received >= old);
             if complete || now() >= until {
                 break best;
             }
             tokio::time::sleep(RECEIVE_POLL).await;
         };
-        if best.id != first.id && !self.order_instead(&best).await {
-            return Err(Dropped::BeforeOrder("another replica received more"));
+        if best.id != first.id && !self.replace_order(&best).await {
+            return Err(Abandoned::BeforeOrder("another replica received more"));
         }
         Ok(best)
     }
 
     /// Names another server in the order, which was not given yet. Only where
     /// the store keeps it: those that promised know the first one.
-    async fn order_instead(&mut self, target: &Candidate) -> bool {
+    async fn replace_order(&mut self, target: &Candidate) -> bool {
         if self.written_at.is_none() {
             return false;
         }
@@ -462,11 +462,11 @@
             return false;
         };
         self.written_era = written_era;
-        self.withdrawn = std::mem::replace(&mut self.duty, duty).token;
+        self.withdrawn_token = std::mem::replace(&mut self.duty, duty).token;
         self.successor = target.id.clone();
         // Those that promised have to know whom they may not promote besides.
         let voters = self.replacer.engine.voters(self.shard.id());
-        let replies = self.ask_all(false).await;
+        let replies = self.send_term_end_to_all(false).await;
         let promised = replies.iter().filter(|(id, reply)| reply.promised && voters.contains(id));
         promised.count() * 2 > voters.len() || self.reason == ReplaceReason::LastResort
     }
@@ -474,7 +474,7 @@
     /// Takes the order back that was written and not given: others would wait
     /// for its outcome.
     async fn withdraw(&self) {
-        self.tell_others(None);
+        self.announce_outcome(None);
         let restored = OrderChange::Put(self.last_order.clone());
         if self.written_at.is_none() {
             let engine = &self.replacer.engine;
@@ -488,46 +488,46 @@
         }
     }
 
-    async fn finish(&self, target: &TargetId, promoted: Promoted) -> Result<(), Dropped> {
+    async fn finish(&self, target: &TargetId, promoted: Promoted) -> Result<(), Abandoned> {
         let limit = match promoted {
             Promoted::Accepted => LEAD_LIMIT,
-            Promoted::Unanswered => UNANSWERED_LIMIT,
+            Promoted::Unanswered => UNANSWERED_ORDER_LIMIT,
             Promoted::Refused => {
-                return Err(Dropped::BeforeOrder("the platform refused the order"));
+                return Err(Abandoned::BeforeOrder("the platform refused the order"));
             }
             Promoted::NotDone => {
-                return Err(Dropped::BeforeOrder("the platform takes no orders now"));
+                return Err(Abandoned::BeforeOrder("the platform takes no orders now"));
             }
         };
         let began_at = now();
         let mut failures = 0;
-        while now() < began_at + limit && failures < LEAD_FAILURES {
+        while now() < began_at + limit && failures < LEAD_FAILURE_LIMIT {
             match probe::probe(self.shard, target).await {
                 Probed::Status(status) if status.leads && status.term > self.term => {
-                    self.metrics_step("lead", began_at);
-                    self.tell_others(Some((target, status.term)));
+                    self.record_step("lead", began_at);
+                    self.announce_outcome(Some((target, status.term)));
                     self.demote_old(target, status.term);
                     return Ok(());
                 }
                 Probed::Failed => failures += 1,
                 Probed::Status(_) | Probed::Busy => failures = 0,
             }
-            self.keep_others_waiting(began_at);
+            self.defer_own_replacement(began_at);
             tokio::time::sleep(LEAD_POLL).await;
         }
-        Err(Dropped::AfterOrder)
+        Err(Abandoned::AfterOrder)
     }
 
     /// While the platform takes its time this instance itself begins no second
     /// replacement; the others ask before they do.
-    fn keep_others_waiting(&self, began_at: Moment) {
+    fn defer_own_replacement(&self, began_at: Moment) {
         if now() > began_at + REPLACEMENT_TIME / 2 {
             self.replacer.engine.watches().expect_replacement(self.shard.id(), now());
         }
     }
 
     /// Tells all who voted that the order is settled, and who leads now.
-    fn tell_others(&self, leading: Option<(&TargetId, Term)>) {
+    fn announce_outcome(&self, leading: Option<(&TargetId, Term)>) {
         let engine = &self.replacer.engine;
         let news = PrimaryNews {
             group: self.shard.id().to_string(),
@@ -537,7 +537,7 @@
         };
         engine.take_primary_news(&news);
         let others = self.participants().into_iter().filter(|record| record.id != engine.me().id);
-        let telling = others.map(|record| {
+        let announcing = others.map(|record| {
             let (engine, news) = (engine.clone(), news.clone());
             async move {
                 // Who does not hear it finds out by its own questions.
@@ -545,7 +545,7 @@
                     engine.peers().ask(record.peer_address, Body::PrimaryNews(news)).await;
             }
         });
-        tokio::spawn(join_all(telling));
+        tokio::spawn(join_all(announcing));
     }
 
     /// Demotes the old primary, which would go on for a second.
--- a/daemon/src/engine/right_control.rs
+++ b/daemon/src/engine/right_control.rs
@@ -40,19 +40,19 @@
 use crate::engine::shared::Engine;
 
 /// Pause between two tries to read the orders after a start; each is paid for.
-const ORDERS_PAUSE: Duration = Duration::from_millis(300);
+const ORDERS_RETRY_PAUSE: Duration = Duration::from_millis(300);
 
 /// How long the first reading goes on whatever else the store answers: a slow
 /// store answers in 250 ms.
-const FIRST_ORDERS_LIMIT: Duration = Duration::from_millis(300);
+const FIRST_READ_WAIT: Duration = Duration::from_millis(300);
 
 /// A lease that ends within this time is renewed by the store as well: the last
 /// round of heartbeats, every 500 ms, was not answered by enough voters.
-const RENEWED_BY_STORE_WITHIN: Duration = Duration::from_millis(700);
+const RENEWAL_MARGIN: Duration = Duration::from_millis(700);
 
 /// How long the answers to a round of heartbeats are waited for before the
 /// store is read: many times the way there and back (2 to 4 ms).
-const ANSWERS_WAIT: Duration = Duration::from_millis(60);
+const HEARTBEAT_ANSWER_WAIT: Duration = Duration::from_millis(60);
 
 /// Time that a primary to be replaced gets no new work without a promise, while
 /// what runs there ends. The replacement asks anew every few milliseconds.
@@ -63,7 +63,7 @@
 
 /// How long after the store came back from a copy a duty is taken without the word of
 /// most voters: they are gone, and what they promised was carried out or never will be.
-const ERA_SETTLED: Duration = Duration::from_secs(8);
+const RESTORE_SETTLED_AFTER: Duration = Duration::from_secs(8);
 
 /// Who votes, by group.
 #[derive(Default)]
@@ -86,13 +86,13 @@
             // A call that the store took while it was down is never answered.
             // All instances had been killed during an outage: for a second after
             // it nobody could use a primary.
-            () = answered_elsewhere(&engine, failed) => continue,
+            () = store_answers_another_call(&engine, failed) => continue,
         };
         let Err(error) = result else {
-            if engine.vote_where_orders_are_known() {
+            if engine.start_voting_where_orders_are_known() {
                 break;
             }
-            tokio::time::sleep(ORDERS_PAUSE).await;
+            tokio::time::sleep(ORDERS_RETRY_PAUSE).await;
             continue;
         };
         if !failed {
@@ -100,17 +100,17 @@
         }
         failed = true;
         tokio::select! {
-            () = tokio::time::sleep(ORDERS_PAUSE) => {}
+            () = tokio::time::sleep(ORDERS_RETRY_PAUSE) => {}
             () = engine.store_answered().notified() => {}
         }
     }
-    engine.vote();
+    engine.start_voting();
 }
 
 /// Waits until the store answers another question, and a little longer.
-async fn answered_elsewhere(engine: &Engine, failed: bool) {
+async fn store_answers_another_call(engine: &Engine, failed: bool) {
     if !failed {
-        tokio::time::sleep(FIRST_ORDERS_LIMIT).await;
+        tokio::time::sleep(FIRST_READ_WAIT).await;
     }
     engine.store_answered().notified().await;
     tokio::time::sleep(ANSWER_TIME_SPREAD).await;
@@ -131,7 +131,7 @@
         ended.insert(record.group.clone(), record.ended_term());
         // Known from now on, also if the configuration comes later.
         let _shard = engine.shard(&record.group);
-        engine.with_duties(|duties| duties.learn(revision, record));
+        engine.with_duties(|duties| duties.apply_record(revision, record));
     }
     let latest = engine.store_era().latest();
     for shard in engine.shards() {
@@ -148,7 +148,7 @@
 /// Renews the right by the store where too few voters answer: an instance that
 /// is cut off from the others and reaches the store goes on.
 pub async fn renew_leases_from_store(engine: Arc<Engine>, directory: Arc<dyn Directory>) {
-    tokio::time::sleep(ANSWERS_WAIT).await;
+    tokio::time::sleep(HEARTBEAT_ANSWER_WAIT).await;
     let at = now();
     let ends_soon = |shard: &Arc<Shard>| {
         shard.with_group(|group| {
@@ -156,8 +156,7 @@
                 return false;
             };
             let end = group.right().lease_end(term);
-            group.right().retired() < term
-                && end.is_none_or(|end| end < at + RENEWED_BY_STORE_WITHIN)
+            group.right().retired() < term && end.is_none_or(|end| end < at + RENEWAL_MARGIN)
         })
     };
     if !engine.used_shards().iter().any(ends_soon) {
@@ -170,7 +169,7 @@
 
 impl Engine {
     /// This instance votes from now on, on all groups.
-    fn vote(&self) {
+    fn start_voting(&self) {
         self.set_knows_orders();
         for shard in self.shards() {
             shard.change_right(PrimaryRight::knows_orders);
@@ -183,7 +182,7 @@
     /// A copy of the store can lack an order that an earlier life of this instance
     /// promised. It has it where somebody took the duty since, with the word of most
     /// voters; and it matters no more when the instance has run for long enough.
-    fn vote_where_orders_are_known(&self) -> bool {
+    fn start_voting_where_orders_are_known(&self) -> bool {
         let era = self.store_era().latest();
         if era == 0 || self.runs_for(FORGETFUL) {
             return true;
@@ -204,7 +203,7 @@
     #[must_use]
     pub fn retired_by_most(&self, group: &GroupId) -> Option<Term> {
         let shard = self.shard(group);
-        let settled = self.store_era().is_known_for(now(), ERA_SETTLED);
+        let settled = self.store_era().is_known_for(now(), RESTORE_SETTLED_AFTER);
         let latest = self.store_era().latest();
         shard.with_group(|group| {
             let right = group.right_mut();
@@ -238,7 +237,7 @@
     }
 
     /// Drops the lists of voters if they were computed from something else.
-    fn renew_voter_lists(&self) {
+    fn discard_outdated_voter_lists(&self) {
         let recorded = self.recorded();
         let mut lists = self.voter_lists().0.lock().expect("never poisoned");
         if lists.recorded != recorded {
@@ -251,7 +250,7 @@
         if !self.is_fleet_known() {
             return;
         }
-        self.renew_voter_lists();
+        self.discard_outdated_voter_lists();
         for shard in self.used_shards() {
             let voters = self.voters(shard.id());
             if !shard.with_group(|group| group.right().has_voters(&self.me().id, &voters)) {
--- a/daemon/src/engine/server_control.rs
+++ b/daemon/src/engine/server_control.rs
@@ -30,10 +30,10 @@
 /// Changes within this time are read together. Far below the time in which a
 /// server that leaves has to be left alone, and below a heartbeat, with which the
 /// others learn of it.
-const CHANGES_TOGETHER: Duration = Duration::from_millis(200);
+const CHANGE_BATCH_PAUSE: Duration = Duration::from_millis(200);
 
 /// How soon missing servers are looked at again.
-const MISSING_CHECK: Duration = Duration::from_millis(500);
+const MISSING_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 impl ServerFollower {
     /// Feeds an engine.
@@ -43,7 +43,7 @@
     }
 }
 
-fn server_of(entry: Entry) -> Option<(GroupId, ServerInfo)> {
+fn into_server(entry: Entry) -> Option<(GroupId, ServerInfo)> {
     match entry.record {
         Record::Server(group, info) => Some((group, info)),
         _ => None,
@@ -63,7 +63,7 @@
     /// a watch of every relay: 602 of the 722 watches of a quiet day with 60
     /// servers and ten relays came while the servers started.
     fn pause_after_change(&self) -> Duration {
-        change_pause(self.currency()).max(CHANGES_TOGETHER)
+        change_pause(self.currency()).max(CHANGE_BATCH_PAUSE)
     }
 
     fn pause_after_first_list(&self) -> Duration {
@@ -72,7 +72,7 @@
 
     fn replace(&mut self, listing: Listing) {
         let Listing { entries, unreadable, revision } = listing;
-        let mut servers: Vec<_> = entries.into_iter().filter_map(server_of).collect();
+        let mut servers: Vec<_> = entries.into_iter().filter_map(into_server).collect();
         self.missing = self.engine.update_servers(|list| {
             servers.extend(unreadable.iter().filter_map(|id| list.listed(id)));
             list.replace(now(), revision, servers);
@@ -84,7 +84,7 @@
             for change in changes {
                 match change {
                     Change::Present(entry) => {
-                        if let Some((group, info)) = server_of(entry) {
+                        if let Some((group, info)) = into_server(entry) {
                             list.present(group, info);
                         }
                     }
@@ -102,7 +102,7 @@
     }
 
     fn wait_limit(&self) -> Duration {
-        if self.missing { MISSING_CHECK } else { watch_wait(self.currency()) }
+        if self.missing { MISSING_CHECK_INTERVAL } else { watch_wait(self.currency()) }
     }
 
     fn outage(&mut self, lasting: bool) {
--- a/daemon/src/engine/survey.rs
+++ b/daemon/src/engine/survey.rs
@@ -49,9 +49,9 @@
     reason: ReplaceReason,
 ) -> Survey {
     let last_resort = reason == ReplaceReason::LastResort;
-    let asks_old = reason == ReplaceReason::Leaving;
+    let asks_old_primary = reason == ReplaceReason::Leaving;
     let ids: Vec<TargetId> = shard.with_group(|group| {
-        let asked = group.servers().filter(|view| asks_old || Some(&view.info.id) != from);
+        let asked = group.servers().filter(|view| asks_old_primary || Some(&view.info.id) != from);
         asked.map(|view| view.info.id.clone()).collect()
     });
     let replicas = ids.iter().filter(|id| Some(*id) != from).count();
@@ -63,12 +63,12 @@
             continue;
         };
         if status.leads {
-            survey.take_leading(shard, Candidate { id, status });
+            survey.note_leading(shard, Candidate { id, status });
             continue;
         }
         answered += 1;
-        if is_able(shard, &id, &status, last_resort) {
-            survey.take_replica(Candidate { id, status });
+        if can_take_over(shard, &id, &status, last_resort) {
+            survey.note_replica(Candidate { id, status });
         }
     }
     let catalog = engine.catalog();
@@ -83,7 +83,7 @@
 impl Survey {
     /// A server that leads: in a later term it is the new primary, else the old
     /// one that goes on, whose promotion would change nothing.
-    fn take_leading(&mut self, shard: &Arc<Shard>, server: Candidate) {
+    fn note_leading(&mut self, shard: &Arc<Shard>, server: Candidate) {
         self.old_received = self.old_received.max(Some(server.status.received));
         let current = shard.with_group(|group| {
             let leader = group.leader().map(|leader| &leader.id);
@@ -94,7 +94,7 @@
         }
     }
 
-    fn take_replica(&mut self, replica: Candidate) {
+    fn note_replica(&mut self, replica: Candidate) {
         let known = self.best.as_ref().map(|known| known.status.received);
         if known.is_none_or(|known| replica.status.received > known) {
             self.best = Some(replica);
@@ -102,7 +102,12 @@
     }
 }
 
-fn is_able(shard: &Arc<Shard>, id: &TargetId, status: &ServerStatus, last_resort: bool) -> bool {
+fn can_take_over(
+    shard: &Arc<Shard>,
+    id: &TargetId,
+    status: &ServerStatus,
+    last_resort: bool,
+) -> bool {
     let (may_lead, draining) = shard.with_group(|group| {
         let draining = group.server(id).is_none_or(|view| view.info.draining);
         (group.may_lead(status), draining)
--- a/daemon/tests/test_duty.rs
+++ b/daemon/tests/test_duty.rs
@@ -107,7 +107,7 @@
         Entry { name: "db".into(), revision: Revision::new(0, 5), record: Record::Duty(duty(4)) };
     let (engine, directory) =
         (Engine::new(instance("me"), Arc::new(NoServer)), OneRecord(Mutex::new(entry)));
-    engine.with_duties(|duties| duties.learn(Revision::new(0, 5), duty(4)));
+    engine.with_duties(|duties| duties.apply_record(Revision::new(0, 5), duty(4)));
     let ours = || OrderChange::Put(Some(order("ours")));
     assert!(claim(&engine, &directory, &"db".into(), ours(), 3).await.is_none());
     assert_eq!(directory.duty(), duty(4));
@@ -125,13 +125,13 @@
 #[test]
 fn test_order_that_a_copy_lacks_stays_known() {
     let mut duties = DutyTable::default();
-    duties.learn(Revision::new(1, 50), duty_of("a", 7, Some(order("theirs"))));
-    assert!(duties.learn(Revision::new(2, 40), duty_of("b", 5, None)));
+    duties.apply_record(Revision::new(1, 50), duty_of("a", 7, Some(order("theirs"))));
+    assert!(duties.apply_record(Revision::new(2, 40), duty_of("b", 5, None)));
     let known = duties.record(&"db".into()).unwrap();
     assert_eq!((&*known.holder, known.order.clone()), ("b", Some(order("theirs"))));
     // The record of the new era tells what became of it.
     let token = first_token(2);
-    duties.learn(Revision::new(2, 41), duty_of("b", token, None));
+    duties.apply_record(Revision::new(2, 41), duty_of("b", token, None));
     assert_eq!(duties.record(&"db".into()).unwrap().order, None);
     assert!(duties.is_taken_in(&"db".into(), 2));
 }
@@ -149,13 +149,13 @@
         written_era: Some(1),
     };
     duties.note_promised(&"db".into(), &ending);
-    duties.learn(Revision::new(2, 40), duty_of("b", 5, None));
+    duties.apply_record(Revision::new(2, 40), duty_of("b", 5, None));
     assert_eq!(duties.record(&"db".into()).unwrap().order, Some(order("theirs")));
-    duties.learn(Revision::new(3, 30), duty_of("b", 6, None));
+    duties.apply_record(Revision::new(3, 30), duty_of("b", 6, None));
     let known = duties.record(&"db".into()).unwrap();
     assert_eq!(known.order, Some(order("theirs")), "a second copy lacks it as well");
     duties.forget_promised(&"db".into(), 7);
-    duties.learn(Revision::new(4, 30), duty_of("b", 6, None));
+    duties.apply_record(Revision::new(4, 30), duty_of("b", 6, None));
     assert_eq!(duties.record(&"db".into()).unwrap().order, None, "it was not given");
 }
 
