--- a/daemon/src/engine/duty_control.rs
+++ b/daemon/src/engine/duty_control.rs
@@ -1,5 +1,12 @@
-//! Who may replace primaries: the duty of each group, kept in the platform's
-//! store.
+//! The duty of each group: which instance may replace its primary.
+//!
+//! The record of a duty in the platform's store names the instance that holds it, a
+//! fencing token, and the last promotion order. An instance takes the duty by writing the
+//! record with a higher token; the platform refuses orders under a lower one.
+//!
+//! When the store was restored from a backup, its records may lack the latest tokens and
+//! orders. Instances therefore keep what they read or promised before, and the first
+//! record of the new era needs the retired terms that a majority of the voters reported.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -32,20 +39,20 @@
 use crate::engine::follow::Follower;
 use crate::engine::shared::Engine;
 
-/// The duties as far as this instance knows them.
+/// The duties that this instance knows, by group.
 #[derive(Debug, Default)]
 pub struct DutyTable {
     duties: HashMap<GroupId, (Revision, DutyRecord)>,
-    /// Tokens of this life that an order was given under. One that went
-    /// unanswered can be carried out seconds later; only a higher token keeps it
-    /// from undoing what is ordered after it.
+    /// The last token of each group under which this process sent an order. The platform
+    /// can carry out an unanswered order seconds later; only a higher token keeps it from
+    /// undoing a later order.
     used_tokens: HashMap<GroupId, DutyToken>,
     /// The order under the highest token that this instance read or promised, by
-    /// group. A copy of the store may lack it.
+    /// group. A store that was restored from a backup may lack it.
     latest_orders: HashMap<GroupId, LatestOrder>,
 }
 
-/// What was ordered under a token, if anything.
+/// The order under a token; `None` if there is none.
 #[derive(Clone, Debug)]
 struct LatestOrder {
     token: DutyToken,
@@ -59,13 +66,14 @@
         self.duties.get(group).map(|(_, record)| record)
     }
 
-    /// Who holds the duty of a group.
+    /// The instance that holds the duty of a group.
     #[must_use]
     pub fn holder(&self, group: &GroupId) -> Option<InstanceId> {
         self.record(group).map(|record| record.holder.clone())
     }
 
-    /// A record was read. Returns whether it is new.
+    /// Applies a record that was read from the store. Returns whether it differs from the
+    /// known one.
     pub fn apply_record(&mut self, revision: Revision, record: DutyRecord) -> bool {
         let known = self.duties.get(&record.group);
         if known.is_some_and(|(at, _)| *at >= revision) {
@@ -74,13 +82,14 @@
         self.note_order_of_token(&record.group, record.token, record.order.clone());
         let record =
             if revision.era > 0 { self.with_order_lost_in_restore(record) } else { record };
-        // A copy of the store can hold what is known already.
+        // After a restore the store can hold the same record under a new revision.
         let is_new = self.record(&record.group) != Some(&record);
         self.duties.insert(record.group.clone(), (revision, record));
         is_new
     }
 
-    /// A record of a copy, with the order under a higher token that the copy lacks.
+    /// Completes a record of a store that was restored from a backup by the order under a
+    /// higher token that the backup lacks.
     fn with_order_lost_in_restore(&self, record: DutyRecord) -> DutyRecord {
         let known = self.record(&record.group);
         let retired = known.map_or(0, |known| known.retired).max(record.retired);
@@ -98,63 +107,66 @@
         }
     }
 
-    /// This instance promised an order.
+    /// Records the order for which this instance promised to end a term.
     pub fn note_promised(&mut self, group: &GroupId, ending: &Ending) {
         let order = DutyOrder { server: ending.successor.clone(), term: ending.term + 1 };
         self.note_order_of_token(group, ending.token, Some(order));
     }
 
-    /// An order was not given, and never will be.
+    /// Discards a promised order that was not sent and never will be.
     pub fn forget_promised(&mut self, group: &GroupId, token: DutyToken) {
         if self.latest_orders.get(group).is_some_and(|latest| latest.token == token) {
             self.latest_orders.remove(group);
         }
     }
 
-    /// Whether somebody took the duty of any group in an era of the store.
+    /// Whether an instance took the duty of any group in an era of the store.
     #[must_use]
     pub fn is_any_taken_in(&self, era: Era) -> bool {
         self.duties.values().any(|(_, record)| is_token_of_era(record.token, era))
     }
 
-    /// Whether somebody took the duty of a group in an era of the store.
+    /// Whether an instance took the duty of a group in an era of the store.
     #[must_use]
     pub fn is_taken_in(&self, group: &GroupId, era: Era) -> bool {
         self.record(group).is_some_and(|record| is_token_of_era(record.token, era))
     }
 
-    /// Whether the store, in an era, may lack an order of a group: it came back from a
-    /// copy, and nobody has taken the duty since.
+    /// Whether the store, in an era, may lack an order of a group: it was restored from a
+    /// backup, and no instance has taken the duty since.
     #[must_use]
     pub fn may_lack_order(&self, group: &GroupId, era: Era) -> bool {
         era > 0 && !self.is_taken_in(group, era)
     }
 
-    /// A token must not be used again.
+    /// Records that an order is sent under the token of `duty`, which must not be used
+    /// for another one.
     pub fn mark_token_used(&mut self, duty: &DutyRecord) {
         self.used_tokens.insert(duty.group.clone(), duty.token);
     }
 
-    /// An order that the store does not know, under a token kept from before.
+    /// Records an order that is not in the store, under a token that this instance took
+    /// before.
     pub fn note_order(&mut self, group: &GroupId, order: OrderChange) {
         if let (Some((_, record)), OrderChange::Put(order)) = (self.duties.get_mut(group), order) {
             record.order = order;
         }
     }
 
-    /// The present token of a group; 0 if nobody ever held its duty.
+    /// The present token of a group; 0 if no instance ever held its duty.
     #[must_use]
     pub fn token(&self, group: &GroupId) -> DutyToken {
         self.record(group).map_or(0, |record| record.token)
     }
 
-    /// Whether an order was given under the present token of a group.
+    /// Whether this process sent an order under the present token of a group.
     #[must_use]
     pub fn is_token_used(&self, group: &GroupId) -> bool {
         let token = self.record(group).map(|record| record.token);
         token.is_some() && self.used_tokens.get(group).copied() >= token
     }
 
+    /// The record of a duty that this process holds under a token that it has not used.
     fn usable(&self, group: &GroupId, id: &InstanceId, life: u64) -> Option<DutyRecord> {
         let record = self.record(group)?;
         let ours = record.holder == *id && record.life == life;
@@ -162,13 +174,13 @@
     }
 }
 
-/// Tells an engine who holds which duty.
+/// Passes the duties in the store to an engine.
 pub struct DutyFollower {
     engine: Arc<Engine>,
 }
 
 impl DutyFollower {
-    /// Feeds an engine.
+    /// A follower that updates `engine`.
     #[must_use]
     pub fn new(engine: Arc<Engine>) -> Self {
         Self { engine }
@@ -179,8 +191,8 @@
             return;
         };
         let (group, holder, token) = (record.group.clone(), record.holder.clone(), record.token);
-        let new = self.engine.with_duties(|duties| duties.apply_record(entry.revision, record));
-        if new {
+        let is_new = self.engine.with_duties(|duties| duties.apply_record(entry.revision, record));
+        if is_new {
             let event = Event::new(EventKind::DutyTaken).with("group", &group);
             event_log::emit(&event.with("holder", &holder).with("token", token));
             self.engine.note_duty_holder(&group, &holder);
@@ -212,30 +224,32 @@
     }
 }
 
-/// What becomes of the order that a duty's record names.
+/// How taking a duty changes the order in its record.
 #[derive(Clone, Debug)]
 pub enum OrderChange {
-    /// It stays.
+    /// The order stays.
     Keep,
-    /// This takes its place, or nothing.
+    /// The order is replaced by this one; `None` removes it.
     Put(Option<DutyOrder>),
 }
 
-/// A duty that was taken.
+/// A duty that this instance holds.
 #[derive(Clone, Debug)]
 pub struct Claim {
-    /// Its record.
+    /// The record.
     pub duty: DutyRecord,
-    /// When the store had taken it; `None` for a token kept from before.
+    /// When the store had accepted the record; `None` if it could not be written and the
+    /// token is one that this instance took before.
     pub written_at: Option<Moment>,
-    /// Era of the store that took it.
+    /// Era in which the store accepted the record.
     pub written_era: Option<Era>,
 }
 
-/// Takes the duty of a group under a new token, unless another instance took it
-/// under a later one than `since`, which was known when this one decided to act.
-/// While the store cannot be reached, a token of this life that was never used_tokens
-/// will do.
+/// Takes the duty of a group under a new token. `None` if it cannot be taken.
+///
+/// `since` is the highest token that this instance knew when it decided to act. If another
+/// instance has taken the duty under a higher one, this one does not. While the store does
+/// not accept the write, a token suffices that this process took before and has not used.
 pub async fn claim(
     engine: &Engine,
     directory: &dyn Directory,
@@ -251,7 +265,7 @@
             let token = kept.as_ref().map(|record| record.token);
             let event = Event::new(EventKind::DutyFailed).with("group", group);
             event_log::emit(&event.with("reason", &error).with_some("kept_token", token));
-            // Somebody else's newer record makes an old token useless.
+            // A newer record of another instance invalidates the token taken before.
             match error {
                 WriteError::Conflict(_) => None,
                 WriteError::NotDone(_) | WriteError::Unanswered(_) => {
@@ -276,7 +290,8 @@
             let expected = present.as_ref().map(|entry| entry.revision);
             (present, expected)
         }
-        // Somebody else wrote it. What was known of the duty goes on.
+        // Another writer left a record that this version cannot decode. The next record
+        // continues from the last known one.
         Err(DirectoryError::RecordUnreadable(revision)) => (None, Some(revision)),
         Err(error) => return Err(WriteError::NotDone(error)),
     };
@@ -284,9 +299,9 @@
     let era = engine.store_era().latest();
     if let Some(Entry { record: Record::Duty(record), revision, .. }) = &present {
         engine.with_duties(|duties| duties.apply_record(*revision, record.clone()));
-        // Somebody took the duty since this instance decided to act, and acts
-        // now. Two that replace a primary at once undo each other's work, and an
-        // order that is overwritten is seen by nobody who reads the store.
+        // Another instance took the duty after this one decided to act. Two instances
+        // that replace a primary concurrently undo each other's work, and readers of the
+        // store do not see an order that was overwritten.
         if record.token > since && record.holder != engine.me().id {
             return Err(WriteError::Conflict(present));
         }
@@ -301,7 +316,7 @@
         .ok_or(WriteError::NotDone(DirectoryError::OrdersUnknown))?;
     let record = Record::Duty(next.clone());
     let written = match directory.write(group, &record, expected).await {
-        // The write may have been done: then the record says so.
+        // The store may have accepted the write, which a read of the record shows.
         Err(WriteError::Unanswered(error)) => {
             let entry = directory.get(RecordKind::Duties, group).await;
             match entry.map_err(WriteError::NotDone)? {
@@ -312,8 +327,8 @@
         result => result?,
     };
     engine.with_duties(|duties| duties.apply_record(written, next.clone()));
-    // The store came back from a copy meanwhile: it may hold another record under the
-    // revision that was expected, and a higher token was given out before.
+    // The store was restored from a backup meanwhile. The write may have replaced another
+    // record under the expected revision number, and a higher token may exist.
     if written.era != era {
         engine.note_store_era(written.era, RecordKind::Duties);
         return Err(WriteError::Conflict(None));
@@ -323,13 +338,13 @@
     Ok((next, era))
 }
 
-/// The first record of an era, with the terms that most voters have retired; `None` if
-/// too few told. A copy of the store can lack the order for which they did so, and
-/// nobody else may know it.
+/// Adds to the first record of an era the highest term that a majority of the voters has
+/// retired; `None` if too few voters have reported theirs. The restored store can lack the
+/// order for which they retired it, and possibly no instance knows that order.
 fn with_majority_retired_term(engine: &Engine, next: DutyRecord, era: Era) -> Option<DutyRecord> {
     if !engine.with_duties(|duties| duties.may_lack_order(&next.group, era)) {
         return Some(next);
     }
-    let told = engine.retired_by_most(&next.group)?;
-    Some(DutyRecord { retired: next.retired.max(told), ..next })
+    let retired = engine.retired_by_most(&next.group)?;
+    Some(DutyRecord { retired: next.retired.max(retired), ..next })
 }
--- a/daemon/src/engine/leader_control.rs
+++ b/daemon/src/engine/leader_control.rs
@@ -1,4 +1,8 @@
-//! Watches the primaries of all groups, and replaces them.
+//! Watches the primaries of the groups that this instance holds, and replaces them.
+//!
+//! [`LeaderWatch`] decides for each group what to do; this module does it. It probes
+//! servers, asks the other holders of the group whether they reach the primary, and starts
+//! a replacement. It also takes the duty of groups for which no instance holds it.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -33,11 +37,11 @@
 use crate::engine::shard::Shard;
 use crate::engine::shared::Engine;
 
-/// Time between two looks at all groups. Each look is a wake-up that is paid
-/// for; a doubt is looked at when it comes up.
-const TICK: Duration = Duration::from_millis(100);
+/// Time between two checks of all groups. Each check costs a wake-up of the processor; a
+/// suspicion about a primary starts one at once.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The watches of all groups.
+/// The watches of the primaries of all groups.
 #[derive(Default)]
 pub struct LeaderWatches {
     watches: Mutex<HashMap<GroupId, LeaderWatch>>,
@@ -51,12 +55,13 @@
         f(watches.entry(group.clone()).or_default())
     }
 
-    /// Somebody replaces the primary of a group, or is about to.
+    /// Records that an instance replaces the primary of a group, or is about to, so that
+    /// this one does not begin a replacement for some time.
     pub fn expect_replacement(&self, group: &GroupId, at: Moment) {
         self.with(group, |watch| watch.replacing(at));
     }
 
-    /// This instance leaves the replacement of a primary to others for a while.
+    /// Leaves the replacement of a primary to other instances for some time.
     pub fn step_back(&self, group: &GroupId) {
         self.with(group, |watch| watch.step_back(now()));
     }
@@ -66,14 +71,14 @@
     }
 }
 
-/// Marks a group as being replaced as long as it lives.
+/// Marks the primary of a group as being replaced by this instance until it is dropped.
 struct ReplacingGuard {
     engine: Arc<Engine>,
     group: GroupId,
 }
 
 impl ReplacingGuard {
-    /// `None` while a replacement is under way.
+    /// Marks a group; `None` if it is marked already.
     fn new(engine: &Arc<Engine>, group: &GroupId) -> Option<Self> {
         let mut replacing = engine.watches().replacing.lock().expect("never poisoned");
         if !replacing.insert(group.clone()) {
@@ -90,14 +95,15 @@
     }
 }
 
-/// Watches all groups for ever.
+/// Watches the primaries of all held groups. Never returns.
 pub async fn run(replacer: Replacer) {
     let claims_from = now() + CLAIM_AFTER;
     loop {
-        // Either wakes the loop.
-        let _timeout = tokio::time::timeout(TICK, replacer.engine.doubt().notified()).await;
-        // Who holds no connections cannot tell how a primary is, and leaves it
-        // to those who do.
+        // Both a suspicion and the timeout start a check.
+        let _timeout =
+            tokio::time::timeout(CHECK_INTERVAL, replacer.engine.doubt().notified()).await;
+        // An instance without connections to a group cannot judge its primary, and leaves
+        // that to the holders.
         for shard in replacer.engine.held_shards() {
             check_group(&replacer, &shard, claims_from);
         }
@@ -127,10 +133,12 @@
         tokio::spawn(async move { check_detour(&shard, &id).await });
     }
     if now() >= claims_from {
-        claim_vacant(replacer, shard, rank);
+        claim_vacant_duty(replacer, shard, rank);
     }
 }
 
+/// Ends the detour to a server if the server answers this instance directly. A detour sends
+/// statements through another instance that reaches the server.
 async fn check_detour(shard: &Arc<Shard>, id: &TargetId) {
     if probe::probe(shard, id).await != Probed::Failed {
         shard.end_detour(id);
@@ -171,9 +179,9 @@
     }
 }
 
-/// Takes a duty that nobody holds, ahead of need: while the store is down,
-/// only who holds a token already can replace a primary.
-fn claim_vacant(replacer: &Replacer, shard: &Arc<Shard>, rank: Option<usize>) {
+/// Takes the duty of a group that no instance holds, before it is needed: during an outage
+/// of the store only an instance that holds a token can replace a primary.
+fn claim_vacant_duty(replacer: &Replacer, shard: &Arc<Shard>, rank: Option<usize>) {
     let engine = &replacer.engine;
     if rank != Some(0) || !engine.is_duty_vacant(shard.id()) || engine.has_servers_outage() {
         return;
@@ -194,30 +202,33 @@
     });
 }
 
-/// An instance that has just started does not claim vacant duties yet. It
-/// knows few others at first and takes itself for the one who should: with 74
-/// starting together, 140 of 170 claims were refused and all had to be read.
+/// Time after the start before an instance takes vacant duties. At first it knows few
+/// other instances and ranks itself too high: when 74 instances started together, 140 of
+/// 170 attempts were refused, and each needed a read.
 const CLAIM_AFTER: Duration = Duration::from_secs(3);
 
-/// How long after the store came back from a copy vacant duties are taken again.
-const DUTY_TAKEN_AFTER: Duration = Duration::from_secs(2);
+/// Time after a restore of the store before vacant duties are taken again.
+const CLAIM_AFTER_RESTORE: Duration = Duration::from_secs(2);
 
-/// Pause after a duty could not be taken.
+/// Pause after a failed attempt to take a duty.
 const CLAIM_PAUSE: Duration = Duration::from_millis(500);
 
+/// Asks the other holders of a group whether they reach its primary, and applies their
+/// answers.
+
 async fn ask_holders(engine: &Arc<Engine>, shard: &Arc<Shard>, leader: Option<TargetId>) {
     let others = engine.co_holders(shard.id());
-    let question = LeaderQuery {
+    let query = LeaderQuery {
         group: shard.id().to_string(),
         server: leader.as_ref().map(ToString::to_string).unwrap_or_default(),
     };
-    let asking = others.iter().map(|peer| {
-        let question = Body::LeaderQuery(question.clone());
-        engine.peers().ask(peer.peer_address, question)
+    let requests = others.iter().map(|peer| {
+        let query = Body::LeaderQuery(query.clone());
+        engine.peers().ask(peer.peer_address, query)
     });
     let mut opinions = Opinions::default();
     let mut helpers = Vec::new();
-    let answers = join_all(asking).await;
+    let answers = join_all(requests).await;
     for (peer, answer) in others.iter().zip(answers) {
         let Ok(Body::LeaderReply(reply)) = answer else {
             opinions.silent += 1;
@@ -232,7 +243,7 @@
         }
     }
     opinions.reached = helpers.len();
-    // Any of them: all instances that are cut off look for help at once.
+    // A random one, since all instances that are cut off choose one at the same time.
     if let (Some(leader), Some(helper)) = (&leader, helpers.choose(&mut rand::rng())) {
         shard.set_detour(leader, *helper);
     }
@@ -252,9 +263,9 @@
     shard.set_out_of_reach(out_of_reach.as_ref());
 }
 
-/// Another instance knows a primary. In a later term than ours it is taken
-/// for true without a question: this instance may be cut off from it, and
-/// would replace it by a server that lacks what it has acknowledged.
+/// Takes over the primary that another instance reports, if its term is later than the
+/// known one. It is not probed first: this instance may be cut off from it, and would
+/// replace it by a server that lacks commits that it acknowledged.
 fn adopt_reported_leader(shard: &Arc<Shard>, reply: &LeaderReply) {
     if reply.leader.is_empty() {
         return;
@@ -269,8 +280,8 @@
 }
 
 impl Engine {
-    /// This instance's place among those that may replace the primary of a
-    /// group; `None` while it stops.
+    /// The rank of this instance among those that may replace the primary of a group, from
+    /// 0 for the first; `None` while it stops, or if it is not one of them.
     #[must_use]
     pub fn duty_rank(&self, group: &GroupId) -> Option<usize> {
         if self.is_stopping() {
@@ -282,14 +293,17 @@
         order.iter().position(|id| *id == self.me().id)
     }
 
-    /// Whether nobody holds the duty of a group who could act on it.
+    /// Whether no instance can act on the duty of a group: none holds it, the holder is not
+    /// a holder of the group any more, or its token was used or is from an earlier process.
+    /// After a restore of the store this waits until the duty can be taken.
     #[must_use]
     pub fn is_duty_vacant(&self, group: &GroupId) -> bool {
         let era = self.store_era().latest();
         if self.with_duties(|duties| duties.may_lack_order(group, era)) {
-            // Until most voters tell what the store's copy may lack it cannot be taken,
-            // and it tells others that all who are alive are listed again.
-            let settled = self.store_era().is_known_for(now(), DUTY_TAKEN_AFTER);
+            // The duty cannot be taken until a majority of the voters has reported its
+            // retired terms. And a duty taken in this era shows other instances that all
+            // running instances are listed in the store again.
+            let settled = self.store_era().is_known_for(now(), CLAIM_AFTER_RESTORE);
             return settled && self.retired_by_most(group).is_some();
         }
         let record = self.with_duties(|duties| duties.record(group).cloned());
@@ -303,14 +317,15 @@
         !self.holders(group).iter().any(|holder| holder.id == record.holder)
     }
 
-    /// Somebody took the duty of a group, usually to replace its primary.
+    /// Records that an instance took the duty of a group, usually to replace its primary.
     pub fn note_duty_holder(&self, group: &GroupId, holder: &str) {
         if *holder != *self.me().id {
             self.watches().expect_replacement(group, now());
         }
     }
 
-    /// What this instance knows of a primary that another one doubts.
+    /// Answers another instance that suspects a primary: whether this one reaches it, and
+    /// which primary this one knows. Probes the primary if it has no recent answer.
     #[must_use]
     pub fn leader_reply(&self, query: &LeaderQuery) -> LeaderReply {
         let group: GroupId = query.group.as_str().into();
--- a/daemon/src/engine/probe.rs
+++ b/daemon/src/engine/probe.rs
@@ -1,4 +1,5 @@
-//! Asks servers for their state.
+//! Asks servers for their state: by a probe on a new connection, or by a sample on a
+//! connection of the pool.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,15 +20,15 @@
 use crate::engine::shard::Shard;
 use crate::engine::waiting::Want;
 
-/// Longest time for a new connection and an answer on it: a few times what a
-/// loaded server takes, since its state takes a slot like any statement.
+/// Shortest time limit for opening a connection and an answer on it: a few times what a
+/// loaded server takes, where the request for its state occupies a slot like any statement.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// A server with a queue has this many times the time of its answers: work
-/// must not make it look dead.
+/// The time limit of a probe in multiples of the server's usual read time, so that a loaded
+/// server with a queue does not count as failed.
 const QUEUE_FACTOR: u32 = 4;
 
-/// Longest time for an answer of a server with a queue.
+/// Longest time limit of a probe.
 const LONGEST_PROBE_TIMEOUT: Duration = Duration::from_millis(800);
 
 fn probe_timeout(shard: &Shard, id: &str) -> Duration {
@@ -35,22 +36,22 @@
     (usual_time * QUEUE_FACTOR).clamp(PROBE_TIMEOUT, LONGEST_PROBE_TIMEOUT)
 }
 
-/// Place of samples among the waiting requests: last.
+/// Priority of samples among the requests that wait for a connection: the lowest.
 const SAMPLE_PRIORITY: u8 = u8::MAX;
 
-/// What a probe found.
+/// The result of a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Probed {
-    /// The server told its state.
+    /// The server reported its state.
     Status(ServerStatus),
-    /// It is alive, and too busy to tell.
+    /// The server runs, but is too busy to report its state.
     Busy,
-    /// It does not answer.
+    /// The server does not answer.
     Failed,
 }
 
-/// Asks a server on a new connection, so that an old one that went silent
-/// does not make a living server look dead.
+/// Asks a server for its state on a new connection, since an existing one may be broken
+/// while the server works.
 pub async fn probe(shard: &Arc<Shard>, id: &TargetId) -> Probed {
     let Some(info) = shard.with_group(|group| group.server(id).map(|view| view.info.clone()))
     else {
@@ -60,8 +61,8 @@
     let asking = async {
         let mut connection = match shard.connect(&info, None, None).await {
             Ok(connection) => connection,
-            // It lives. After all instances had lost power at once the
-            // connections of before filled the servers for seconds, and healthy
+            // The refusal shows that the server runs. When all instances lost power at
+            // once, their earlier connections filled the servers for seconds, and healthy
             // primaries were about to be replaced.
             Err(ConnectError::Refused(refusal))
                 if refusal.kind == RefusalKind::TooManyConnections =>
@@ -85,12 +86,12 @@
             shard.with_group(|group| group.observe_answer(now(), id, None));
             Probed::Busy
         }
-        // Under load a new connection can wait longer than this for its slot.
-        // Counted as a failure that made a primary look dead that was serving,
-        // and might have replaced it.
+        // Under load a new connection can wait for a slot for longer than the time limit.
+        // Counted as a failure, that could replace a primary that serves requests.
         Err(_) if shard.with_group(|group| group.has_answered_since(id, asked_at)) => Probed::Busy,
         Err(error) => {
-            // What goes through another instance may work all the same.
+            // Requests to a server with a detour go through another instance, which may
+            // reach the server.
             if !shard.has_detour(id) {
                 shard.with_group(|group| group.observe_failure(now(), id));
             }
@@ -100,8 +101,8 @@
     }
 }
 
-/// Asks a server on a connection of the pool. Nothing follows from it when no
-/// connection is free.
+/// Asks a server for its state on a connection of the pool. If no connection becomes free
+/// in time, this logs it and has no other effect.
 pub async fn sample(shard: &Arc<Shard>, id: &TargetId) {
     let values = SessionValues::new();
     let asked_at = now();
@@ -149,7 +150,7 @@
 }
 
 impl Shard {
-    /// A server told its state.
+    /// Applies the state that a server reported in its answer to a request of `asked_at`.
     pub fn observe_status(self: &Arc<Self>, asked_at: Moment, id: &TargetId, status: ServerStatus) {
         let changed = self.with_group(|group| group.observe_status(asked_at, now(), id, status));
         if changed && status.leads {
--- a/daemon/src/engine/promoter.rs
+++ b/daemon/src/engine/promoter.rs
@@ -1,4 +1,4 @@
-//! The border to the platform's call that replaces a primary.
+//! The interface to the platform's call that promotes a server to primary.
 
 use async_trait::async_trait;
 use chervilwharf_lib::duty::DutyRecord;
@@ -9,17 +9,18 @@
 pub enum Promoted {
     /// The server will lead, or leads already.
     Accepted,
-    /// The token is too low, or the server does not run.
+    /// The platform refused: the token is too low, or the server does not run.
     Refused,
-    /// Nothing was done; the platform takes no calls now.
+    /// The platform accepts no calls at present, and did nothing.
     NotDone,
-    /// No answer; it may be done, now or seconds later.
+    /// No answer arrived. The platform may carry out the order now or seconds later.
     Unanswered,
 }
 
-/// Replaces primaries.
+/// Sends promotion orders to the platform.
 #[async_trait]
 pub trait Promoter: Send + Sync {
-    /// Orders that `server` takes over the group of `duty`, under its token.
+    /// Orders the platform to make `server` the primary of the group of `duty`, under the
+    /// fencing token of that duty.
     async fn promote(&self, duty: &DutyRecord, server: &TargetId) -> Promoted;
 }
--- a/daemon/src/engine/replacement.rs
+++ b/daemon/src/engine/replacement.rs
@@ -1,10 +1,18 @@
-//! Replaces the primary of a group.
+//! Replaces the primary of a group by one of its replicas.
 //!
-//! In this order: the order is written into the store; for a planned change the
-//! old primary gets no new work for a moment; the instances promise to use its
-//! term no more, and those that are silent are waited for until their right has
-//! ended; the replica that received most is promoted; the others are told, and
-//! the old primary is demoted.
+//! The steps of a replacement are:
+//!
+//! 1. This instance takes the duty of the group and writes a promotion order, which
+//!    names the successor and its term, into the store.
+//! 2. Before a planned change, it pauses new work at the old primary.
+//! 3. The instances promise not to use the term of the old primary any more. For an
+//!    instance that does not answer it waits until the lease on that term has expired.
+//! 4. It has the platform promote the replica that received the most.
+//! 5. It announces the new primary to the other instances and demotes the old one.
+//!
+//! The duty is the responsibility for replacing the primary, held under a fencing
+//! token. The voters of a group are the instances that grant each other the leases
+//! without which no instance uses a primary.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -49,69 +57,68 @@
 use crate::engine::survey::Candidate;
 use crate::engine::survey::survey;
 
-/// Pause between two questions to a server that is about to lead.
+/// Pause between two probes of a server that was ordered to lead.
 const LEAD_POLL: Duration = Duration::from_millis(60);
 
-/// How long a server may take to lead after an order that was accepted, as long
-/// as it answers. The platform says some hundred ms; a second order meanwhile
-/// could undo the first, so it is given several times the second that
-/// platforms are known to take.
+/// How long a server may take to lead after the platform accepted the order, as long
+/// as it answers probes. A platform states some hundred ms and may take one second. A
+/// second order meanwhile could undo the first, so the limit is several times that.
 const LEAD_LIMIT: Duration = Duration::from_secs(6);
 
-/// Questions in a row that a server about to lead may leave unanswered before
-/// it is taken for dead.
+/// Consecutive failed probes after which a server that was ordered to lead counts as
+/// failed.
 const LEAD_FAILURE_LIMIT: u32 = 3;
 
-/// How long to look for the effect of an order that got no answer before it
-/// is given again under a higher token.
+/// How long to wait for the effect of an order that the platform did not answer,
+/// before it is repeated under a higher token.
 const UNANSWERED_ORDER_LIMIT: Duration = Duration::from_millis(500);
 
-/// How long what runs at a primary may take to end before a planned change.
-/// Half of the statements take under 14 ms; writes wait meanwhile.
+/// How long statements that run at the primary may take to end before a planned
+/// change. Half of all statements take less than 14 ms; writes wait meanwhile.
 const PAUSE_LIMIT: Duration = Duration::from_millis(100);
 
-/// Pause between two questions whether it has ended.
+/// Pause between two checks whether these statements have ended.
 const PAUSE_POLL: Duration = Duration::from_millis(15);
 
-/// How long promises are asked for. Those that answer do so within
-/// milliseconds; the rest is for silent ones that come back.
+/// How long promises are collected. Responsive instances answer within milliseconds;
+/// the rest of the time is for instances that become responsive again.
 const PROMISE_LIMIT: Duration = Duration::from_secs(2);
 
-/// Pause between two rounds of asking for promises.
+/// Pause between two rounds of requests for promises.
 const PROMISE_PAUSE: Duration = Duration::from_millis(100);
 
-/// How long the successor in a planned change may take to receive what the old
+/// How long the successor in a planned change may take to receive all that the old
 /// primary has.
 const RECEIVE_LIMIT: Duration = Duration::from_millis(500);
 
-/// Pause between two questions whether it has.
+/// Pause between two checks whether the successor has received it.
 const RECEIVE_POLL: Duration = Duration::from_millis(10);
 
-/// Time for an answer to DEMOTE.
+/// Time limit of a DEMOTE, including the connection.
 const DEMOTE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What a replacement needs.
+/// The interfaces that a replacement uses.
 #[derive(Clone)]
 pub struct Replacer {
     /// The engine.
     pub engine: Arc<Engine>,
-    /// Where the duty is kept.
+    /// The platform's store, which keeps the duties.
     pub directory: Arc<dyn Directory>,
-    /// Carries the order out.
+    /// The platform's interface for promotions.
     pub promoter: Arc<dyn Promoter>,
 }
 
-/// Why a replacement went no further.
+/// Why a replacement was abandoned.
 enum Abandoned {
-    /// Nothing was ordered.
+    /// The platform carries out no order of this replacement.
     BeforeOrder(&'static str),
-    /// Nothing was ordered, and another instance may be able to.
+    /// As `BeforeOrder`, and another instance may be able to replace the primary.
     LeftToOthers(&'static str),
-    /// The order may have been given.
+    /// The platform may have carried out the order, or may still do so.
     AfterOrder,
 }
 
-/// One replacement under way.
+/// A replacement in progress.
 struct Replacement<'a> {
     replacer: &'a Replacer,
     shard: &'a Arc<Shard>,
@@ -119,20 +126,22 @@
     reason: ReplaceReason,
     /// The term that ends.
     term: Term,
-    /// The order that stood before, if its outcome may still matter.
+    /// The previous order, whose outcome may be unknown.
     last_order: Option<DutyOrder>,
     duty: DutyRecord,
     /// The server that the order names.
     successor: TargetId,
-    /// Token of an order of this replacement that was not given; 0 for none.
+    /// Token of an order of this replacement that it did not send; 0 for none.
     withdrawn_token: DutyToken,
-    /// When the store took the order; `None` if an old token has to do.
+    /// When the store accepted the order; `None` if the store could not be written and
+    /// this instance uses a token that it took before.
     written_at: Option<Moment>,
-    /// Era of the store that took it.
+    /// Era in which the store accepted the order.
     written_era: Option<Era>,
 }
 
-/// Replaces a primary. Returns whether another server leads now.
+/// Replaces the primary `from` of a group, or the missing one if `None`. Returns
+/// whether another server leads now.
 pub async fn replace(
     replacer: &Replacer,
     shard: &Arc<Shard>,
@@ -167,7 +176,9 @@
     let known = replacer.engine.with_duties(|duties| duties.record(shard.id()).cloned());
     let last_order = known.and_then(|record| record.order);
     if !last_resort && !duty::order_permits(last_order.as_ref(), &target.id, seen_term) {
-        return Err(Abandoned::BeforeOrder("an order for another server is unsettled"));
+        return Err(Abandoned::BeforeOrder(
+            "the outcome of an order for another server is unknown",
+        ));
     }
     let highest_term = shard.with_group(|group| group.highest_term()).max(seen_term);
     let order = DutyOrder { server: target.id.clone(), term: highest_term + 1 };
@@ -213,7 +224,7 @@
 impl Replacement<'_> {
     async fn carry_out(&mut self, first: Candidate) -> Result<(), Abandoned> {
         if self.is_outdated() {
-            return Err(Abandoned::BeforeOrder("outdated"));
+            return Err(Abandoned::BeforeOrder("the reason for the replacement has disappeared"));
         }
         let event = Event::new(EventKind::ReplacementBegun)
             .with("group", self.shard.id())
@@ -228,7 +239,9 @@
             self.prepare_planned().await;
         }
         if self.written_at.is_none() && !self.do_all_voters_answer().await {
-            return Err(Abandoned::LeftToOthers("the store has not the order, and not all answer"));
+            return Err(Abandoned::LeftToOthers(
+                "the order is not in the store, and not all voters answer",
+            ));
         }
         self.collect_promises().await?;
         self.record_step("agree", began_at);
@@ -237,8 +250,8 @@
         self.check_order_stored()?;
         self.record_step("choose", began_at);
         let began_at = now();
-        // One order a token: with an old one under the same token nobody could
-        // tell which of both was carried out last.
+        // Each token is used for one order only: of two orders under the same token
+        // nothing shows which one the platform carried out last.
         self.replacer.engine.with_duties(|duties| duties.mark_token_used(&self.duty));
         let promoted = self.replacer.promoter.promote(&self.duty, &target.id).await;
         self.record_step("promote", began_at);
@@ -248,12 +261,13 @@
         self.finish(&target.id, promoted).await
     }
 
-    /// Whether the store still holds the order, as far as is known: silent instances are
-    /// to read it there.
+    /// Checks that the store has not been restored from a backup since it accepted the
+    /// order, as far as this instance knows. Instances that do not answer are to read the
+    /// order in the store.
     fn check_order_stored(&self) -> Result<(), Abandoned> {
         let latest = self.replacer.engine.store_era().latest();
         if self.written_era.is_some_and(|era| era < latest) {
-            return Err(Abandoned::BeforeOrder("the store came back from a copy"));
+            return Err(Abandoned::BeforeOrder("the store was restored from a backup"));
         }
         Ok(())
     }
@@ -267,8 +281,8 @@
         self.replacer.engine.metrics().replacement_step(step, took);
     }
 
-    /// Whether the reason to replace a primary has gone while the duty was
-    /// taken, which can last for seconds when the store is slow.
+    /// Whether the reason to replace the primary has disappeared while the duty was
+    /// taken, which can take seconds when the store is slow.
     fn is_outdated(&self) -> bool {
         self.shard.with_group(|group| {
             let leader = group.leader().map(|leader| &leader.id);
@@ -280,9 +294,10 @@
         })
     }
 
-    /// Before a planned change: nobody who reads the store begins to use the old
-    /// term, and what runs at the old primary ends. Writes go on there during
-    /// the first, longer part.
+    /// Prepares a planned change in two steps. First it waits until every lease has
+    /// expired that the store granted before the order was written; writes continue at
+    /// the old primary meanwhile. Then it pauses new work there and waits until running
+    /// statements have ended, at most for `PAUSE_LIMIT`.
     async fn prepare_planned(&self) {
         if let Some(written_at) = self.written_at {
             tokio::time::sleep((written_at + STORE_LEASE).saturating_sub(now())).await;
@@ -298,16 +313,17 @@
         }
     }
 
-    /// Whether all that vote answer, so that they can promise in person. Asked
-    /// before the term is ended: an instance that the store turned away ended it
-    /// again and again, and a group had no primary for twelve seconds.
+    /// Whether all voters answer, so that each can give its promise itself. Checked
+    /// before any of them promises: without this check an instance that the store
+    /// refused ended the term again and again, and the group had no primary for twelve
+    /// seconds.
     async fn do_all_voters_answer(&self) -> bool {
         let replies = self.send_term_end_to_all(true).await;
         let answers = |voter: &InstanceId| replies.iter().any(|(id, _)| id == voter);
         self.replacer.engine.voters(self.shard.id()).iter().all(answers)
     }
 
-    /// All instances that may use the primary or vote, this one included.
+    /// All instances that may use the primary or vote, including this one.
     fn participants(&self) -> Vec<InstanceRecord> {
         let engine = &self.replacer.engine;
         let mut records = engine.voters_and_co_holders(self.shard.id());
@@ -315,6 +331,8 @@
         records
     }
 
+    /// Sends a [`TermEnd`] to all participants and returns the replies. `only_pause`
+    /// requests a pause of new work and no promise.
     async fn send_term_end_to_all(&self, only_pause: bool) -> Vec<(InstanceId, TermEndReply)> {
         self.send_term_end(&self.participants(), only_pause).await
     }
@@ -325,7 +343,7 @@
         only_pause: bool,
     ) -> Vec<(InstanceId, TermEndReply)> {
         let engine = &self.replacer.engine;
-        let question = TermEnd {
+        let request = TermEnd {
             group: self.shard.id().to_string(),
             term: self.term,
             only_pause,
@@ -336,20 +354,20 @@
             withdrawn_token: self.withdrawn_token,
             written_era: self.written_era,
         };
-        let asking = participants.iter().map(async |record| {
+        let requests = participants.iter().map(async |record| {
             if record.id == engine.me().id {
-                return Some((record.id.clone(), engine.end_term(&question)));
+                return Some((record.id.clone(), engine.end_term(&request)));
             }
-            let question = Body::TermEnd(question.clone());
-            match engine.peers().ask(record.peer_address, question).await {
+            let request = Body::TermEnd(request.clone());
+            match engine.peers().ask(record.peer_address, request).await {
                 Ok(Body::TermEndReply(reply)) => Some((record.id.clone(), reply)),
                 _ => None,
             }
         });
-        join_all(asking).await.into_iter().flatten().collect()
+        join_all(requests).await.into_iter().flatten().collect()
     }
 
-    /// Collects promises until nobody uses the old term any more.
+    /// Collects promises until no instance can use the old term any more.
     async fn collect_promises(&self) -> Result<(), Abandoned> {
         let engine = &self.replacer.engine;
         let participants = self.participants();
@@ -372,9 +390,11 @@
                     self.report_agreement(&agreement);
                     return Ok(());
                 }
-                Readiness::From(_) => "silent instances may still use the old primary",
-                Readiness::TooFewVotes => "too few instances have promised",
-                Readiness::SomeSilent => "some are silent and the store has not the order",
+                Readiness::From(_) => "unresponsive instances may still use the old primary",
+                Readiness::TooFewVotes => "too few voters have promised",
+                Readiness::SomeSilent => {
+                    "some instances do not answer and the store does not have the order"
+                }
             };
             if at >= until {
                 return Err(Abandoned::BeforeOrder(why));
@@ -421,8 +441,9 @@
         event_log::emit(&event.with_count("silent", silent));
     }
 
-    /// The server to promote, now that no commit is acknowledged any more. If
-    /// the old primary answers, the server has received all that it has.
+    /// Chooses the server to promote, now that no instance acknowledges commits of the
+    /// old primary any more. If the old primary answers, this waits for up to
+    /// `RECEIVE_LIMIT` until the server has received all that the primary has.
     async fn choose_successor(&mut self, first: Candidate) -> Result<Candidate, Abandoned> {
         let until = now() + RECEIVE_LIMIT;
         let best = loop {
@@ -444,8 +465,9 @@
         Ok(best)
     }
 
-    /// Names another server in the order, which was not given yet. Only where
-    /// the store keeps it: those that promised know the first one.
+    /// Replaces the order, which was not sent to the platform yet, by one for another
+    /// server. Returns whether it did. It needs the store: the voters promised for the
+    /// first server, and the store has to show the new one.
     async fn replace_order(&mut self, target: &Candidate) -> bool {
         if self.written_at.is_none() {
             return false;
@@ -464,15 +486,16 @@
         self.written_era = written_era;
         self.withdrawn_token = std::mem::replace(&mut self.duty, duty).token;
         self.successor = target.id.clone();
-        // Those that promised have to know whom they may not promote besides.
+        // The voters have to learn the new successor: until the order is settled they
+        // object to an order for another server.
         let voters = self.replacer.engine.voters(self.shard.id());
         let replies = self.send_term_end_to_all(false).await;
         let promised = replies.iter().filter(|(id, reply)| reply.promised && voters.contains(id));
         promised.count() * 2 > voters.len() || self.reason == ReplaceReason::LastResort
     }
 
-    /// Takes the order back that was written and not given: others would wait
-    /// for its outcome.
+    /// Restores the previous order in place of the one that was written and not sent, so
+    /// that other instances do not wait for its outcome.
     async fn withdraw(&self) {
         self.announce_outcome(None);
         let restored = OrderChange::Put(self.last_order.clone());
@@ -488,6 +511,7 @@
         }
     }
 
+    /// Waits until the server leads that the platform was ordered to promote.
     async fn finish(&self, target: &TargetId, promoted: Promoted) -> Result<(), Abandoned> {
         let limit = match promoted {
             Promoted::Accepted => LEAD_LIMIT,
@@ -496,7 +520,7 @@
                 return Err(Abandoned::BeforeOrder("the platform refused the order"));
             }
             Promoted::NotDone => {
-                return Err(Abandoned::BeforeOrder("the platform takes no orders now"));
+                return Err(Abandoned::BeforeOrder("the platform accepts no orders now"));
             }
         };
         let began_at = now();
@@ -518,15 +542,16 @@
         Err(Abandoned::AfterOrder)
     }
 
-    /// While the platform takes its time this instance itself begins no second
-    /// replacement; the others ask before they do.
+    /// Prevents a second replacement by this instance while the platform carries out the
+    /// order. Other instances ask this one before they begin a replacement.
     fn defer_own_replacement(&self, began_at: Moment) {
         if now() > began_at + REPLACEMENT_TIME / 2 {
             self.replacer.engine.watches().expect_replacement(self.shard.id(), now());
         }
     }
 
-    /// Tells all who voted that the order is settled, and who leads now.
+    /// Announces to all participants that the order is settled, and which server leads;
+    /// `None` if the order was withdrawn.
     fn announce_outcome(&self, leading: Option<(&TargetId, Term)>) {
         let engine = &self.replacer.engine;
         let news = PrimaryNews {
@@ -540,7 +565,7 @@
         let announcing = others.map(|record| {
             let (engine, news) = (engine.clone(), news.clone());
             async move {
-                // Who does not hear it finds out by its own questions.
+                // An instance that misses this finds the primary by its own probes.
                 let _answer =
                     engine.peers().ask(record.peer_address, Body::PrimaryNews(news)).await;
             }
@@ -548,7 +573,8 @@
         tokio::spawn(join_all(announcing));
     }
 
-    /// Demotes the old primary, which would go on for a second.
+    /// Demotes the old primary in the background. By itself it would continue to lead for
+    /// a second.
     fn demote_old(&self, target: &TargetId, term: Term) {
         if let Some(from) = self.from.clone().filter(|from| from != target) {
             tokio::spawn(demote(self.shard.clone(), from, term));
@@ -556,7 +582,7 @@
     }
 }
 
-/// Makes an old primary a replica.
+/// Demotes an old primary, and logs the result.
 async fn demote(shard: Arc<Shard>, server: TargetId, term: Term) {
     let Some(info) = shard.with_group(|group| group.server(&server).map(|view| view.info.clone()))
     else {
--- a/daemon/src/engine/right_control.rs
+++ b/daemon/src/engine/right_control.rs
@@ -1,5 +1,11 @@
-//! Keeps the right of this instance to use the primaries of its groups, and
-//! answers others that ask for theirs.
+//! Renews the leases under which this instance uses the primaries of its groups, and
+//! grants leases to other instances.
+//!
+//! An instance uses a primary only while it holds a lease on the primary's term. Half of
+//! the voters of the group grant a lease in their answers to heartbeats; a read of the
+//! platform's store that shows no order to replace the primary grants a shorter one. To
+//! retire a term is to promise that it is neither used nor granted any more, which a
+//! replacement of the primary requires. [`PrimaryRight`] has the rules.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -39,53 +45,55 @@
 use crate::engine::shard::Shard;
 use crate::engine::shared::Engine;
 
-/// Pause between two tries to read the orders after a start; each is paid for.
+/// Pause between two attempts to read the orders after a start. The platform charges for
+/// each attempt.
 const ORDERS_RETRY_PAUSE: Duration = Duration::from_millis(300);
 
-/// How long the first reading goes on whatever else the store answers: a slow
-/// store answers in 250 ms.
+/// How long the first attempt is not aborted even if the store answers another call. A
+/// slow store answers within 250 ms.
 const FIRST_READ_WAIT: Duration = Duration::from_millis(300);
 
-/// A lease that ends within this time is renewed by the store as well: the last
-/// round of heartbeats, every 500 ms, was not answered by enough voters.
+/// A lease that ends within this time is renewed by a read of the store: too few voters
+/// answered the last round of heartbeats, which are sent every 500 ms.
 const RENEWAL_MARGIN: Duration = Duration::from_millis(700);
 
-/// How long the answers to a round of heartbeats are waited for before the
-/// store is read: many times the way there and back (2 to 4 ms).
+/// Time for the answers to a round of heartbeats before the store is read: many times the
+/// round-trip time (2 to 4 ms).
 const HEARTBEAT_ANSWER_WAIT: Duration = Duration::from_millis(60);
 
-/// Time that a primary to be replaced gets no new work without a promise, while
-/// what runs there ends. The replacement asks anew every few milliseconds.
+/// How long one request pauses new work at a primary before its planned replacement. The
+/// replacement repeats the request every few milliseconds.
 const PAUSE: Duration = Duration::from_millis(250);
 
-/// An answer of a primary proves contact for this long.
+/// A primary counts as reachable for this long after its last answer.
 const REACHED_WITHIN: Duration = Duration::from_millis(400);
 
-/// How long after the store came back from a copy a duty is taken without the word of
-/// most voters: they are gone, and what they promised was carried out or never will be.
+/// How long after a restore of the store a duty can be taken without the retired terms of
+/// a majority of the voters. By then the orders for which the missing voters promised have
+/// been carried out or never will be.
 const RESTORE_SETTLED_AFTER: Duration = Duration::from_secs(8);
 
-/// Who votes, by group.
+/// The voters of each group.
 #[derive(Default)]
 pub struct VoterLists(Mutex<VoterListsInner>);
 
 #[derive(Default)]
 struct VoterListsInner {
-    /// The instances that the lists were computed from.
+    /// The instances from which the lists were computed.
     recorded: Vec<InstanceRecord>,
-    kept: HashMap<GroupId, Arc<Vec<InstanceId>>>,
+    computed: HashMap<GroupId, Arc<Vec<InstanceId>>>,
 }
 
-/// Reads which orders there are when an instance starts. Only then it votes,
-/// unless others tell it what they grant.
+/// Reads the promotion orders in the store after a start, until this instance may vote on
+/// all groups. It votes on a group earlier if most voters report what they grant.
 pub async fn load_orders(engine: Arc<Engine>, directory: Arc<dyn Directory>) {
     let mut failed = false;
     loop {
         let result = tokio::select! {
             result = read_orders(&engine, &*directory) => result,
-            // A call that the store took while it was down is never answered.
-            // All instances had been killed during an outage: for a second after
-            // it nobody could use a primary.
+            // The store never answers a call that it received during an outage. When all
+            // instances were killed during an outage and waited for such calls, no
+            // instance could use a primary for a second after its end.
             () = store_answers_another_call(&engine, failed) => continue,
         };
         let Err(error) = result else {
@@ -107,7 +115,7 @@
     engine.start_voting();
 }
 
-/// Waits until the store answers another question, and a little longer.
+/// Waits until the store answers another call, and `ANSWER_TIME_SPREAD` longer.
 async fn store_answers_another_call(engine: &Engine, failed: bool) {
     if !failed {
         tokio::time::sleep(FIRST_READ_WAIT).await;
@@ -116,8 +124,8 @@
     tokio::time::sleep(ANSWER_TIME_SPREAD).await;
 }
 
-/// Reads the duties as they are now, which renews the right to use primaries
-/// that nobody has an order to replace.
+/// Reads the present duties, which grants a lease on each primary that no order is to
+/// replace.
 async fn read_orders(engine: &Engine, directory: &dyn Directory) -> Result<(), DirectoryError> {
     let asked_at = now();
     let listing = directory.list(RecordKind::Duties, Currency::Fresh).await?;
@@ -129,7 +137,7 @@
             continue;
         };
         ended.insert(record.group.clone(), record.ended_term());
-        // Known from now on, also if the configuration comes later.
+        // Creates the group, in case the configuration arrives later.
         let _shard = engine.shard(&record.group);
         engine.with_duties(|duties| duties.apply_record(revision, record));
     }
@@ -145,8 +153,8 @@
     Ok(())
 }
 
-/// Renews the right by the store where too few voters answer: an instance that
-/// is cut off from the others and reaches the store goes on.
+/// Renews leases by a read of the store if too few voters answered the last heartbeats. So
+/// an instance that reaches the store, and not the other instances, continues to serve.
 pub async fn renew_leases_from_store(engine: Arc<Engine>, directory: Arc<dyn Directory>) {
     tokio::time::sleep(HEARTBEAT_ANSWER_WAIT).await;
     let at = now();
@@ -168,7 +176,7 @@
 }
 
 impl Engine {
-    /// This instance votes from now on, on all groups.
+    /// Lets this instance vote on all groups from now on.
     fn start_voting(&self) {
         self.set_knows_orders();
         for shard in self.shards() {
@@ -177,11 +185,13 @@
         self.renewal().notify_one();
     }
 
-    /// Votes on the groups whose orders are known. Returns whether that is so of all.
+    /// Lets this instance vote on the groups whose orders are known. Returns whether these
+    /// are all groups.
     ///
-    /// A copy of the store can lack an order that an earlier life of this instance
-    /// promised. It has it where somebody took the duty since, with the word of most
-    /// voters; and it matters no more when the instance has run for long enough.
+    /// A store that was restored from a backup can lack an order that an earlier process of
+    /// this instance promised. It reflects that order once an instance has taken the duty
+    /// with the retired terms of a majority. The order does not matter any more when this
+    /// process has run for [`FORGETFUL`].
     fn start_voting_where_orders_are_known(&self) -> bool {
         let era = self.store_era().latest();
         if era == 0 || self.runs_for(FORGETFUL) {
@@ -198,8 +208,9 @@
         known.len() == shards.len() && self.catalog().version > 0
     }
 
-    /// The highest term of a group that is retired, as most voters told since they know
-    /// the latest era of the store.
+    /// The highest retired term of a group, as a majority of the voters reported it since
+    /// they know the latest era of the store. Once `RESTORE_SETTLED_AFTER` has passed since
+    /// this instance learned that era, its own value suffices. `None` before that.
     #[must_use]
     pub fn retired_by_most(&self, group: &GroupId) -> Option<Term> {
         let shard = self.shard(group);
@@ -212,20 +223,21 @@
         })
     }
 
-    /// Instances that vote on a group.
+    /// The instances that vote on a group.
     #[must_use]
     pub fn voters(&self, group: &GroupId) -> Arc<Vec<InstanceId>> {
         let mut lists = self.voter_lists().0.lock().expect("never poisoned");
-        if let Some(kept) = lists.kept.get(group) {
-            return kept.clone();
+        if let Some(known) = lists.computed.get(group) {
+            return known.clone();
         }
         let computed = Arc::new(voters(group, &lists.recorded));
-        lists.kept.insert(group.clone(), computed.clone());
+        lists.computed.insert(group.clone(), computed.clone());
         computed
     }
 
-    /// All instances that have a record. This one may have none yet: others do
-    /// not count it then, and its own vote must not make a majority.
+    /// All instances that have a record in the store, ordered by id. While this instance
+    /// has none, it is not included: other instances do not count it as a voter, so its own
+    /// vote must not complete a majority.
     #[must_use]
     pub fn recorded(&self) -> Vec<InstanceRecord> {
         let mut recorded: Vec<_> = self.with_fleet(|fleet| fleet.others().cloned().collect());
@@ -236,16 +248,16 @@
         recorded
     }
 
-    /// Drops the lists of voters if they were computed from something else.
+    /// Discards the lists of voters if the recorded instances have changed.
     fn discard_outdated_voter_lists(&self) {
         let recorded = self.recorded();
         let mut lists = self.voter_lists().0.lock().expect("never poisoned");
         if lists.recorded != recorded {
-            *lists = VoterListsInner { recorded, kept: HashMap::new() };
+            *lists = VoterListsInner { recorded, computed: HashMap::new() };
         }
     }
 
-    /// Tells all groups in use who votes.
+    /// Updates the voters of all groups in use.
     pub fn update_voters(&self) {
         if !self.is_fleet_known() {
             return;
@@ -259,7 +271,8 @@
         }
     }
 
-    /// What this instance grants another one that asks about these groups.
+    /// The leases that this instance grants another one, `to`, on the groups that it
+    /// demands at `at`.
     #[must_use]
     pub fn grants(&self, at: Moment, to: &str, demands: &[GroupDemand]) -> Vec<TermGrant> {
         let to: InstanceId = to.into();
@@ -275,7 +288,8 @@
             .collect()
     }
 
-    /// A voter answered a heartbeat of `asked_at`.
+    /// Applies the grants in a voter's answer to a heartbeat that was sent at `asked_at`.
+    /// `era` is the latest era of the store that the voter knows.
     pub fn take_grants(
         &self,
         asked_at: Moment,
@@ -290,7 +304,9 @@
         }
     }
 
-    /// Another instance is about to replace a primary.
+    /// Handles the request of an instance that replaces a primary: pauses new work, or
+    /// promises not to use the term of the primary any more. There is no promise for an
+    /// unplanned replacement of a primary that this instance reaches.
     #[must_use]
     pub fn end_term(&self, end: &TermEnd) -> TermEndReply {
         let group_id: GroupId = end.group.as_str().into();
@@ -339,7 +355,8 @@
         }
     }
 
-    /// An order that this instance may have voted for is settled.
+    /// Handles the outcome of a replacement: its order, for which this instance may have
+    /// promised, is settled.
     pub fn take_primary_news(&self, news: &PrimaryNews) {
         let shard = self.shard(&news.group.as_str().into());
         let id = news.server.as_str().into();
@@ -361,7 +378,8 @@
 }
 
 impl Shard {
-    /// Changes the right to use the primary, and serves those who waited for it.
+    /// Changes the leases on the primary, and resumes waiting requests if the primary
+    /// becomes usable by that.
     fn change_right(self: &Arc<Self>, change: impl FnOnce(&mut PrimaryRight)) {
         let regained = self.with_group(|group| {
             let had = group.usable_leader(now()).is_some();
@@ -373,7 +391,8 @@
         }
     }
 
-    /// Whether a server answered this instance itself just now.
+    /// Whether a server answered this instance directly within `REACHED_WITHIN`, and no
+    /// request to it has failed since.
     #[must_use]
     pub fn reaches(&self, at: Moment, server: &str) -> bool {
         let direct = !self.has_detour(server);
@@ -406,7 +425,7 @@
     given.collect()
 }
 
-/// The promise of another instance.
+/// Decodes the promise of another instance.
 #[must_use]
 pub fn decode_given(given: &[GivenLease]) -> Promise {
     let decode = |lease: &GivenLease| {
--- a/daemon/src/engine/server_control.rs
+++ b/daemon/src/engine/server_control.rs
@@ -1,4 +1,4 @@
-//! Follows the platform's list of servers.
+//! Keeps the servers of an engine up to date with the platform's list of servers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,26 +20,26 @@
 use crate::engine::follow::watch_wait;
 use crate::engine::shared::Engine;
 
-/// Tells an engine which servers the platform lists.
+/// Passes the servers that the platform lists to an engine.
 pub struct ServerFollower {
     engine: Arc<Engine>,
-    /// Whether some servers are missing in the list and not dropped yet.
-    missing: bool,
+    /// Whether servers that are missing in the list have not been dropped yet.
+    has_missing: bool,
 }
 
-/// Changes within this time are read together. Far below the time in which a
-/// server that leaves has to be left alone, and below a heartbeat, with which the
-/// others learn of it.
+/// Pause after a change, so that one watch returns all changes within it. It is far below
+/// the time in which a leaving server must get no more requests, and below the interval of
+/// the heartbeats by which other instances learn of the change.
 const CHANGE_BATCH_PAUSE: Duration = Duration::from_millis(200);
 
-/// How soon missing servers are looked at again.
+/// Interval of the checks whether missing servers are to be dropped.
 const MISSING_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 impl ServerFollower {
-    /// Feeds an engine.
+    /// A follower that updates `engine`.
     #[must_use]
     pub fn new(engine: Arc<Engine>) -> Self {
-        Self { engine, missing: false }
+        Self { engine, has_missing: false }
     }
 }
 
@@ -59,9 +59,9 @@
         self.engine.record_currency()
     }
 
-    /// Servers register, and report their roles, many at a time. Each change ended
-    /// a watch of every relay: 602 of the 722 watches of a quiet day with 60
-    /// servers and ten relays came while the servers started.
+    /// Many servers register and report their roles at the same time. Without a pause each
+    /// change ended a watch of every relay: of the 722 watches of a day without load, with
+    /// 60 servers and ten relays, 602 were made while the servers started.
     fn pause_after_change(&self) -> Duration {
         change_pause(self.currency()).max(CHANGE_BATCH_PAUSE)
     }
@@ -73,14 +73,14 @@
     fn replace(&mut self, listing: Listing) {
         let Listing { entries, unreadable, revision } = listing;
         let mut servers: Vec<_> = entries.into_iter().filter_map(into_server).collect();
-        self.missing = self.engine.update_servers(|list| {
+        self.has_missing = self.engine.update_servers(|list| {
             servers.extend(unreadable.iter().filter_map(|id| list.listed(id)));
             list.replace(now(), revision, servers);
         });
     }
 
     fn change(&mut self, revision: Revision, changes: Vec<Change>) {
-        self.missing = self.engine.update_servers(|list| {
+        self.has_missing = self.engine.update_servers(|list| {
             for change in changes {
                 match change {
                     Change::Present(entry) => {
@@ -96,13 +96,13 @@
     }
 
     fn tick(&mut self) {
-        if self.missing {
-            self.missing = self.engine.update_servers(|_| {});
+        if self.has_missing {
+            self.has_missing = self.engine.update_servers(|_| {});
         }
     }
 
     fn wait_limit(&self) -> Duration {
-        if self.missing { MISSING_CHECK_INTERVAL } else { watch_wait(self.currency()) }
+        if self.has_missing { MISSING_CHECK_INTERVAL } else { watch_wait(self.currency()) }
     }
 
     fn outage(&mut self, lasting: bool) {
--- a/daemon/src/engine/survey.rs
+++ b/daemon/src/engine/survey.rs
@@ -1,4 +1,5 @@
-//! What the servers of a group say before one of them takes over.
+//! Asks the servers of a group for their state, to choose the replica that becomes the
+//! next primary.
 
 use std::sync::Arc;
 
@@ -21,27 +22,29 @@
 pub struct Candidate {
     /// The replica.
     pub id: TargetId,
-    /// What it says.
+    /// The state that it reported.
     pub status: ServerStatus,
 }
 
-/// What the servers of a group say before one of them takes over.
+/// The state of the servers of a group before one of them is promoted.
 #[derive(Default)]
 pub struct Survey {
-    /// The replica that received most.
+    /// The replica that can take over and received the most; `None` if none can.
     pub best: Option<Candidate>,
-    /// What the old primary has, if it was asked and goes on.
+    /// The position of the old primary in its log, if it was asked and still leads.
     pub old_received: Option<Position>,
-    /// A server that leads in a later term already.
+    /// A server that already leads in a later term.
     pub leading: Option<Candidate>,
 }
 
-/// Asks the servers of a group. The best replica lacks the fewest acknowledged
-/// commits; where commits are acknowledged only when some replicas have them,
-/// so many must have answered that one of these is among them.
+/// Asks the servers of a group for their state.
 ///
-/// As a last resort also one that missed a change of primary will do: a group
-/// whose later primary is lost for good would otherwise have none for ever.
+/// The replica that received the most lacks the fewest acknowledged commits. In a group
+/// with synchronous replicas, so many replicas have to answer that one of them has every
+/// acknowledged commit.
+///
+/// As a last resort a replica suffices that missed a change of primary. Without that, a
+/// group whose latest primary is lost for good would never have a primary again.
 pub async fn survey(
     engine: &Engine,
     shard: &Arc<Shard>,
@@ -74,22 +77,26 @@
     let catalog = engine.catalog();
     let sync = catalog.groups.get(shard.id()).map_or(0, |settings| settings.sync_replicas);
     if sync > 0 && !last_resort && answered + sync <= replicas {
-        report_rejected(shard, None, "too few replicas answer to have every commit");
+        report_rejected(
+            shard,
+            None,
+            "too few replicas answered to include every acknowledged commit",
+        );
         survey.best = None;
     }
     survey
 }
 
 impl Survey {
-    /// A server that leads: in a later term it is the new primary, else the old
-    /// one that goes on, whose promotion would change nothing.
+    /// Records a server that leads. In a term that is not retired it is the current
+    /// primary; else it is an old primary, whose promotion would change nothing.
     fn note_leading(&mut self, shard: &Arc<Shard>, server: Candidate) {
         self.old_received = self.old_received.max(Some(server.status.received));
-        let current = shard.with_group(|group| {
+        let is_current = shard.with_group(|group| {
             let leader = group.leader().map(|leader| &leader.id);
             leader == Some(&server.id) && group.right().retired() < server.status.term
         });
-        if current {
+        if is_current {
             self.leading = Some(server);
         }
     }
@@ -102,6 +109,8 @@
     }
 }
 
+/// Whether a replica can be promoted: it is not about to leave, and it did not miss a
+/// change of primary, unless this is the last resort.
 fn can_take_over(
     shard: &Arc<Shard>,
     id: &TargetId,
@@ -113,7 +122,7 @@
         (group.may_lead(status), draining)
     });
     if !may_lead && !last_resort {
-        report_rejected(shard, Some((id, status)), "missed a change");
+        report_rejected(shard, Some((id, status)), "missed a change of primary");
     }
     !draining && (may_lead || last_resort)
 }
