--- a/daemon/tests/stubs/mod.rs
+++ b/daemon/tests/stubs/mod.rs
@@ -48,10 +48,10 @@
 }
 
 /// Connects, and never gets a greeting.
-pub struct NeverGreeted;
+pub struct NeverGreets;
 
 #[async_trait]
-impl Connector for NeverGreeted {
+impl Connector for NeverGreets {
     async fn start(
         &self,
         _stream: TcpStream,
@@ -64,10 +64,10 @@
 }
 
 /// Refuses every connection: there are too many.
-pub struct Full;
+pub struct TooManyConnections;
 
 #[async_trait]
-impl Connector for Full {
+impl Connector for TooManyConnections {
     async fn start(
         &self,
         _stream: TcpStream,
@@ -118,7 +118,7 @@
 
 /// What a store lists, and tells of changes.
 #[async_trait]
-pub trait Listed: Send + Sync {
+pub trait StoreReads: Send + Sync {
     /// Lists all records of a kind.
     async fn list(&self, kind: RecordKind, currency: Currency) -> Result<Listing, DirectoryError>;
 
@@ -136,7 +136,7 @@
 pub struct ListsOnly(pub DirectoryError);
 
 #[async_trait]
-impl Listed for ListsOnly {
+impl StoreReads for ListsOnly {
     async fn list(&self, _: RecordKind, _: Currency) -> Result<Listing, DirectoryError> {
         Ok(Listing::default())
     }
@@ -155,15 +155,15 @@
 /// A store that nobody writes to.
 pub struct ReadOnly<T>(Arc<T>);
 
-impl<T: Listed> ReadOnly<T> {
-    /// A store that lists what `listed` does.
-    pub fn new(listed: &Arc<T>) -> Arc<Self> {
-        Arc::new(Self(listed.clone()))
+impl<T: StoreReads> ReadOnly<T> {
+    /// A store that lists what `reads` does.
+    pub fn new(reads: &Arc<T>) -> Arc<Self> {
+        Arc::new(Self(reads.clone()))
     }
 }
 
 #[async_trait]
-impl<T: Listed> Directory for ReadOnly<T> {
+impl<T: StoreReads> Directory for ReadOnly<T> {
     async fn list(&self, kind: RecordKind, currency: Currency) -> Result<Listing, DirectoryError> {
         self.0.list(kind, currency).await
     }
--- a/daemon/tests/test_follow.rs
+++ b/daemon/tests/test_follow.rs
@@ -23,8 +23,8 @@
 use chervilwharf_daemon::engine::server_control::ServerFollower;
 use chervilwharf_daemon::engine::shared::Engine;
 use chervilwharf_daemon::engine::store_era::StoreEra;
-use stubs::Listed;
 use stubs::ReadOnly;
+use stubs::StoreReads;
 use tokio::sync::Notify;
 
 /// Lists after which the test gives up.
@@ -33,13 +33,13 @@
 /// A store whose old answers show revision 1, while all changes up to 5 are
 /// forgotten.
 #[derive(Default)]
-struct ForgetfulStore {
+struct CompactedStore {
     lists: AtomicUsize,
     settled: Notify,
 }
 
 #[async_trait]
-impl Listed for ForgetfulStore {
+impl StoreReads for CompactedStore {
     async fn list(&self, _: RecordKind, currency: Currency) -> Result<Listing, DirectoryError> {
         if self.lists.fetch_add(1, Ordering::SeqCst) >= TOO_MANY_LISTS {
             self.settled.notify_one();
@@ -65,9 +65,9 @@
     }
 }
 
-struct Quiet;
+struct IgnoringFollower;
 
-impl Follower for Quiet {
+impl Follower for IgnoringFollower {
     fn kind(&self) -> RecordKind {
         RecordKind::Instances
     }
@@ -82,14 +82,15 @@
 }
 
 #[tokio::test]
-async fn test_forgotten_history_does_not_make_a_flood_of_lists() {
+async fn test_dropped_history_does_not_cause_repeated_listings() {
     // Symptom: 11,000 calls to the store on a day, most of them in seconds.
     // Sequence: the store forgets its history while its old answers are
     // behind; an instance that takes old answers lists again.
     // Cause: the list showed what is forgotten, so the watch failed at once,
     // and so on without a pause.
-    let store = Arc::new(ForgetfulStore::default());
-    let following = tokio::spawn(follow(ReadOnly::new(&store), StoreState::default(), Quiet));
+    let store = Arc::new(CompactedStore::default());
+    let following =
+        tokio::spawn(follow(ReadOnly::new(&store), StoreState::default(), IgnoringFollower));
     store.settled.notified().await;
     following.abort();
     assert_eq!(store.lists.load(Ordering::SeqCst), 2, "an old one, then a fresh one");
@@ -102,13 +103,13 @@
 const REGISTERING: u64 = 60;
 
 /// A store in which servers register, and then nothing happens.
-struct ServersRegister {
+struct RegisteringServers {
     began_at: tokio::time::Instant,
     watches: AtomicUsize,
-    all_told: Notify,
+    all_reported: Notify,
 }
 
-impl ServersRegister {
+impl RegisteringServers {
     fn revision(&self) -> u64 {
         let watched_for = self.began_at.elapsed().saturating_sub(PEER_LISTING_TIME);
         let passed = watched_for.as_millis() / BETWEEN_CHANGES.as_millis();
@@ -117,7 +118,7 @@
 }
 
 #[async_trait]
-impl Listed for ServersRegister {
+impl StoreReads for RegisteringServers {
     async fn list(&self, _: RecordKind, _: Currency) -> Result<Listing, DirectoryError> {
         Ok(Listing { revision: Revision::new(0, 1), ..Listing::default() })
     }
@@ -131,7 +132,7 @@
     ) -> Result<Changes, DirectoryError> {
         self.watches.fetch_add(1, Ordering::SeqCst);
         if after.number > REGISTERING {
-            self.all_told.notify_one();
+            self.all_reported.notify_one();
             return std::future::pending().await;
         }
         while self.revision() <= after.number {
@@ -148,24 +149,24 @@
 #[tokio::test(start_paused = true)]
 async fn test_servers_that_register_together_are_read_together() {
     let engine = Arc::new(Engine::new(stubs::instance("one"), Arc::new(stubs::NoServer)));
-    let store = Arc::new(ServersRegister {
+    let store = Arc::new(RegisteringServers {
         began_at: tokio::time::Instant::now(),
         watches: AtomicUsize::new(0),
-        all_told: Notify::new(),
+        all_reported: Notify::new(),
     });
     let following = tokio::spawn(follow(
         ReadOnly::new(&store),
         StoreState::default(),
         ServerFollower::new(engine),
     ));
-    store.all_told.notified().await;
+    store.all_reported.notified().await;
     following.abort();
     let watches = store.watches.load(Ordering::SeqCst);
     assert!(watches <= 6, "{watches} watches");
 }
 
 /// A store that refuses for a while.
-struct Refusing {
+struct RefusingStore {
     ends_at: tokio::time::Instant,
     refused: AtomicUsize,
     /// Kinds that got an answer.
@@ -174,7 +175,7 @@
 }
 
 #[async_trait]
-impl Listed for Refusing {
+impl StoreReads for RefusingStore {
     async fn list(&self, _: RecordKind, _: Currency) -> Result<Listing, DirectoryError> {
         if tokio::time::Instant::now() < self.ends_at {
             self.refused.fetch_add(1, Ordering::SeqCst);
@@ -200,9 +201,9 @@
 const KINDS: [RecordKind; 4] =
     [RecordKind::Configuration, RecordKind::Servers, RecordKind::Instances, RecordKind::Duties];
 
-struct OfKind(RecordKind);
+struct IgnoringFollowerOfKind(RecordKind);
 
-impl Follower for OfKind {
+impl Follower for IgnoringFollowerOfKind {
     fn kind(&self) -> RecordKind {
         self.0
     }
@@ -222,7 +223,7 @@
 #[tokio::test(start_paused = true)]
 async fn test_one_follower_tries_a_store_that_refuses() {
     let outage = Duration::from_secs(9);
-    let store = Arc::new(Refusing {
+    let store = Arc::new(RefusingStore {
         ends_at: tokio::time::Instant::now() + outage,
         refused: AtomicUsize::new(0),
         answered: AtomicUsize::new(0),
@@ -230,7 +231,7 @@
     });
     let state = StoreState::default();
     for kind in KINDS {
-        tokio::spawn(follow(ReadOnly::new(&store), state.clone(), OfKind(kind)));
+        tokio::spawn(follow(ReadOnly::new(&store), state.clone(), IgnoringFollowerOfKind(kind)));
     }
     let began_at = tokio::time::Instant::now();
     store.settled.notified().await;
@@ -241,7 +242,7 @@
 }
 
 /// A store that is silent for a while: what it receives then it never answers.
-struct Silent {
+struct UnresponsiveStore {
     ends_at: tokio::time::Instant,
     calls: AtomicUsize,
     answered: AtomicUsize,
@@ -252,7 +253,7 @@
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 #[async_trait]
-impl Listed for Silent {
+impl StoreReads for UnresponsiveStore {
     async fn list(&self, _: RecordKind, _: Currency) -> Result<Listing, DirectoryError> {
         self.calls.fetch_add(1, Ordering::SeqCst);
         if tokio::time::Instant::now() < self.ends_at {
@@ -281,10 +282,10 @@
 /// silent, an instance starts, the store comes back. Cause: calls that the store
 /// had received while it was silent were waited for to their end.
 #[tokio::test(start_paused = true)]
-async fn test_start_does_not_wait_for_calls_that_a_silent_store_received() {
+async fn test_start_does_not_wait_for_calls_that_an_unresponsive_store_received() {
     for outage_ms in [100, 450, 900, 1_300, 1_950, 2_600] {
         let ends_at = tokio::time::Instant::now() + Duration::from_millis(outage_ms);
-        let store = Arc::new(Silent {
+        let store = Arc::new(UnresponsiveStore {
             ends_at,
             calls: AtomicUsize::new(0),
             answered: AtomicUsize::new(0),
@@ -292,7 +293,11 @@
         });
         let state = StoreState::default();
         for kind in KINDS {
-            tokio::spawn(follow(ReadOnly::new(&store), state.clone(), OfKind(kind)));
+            tokio::spawn(follow(
+                ReadOnly::new(&store),
+                state.clone(),
+                IgnoringFollowerOfKind(kind),
+            ));
         }
         store.settled.notified().await;
         let took = ends_at.elapsed();
@@ -304,8 +309,8 @@
 
 /// A store behind a link on which a list takes long, and the longer, the more lists
 /// are under way.
-struct SlowLink {
-    under_way: AtomicUsize,
+struct SlowLinkStore {
+    in_progress: AtomicUsize,
     lists: AtomicUsize,
     settled: Notify,
 }
@@ -314,13 +319,13 @@
 const LIST_TIME: Duration = Duration::from_millis(450);
 
 #[async_trait]
-impl Listed for SlowLink {
+impl StoreReads for SlowLinkStore {
     async fn list(&self, _: RecordKind, _: Currency) -> Result<Listing, DirectoryError> {
         self.lists.fetch_add(1, Ordering::SeqCst);
-        let sharing = self.under_way.fetch_add(1, Ordering::SeqCst) + 1;
-        let sharing = u32::try_from(sharing).expect("few");
-        tokio::time::sleep(LIST_TIME * sharing).await;
-        self.under_way.fetch_sub(1, Ordering::SeqCst);
+        let concurrent = self.in_progress.fetch_add(1, Ordering::SeqCst) + 1;
+        let concurrent = u32::try_from(concurrent).expect("few");
+        tokio::time::sleep(LIST_TIME * concurrent).await;
+        self.in_progress.fetch_sub(1, Ordering::SeqCst);
         Ok(Listing { revision: Revision::new(0, 1), ..Listing::default() })
     }
 
@@ -345,15 +350,15 @@
 /// is called again. Cause: there was no limit to the calls under way, and each makes
 /// the others slower.
 #[tokio::test(start_paused = true)]
-async fn test_first_lists_over_a_slow_link_are_not_called_without_end() {
-    let store = Arc::new(SlowLink {
-        under_way: AtomicUsize::new(0),
+async fn test_first_listings_over_a_slow_link_are_not_requested_without_limit() {
+    let store = Arc::new(SlowLinkStore {
+        in_progress: AtomicUsize::new(0),
         lists: AtomicUsize::new(0),
         settled: Notify::new(),
     });
     let state = StoreState::default();
     for kind in KINDS {
-        tokio::spawn(follow(ReadOnly::new(&store), state.clone(), OfKind(kind)));
+        tokio::spawn(follow(ReadOnly::new(&store), state.clone(), IgnoringFollowerOfKind(kind)));
     }
     let began_at = tokio::time::Instant::now();
     store.settled.notified().await;
@@ -364,7 +369,7 @@
 
 /// A store that comes back from a copy while it is watched: the history of before ends
 /// at 20, the present one goes on from 10 to 30.
-struct ComesBack {
+struct RestoredStore {
     /// Era and revision of the lists, one after the other; the last one stays.
     lists: Vec<Revision>,
     listed: AtomicUsize,
@@ -374,7 +379,7 @@
     settled: Notify,
 }
 
-impl ComesBack {
+impl RestoredStore {
     fn new(lists: &[(u64, u64)], first_watch: (u64, u64)) -> Arc<Self> {
         let revision = |(era, number): (u64, u64)| Revision::new(era, number);
         Arc::new(Self {
@@ -388,7 +393,7 @@
 }
 
 #[async_trait]
-impl Listed for ComesBack {
+impl StoreReads for RestoredStore {
     async fn list(&self, _: RecordKind, _: Currency) -> Result<Listing, DirectoryError> {
         let number = self.listed.fetch_add(1, Ordering::SeqCst).min(self.lists.len() - 1);
         Ok(Listing { revision: self.lists[number], ..Listing::default() })
@@ -415,14 +420,14 @@
     }
 }
 
-fn with_era(era: &Arc<StoreEra>) -> StoreState {
+fn state_with_era(era: &Arc<StoreEra>) -> StoreState {
     StoreState { era: era.clone(), ..StoreState::default() }
 }
 
-/// Counts the changes that it is told.
-struct Counting(Arc<AtomicUsize>);
+/// Counts the changes that it is applied.
+struct CountingFollower(Arc<AtomicUsize>);
 
-impl Follower for Counting {
+impl Follower for CountingFollower {
     fn kind(&self) -> RecordKind {
         RecordKind::Servers
     }
@@ -438,12 +443,12 @@
 /// changes of what is known, and against a watch that goes on in the new history.
 #[tokio::test(start_paused = true)]
 async fn test_records_are_listed_anew_when_a_watch_answers_of_another_era() {
-    let store = ComesBack::new(&[(1, 20), (2, 25)], (2, 30));
-    let told = Arc::new(AtomicUsize::new(0));
-    let follower = Counting(told.clone());
+    let store = RestoredStore::new(&[(1, 20), (2, 25)], (2, 30));
+    let applied = Arc::new(AtomicUsize::new(0));
+    let follower = CountingFollower(applied.clone());
     tokio::spawn(follow(ReadOnly::new(&store), StoreState::default(), follower));
     store.settled.notified().await;
-    assert_eq!(told.load(Ordering::SeqCst), 0);
+    assert_eq!(applied.load(Ordering::SeqCst), 0);
     let watched_from = store.watched_from.lock().unwrap().clone();
     assert_eq!(watched_from, [Revision::new(1, 20), Revision::new(2, 25)]);
 }
@@ -451,12 +456,12 @@
 /// Guards against an answer that is seconds old, of before the store came back from a
 /// copy, that takes the place of what is known since.
 #[tokio::test(start_paused = true)]
-async fn test_list_of_an_earlier_era_than_others_told_is_not_taken() {
-    let store = ComesBack::new(&[(1, 20), (1, 20), (2, 25)], (2, 25));
+async fn test_listing_of_an_earlier_era_than_the_latest_known_is_not_applied() {
+    let store = RestoredStore::new(&[(1, 20), (1, 20), (2, 25)], (2, 25));
     let era = Arc::new(StoreEra::default());
     era.note(2, "another instance");
-    let follower = Counting(Arc::default());
-    tokio::spawn(follow(ReadOnly::new(&store), with_era(&era), follower));
+    let follower = CountingFollower(Arc::default());
+    tokio::spawn(follow(ReadOnly::new(&store), state_with_era(&era), follower));
     store.settled.notified().await;
     let watched_from = store.watched_from.lock().unwrap().clone();
     assert_eq!(watched_from[0], Revision::new(2, 25));
@@ -465,11 +470,11 @@
 /// Guards against a watch that waits for its end, up to 15 s, while other instances
 /// know that the store came back from a copy.
 #[tokio::test(start_paused = true)]
-async fn test_watch_ends_when_another_instance_tells_of_a_later_era() {
-    let store = ComesBack::new(&[(1, 20), (2, 25)], (1, 20));
+async fn test_watch_ends_when_another_instance_reports_a_later_era() {
+    let store = RestoredStore::new(&[(1, 20), (2, 25)], (1, 20));
     let era = Arc::new(StoreEra::default());
-    let follower = Counting(Arc::default());
-    tokio::spawn(follow(ReadOnly::new(&store), with_era(&era), follower));
+    let follower = CountingFollower(Arc::default());
+    tokio::spawn(follow(ReadOnly::new(&store), state_with_era(&era), follower));
     store.settled.notified().await;
     era.note(2, "another instance");
     store.settled.notified().await;
--- a/daemon/tests/test_probe.rs
+++ b/daemon/tests/test_probe.rs
@@ -11,14 +11,14 @@
 use chervilwharf_daemon::engine::probe::probe;
 use chervilwharf_daemon::engine::shard::Shard;
 use chervilwharf_lib::id::TargetId;
-use stubs::Full;
-use stubs::NeverGreeted;
+use stubs::NeverGreets;
+use stubs::TooManyConnections;
 use stubs::shard_with_primary;
 use tokio::net::TcpListener;
 
 /// A shard with one server that can be reached and greets nobody.
 async fn shard() -> (Arc<Shard>, TargetId, TcpListener) {
-    shard_with(Arc::new(NeverGreeted)).await
+    shard_with(Arc::new(NeverGreets)).await
 }
 
 async fn shard_with(connector: Arc<dyn Connector>) -> (Arc<Shard>, TargetId, TcpListener) {
@@ -33,7 +33,7 @@
 }
 
 #[tokio::test]
-async fn test_server_that_answers_statements_is_busy_though_it_greets_nobody() {
+async fn test_server_that_answers_statements_but_no_new_connection_is_busy() {
     // Symptom: a loaded primary looks dead, and its instances ask it again and
     // again on new connections, which take the slots that statements wait for.
     // Sequence: all its slots are taken; it answers statements, but no new
@@ -63,7 +63,7 @@
     // Sequence: all instances start again at once; servers still count the
     // connections of before and refuse new ones.
     // Cause: the refusal of a probe was taken for silence.
-    let (shard, id, _listener) = shard_with(Arc::new(Full)).await;
+    let (shard, id, _listener) = shard_with(Arc::new(TooManyConnections)).await;
     assert_eq!(probe(&shard, &id).await, Probed::Busy);
     assert_eq!(failures(&shard, &id), 0);
 }
--- a/daemon/tests/test_silent_store.rs
+++ b/daemon/tests/test_silent_store.rs
@@ -21,9 +21,9 @@
 use chervilwharf_daemon::engine::shared::Engine;
 use chervilwharf_lib::catalog::Catalog;
 use chervilwharf_lib::id::ConfigVersion;
-use stubs::Listed;
 use stubs::NoServer;
 use stubs::ReadOnly;
+use stubs::StoreReads;
 use tokio::time::Instant;
 
 /// By then a configuration has to be in force, from its acknowledgement on.
@@ -35,7 +35,7 @@
 /// Time of an answer.
 const ANSWER_TIME: Duration = Duration::from_millis(4);
 
-/// When the first silence can begin: by then all followers watch.
+/// When the first outage can begin: by then all followers watch.
 const SETTLED: Duration = Duration::from_secs(10);
 
 /// Versions before and after the change, and the revisions of both.
@@ -44,7 +44,7 @@
 
 /// What goes silent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Silence {
+enum Outage {
     /// The store: calls under way, and those that it receives until it is back.
     Store(Duration),
     /// Calls under way; others are answered.
@@ -53,23 +53,23 @@
 
 /// A store that goes silent once, and a configuration that it takes afterwards.
 #[derive(Clone, Copy, Debug)]
-struct SilentOnce {
-    silence: Silence,
-    silent_from: Instant,
+struct UnresponsiveOnce {
+    outage: Outage,
+    outage_from: Instant,
     changed_at: Instant,
 }
 
-impl SilentOnce {
-    fn silent_until(&self) -> Instant {
-        match self.silence {
-            Silence::Store(lasts) => self.silent_from + lasts,
-            Silence::CallsUnderWay => self.silent_from,
+impl UnresponsiveOnce {
+    fn outage_until(&self) -> Instant {
+        match self.outage {
+            Outage::Store(lasts) => self.outage_from + lasts,
+            Outage::CallsUnderWay => self.outage_from,
         }
     }
 
     /// Whether a call that is answered at a moment is answered at all.
     fn answers(&self, called_at: Instant, answered_at: Instant) -> bool {
-        called_at >= self.silent_until() || answered_at < self.silent_from
+        called_at >= self.outage_until() || answered_at < self.outage_from
     }
 
     fn present(&self) -> (ConfigVersion, u64) {
@@ -85,7 +85,7 @@
 }
 
 #[async_trait]
-impl Listed for SilentOnce {
+impl StoreReads for UnresponsiveOnce {
     async fn list(&self, kind: RecordKind, _: Currency) -> Result<Listing, DirectoryError> {
         let called_at = Instant::now();
         if !self.answers(called_at, called_at + ANSWER_TIME) {
@@ -107,25 +107,26 @@
         _: Currency,
     ) -> Result<Changes, DirectoryError> {
         let called_at = Instant::now();
-        let is_told = kind == RecordKind::Configuration && after.number < AFTER.1;
-        let told_at = if is_told { self.changed_at.max(called_at) } else { called_at + wait };
-        let answered_at = told_at.min(called_at + wait) + ANSWER_TIME;
+        let is_reported = kind == RecordKind::Configuration && after.number < AFTER.1;
+        let reported_at =
+            if is_reported { self.changed_at.max(called_at) } else { called_at + wait };
+        let answered_at = reported_at.min(called_at + wait) + ANSWER_TIME;
         if !self.answers(called_at, answered_at) {
             tokio::time::sleep(wait + CALL_TIMEOUT).await;
             return Err(DirectoryError::Silent);
         }
         tokio::time::sleep_until(answered_at).await;
-        let has_changed = is_told && answered_at > self.changed_at;
+        let has_changed = is_reported && answered_at > self.changed_at;
         let changes = has_changed.then(|| Change::Present(self.entry())).into_iter().collect();
         Ok(Changes { changes, revision: Revision::new(0, self.present().1) })
     }
 }
 
 /// Time from the acknowledgement of a configuration until it is in force.
-async fn time_until_in_force(silence: Silence, phase: Duration, later: Duration) -> Duration {
-    let silent_from = Instant::now() + SETTLED + phase;
-    let mut store = SilentOnce { silence, silent_from, changed_at: silent_from };
-    store.changed_at = store.silent_until() + later;
+async fn time_until_in_force(outage: Outage, offset: Duration, delay: Duration) -> Duration {
+    let outage_from = Instant::now() + SETTLED + offset;
+    let mut store = UnresponsiveOnce { outage, outage_from, changed_at: outage_from };
+    store.changed_at = store.outage_until() + delay;
     let engine = Arc::new(Engine::new(stubs::instance("one"), Arc::new(NoServer)));
     let directory: Arc<dyn Directory> = ReadOnly::new(&Arc::new(store));
     let followers = controllers::start_followers(&engine, &directory);
@@ -138,20 +139,20 @@
     took
 }
 
-/// Times between the start of a call and the silence that swallows it: all of a watch.
-fn phases() -> impl Iterator<Item = Duration> {
+/// Times between the start of a call and the outage that swallows it: all of a watch.
+fn offsets() -> impl Iterator<Item = Duration> {
     (0..20).map(|step| Duration::from_millis(step * 250))
 }
 
 /// Cases in which a configuration was in force too late.
-async fn late(silences: &[Silence], later_ms: &[u64]) -> Vec<String> {
+async fn late(outages: &[Outage], delays_ms: &[u64]) -> Vec<String> {
     let mut late = Vec::new();
-    for silence in silences {
-        for phase in phases() {
-            for later in later_ms.iter().copied().map(Duration::from_millis) {
-                let took = time_until_in_force(*silence, phase, later).await;
+    for outage in outages {
+        for offset in offsets() {
+            for delay in delays_ms.iter().copied().map(Duration::from_millis) {
+                let took = time_until_in_force(*outage, offset, delay).await;
                 if took >= CONFIGURATION_BOUND {
-                    late.push(format!("{silence:?}, {phase:?}, {later:?} later: {took:?}"));
+                    late.push(format!("{outage:?}, {offset:?}, {delay:?} later: {took:?}"));
                 }
             }
         }
@@ -162,18 +163,18 @@
 /// Guards against a watch that the store swallowed and that holds up what is told
 /// after the store is back, and against a retry that is swallowed as well.
 #[tokio::test(start_paused = true)]
-async fn test_configuration_is_in_force_in_time_after_a_silence_of_any_length() {
-    let silences: Vec<_> = [100, 500, 900, 1_500, 2_500, 3_300, 4_500, 5_600, 8_000]
-        .map(|lasts_ms| Silence::Store(Duration::from_millis(lasts_ms)))
+async fn test_configuration_is_in_force_in_time_after_an_outage_of_any_length() {
+    let outages: Vec<_> = [100, 500, 900, 1_500, 2_500, 3_300, 4_500, 5_600, 8_000]
+        .map(|lasts_ms| Outage::Store(Duration::from_millis(lasts_ms)))
         .into();
-    let late = late(&silences, &[0, 700]).await;
+    let late = late(&outages, &[0, 700]).await;
     assert!(late.is_empty(), "{} late: {:#?}", late.len(), &late[..late.len().min(5)]);
 }
 
 /// Guards against a watch on a connection that went silent without a reset, while the
 /// store answers on others.
 #[tokio::test(start_paused = true)]
-async fn test_configuration_is_in_force_in_time_after_open_connections_went_silent() {
-    let late = late(&[Silence::CallsUnderWay], &[100, 1_000]).await;
+async fn test_configuration_is_in_force_in_time_after_open_connections_stop_answering() {
+    let late = late(&[Outage::CallsUnderWay], &[100, 1_000]).await;
     assert!(late.is_empty(), "{} late: {:#?}", late.len(), &late[..late.len().min(5)]);
 }
--- a/daemon/tests/test_store_lines.rs
+++ b/daemon/tests/test_store_lines.rs
@@ -28,9 +28,9 @@
 
 /// Keeps what is written.
 #[derive(Clone, Default)]
-struct Kept(Arc<Mutex<Vec<u8>>>);
+struct LogBuffer(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Kept {
+impl Write for LogBuffer {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         self.0.lock().unwrap().extend_from_slice(bytes);
         Ok(bytes.len())
@@ -41,7 +41,7 @@
     }
 }
 
-impl Kept {
+impl LogBuffer {
     /// The first line of an event, once it is written.
     fn line_of(&self, event: &str) -> LogLine {
         loop {
@@ -58,9 +58,9 @@
 /// Guards against a refused session that cannot be traced: neither to its client, nor
 /// to a call to the store that got no answer.
 #[tokio::test]
-async fn test_lines_lead_from_a_refused_session_to_a_call_without_an_answer() {
-    let kept = Kept::default();
-    event_log::start_with("a".into(), Box::new(kept.clone())).unwrap();
+async fn test_log_lines_lead_from_a_refused_session_to_an_unanswered_call() {
+    let log = LogBuffer::default();
+    event_log::start_with("a".into(), Box::new(log.clone())).unwrap();
     let engine = Arc::new(Engine::new(stubs::instance("a"), Arc::new(NoServer)));
     engine.set_catalog(&Arc::new(Catalog { version: 7, ..Catalog::default() }));
     engine.know_fleet();
@@ -74,11 +74,11 @@
     let start = SessionStart { database: "gone", key: KeyDigest::of("key"), client: Some(client) };
     assert!(Session::begin(engine, start).await.is_err(), "there is no such database");
 
-    let unanswered = kept.line_of("store_unanswered");
+    let unanswered = log.line_of("store_unanswered");
     assert_eq!(unanswered.text("kind"), Some("configuration"));
     assert_eq!(unanswered.text("call"), Some("watch"));
     assert!(unanswered.fields.contains_key("waited_ms"));
-    let refused = kept.line_of("session_refused");
+    let refused = log.line_of("session_refused");
     assert_eq!(refused.text("client"), Some("10.0.0.1:4711"));
     assert_eq!(refused.text("configuration"), Some("7"));
     assert!(refused.fields.contains_key("store_answered_ms"));
