--- a/daemon/tests/stubs/mod.rs
+++ b/daemon/tests/stubs/mod.rs
@@ -1,4 +1,5 @@
-//! Stubs of what surrounds an engine. Each test binary uses a part of them.
+//! Stubs of the servers, the store and the other surroundings of an engine. Each test
+//! binary uses some of them.
 #![allow(dead_code, reason = "each test binary uses a part of the stubs")]
 
 use std::net::SocketAddr;
@@ -31,7 +32,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// Opens no connection.
+/// A connector that fails: there is no server.
 pub struct NoServer;
 
 #[async_trait]
@@ -47,7 +48,7 @@
     }
 }
 
-/// Connects, and never gets a greeting.
+/// A connector whose server never sends a greeting.
 pub struct NeverGreets;
 
 #[async_trait]
@@ -63,7 +64,7 @@
     }
 }
 
-/// Refuses every connection: there are too many.
+/// A connector whose server refuses every connection, because it has too many.
 pub struct TooManyConnections;
 
 #[async_trait]
@@ -80,7 +81,7 @@
     }
 }
 
-/// An instance.
+/// The record of an instance in failure domain `a`.
 pub fn instance(id: &str) -> InstanceRecord {
     InstanceRecord {
         id: id.into(),
@@ -91,7 +92,7 @@
     }
 }
 
-/// A primary, as the platform lists it.
+/// A primary as the platform lists it.
 pub fn primary(id: TargetId, address: SocketAddr) -> ServerInfo {
     ServerInfo {
         id,
@@ -104,7 +105,7 @@
     }
 }
 
-/// A group with one server, the primary, at an address.
+/// A shard with one server, the primary, at an address.
 pub fn shard_with_primary(
     connector: Arc<dyn Connector>,
     id: &TargetId,
@@ -116,7 +117,7 @@
     shard
 }
 
-/// What a store lists, and tells of changes.
+/// The reading calls of a store.
 #[async_trait]
 pub trait StoreReads: Send + Sync {
     /// Lists all records of a kind.
@@ -132,7 +133,7 @@
     ) -> Result<Changes, DirectoryError>;
 }
 
-/// Lists nothing, and answers every watch with this error.
+/// A store with empty listings, in which every watch fails with this error.
 pub struct ListsOnly(pub DirectoryError);
 
 #[async_trait]
@@ -152,11 +153,12 @@
     }
 }
 
-/// A store that nobody writes to.
+/// A store in which no record exists and every write conflicts. Listings and watches are
+/// those of the inner value.
 pub struct ReadOnly<T>(Arc<T>);
 
 impl<T: StoreReads> ReadOnly<T> {
-    /// A store that lists what `reads` does.
+    /// A store that answers listings and watches as `reads` does.
     pub fn new(reads: &Arc<T>) -> Arc<Self> {
         Arc::new(Self(reads.clone()))
     }
--- a/daemon/tests/test_duty.rs
+++ b/daemon/tests/test_duty.rs
@@ -1,4 +1,5 @@
-//! Who may replace a primary, as the store keeps it.
+//! Tests of taking the duty of a group, which permits an instance to replace its primary,
+//! also after a restore of the store from a backup.
 
 mod stubs;
 
@@ -30,7 +31,7 @@
 use stubs::NoServer;
 use stubs::instance;
 
-/// Keeps one record.
+/// A store with one record.
 struct OneRecord(Mutex<Entry>);
 
 impl OneRecord {
@@ -88,13 +89,11 @@
 
 #[tokio::test]
 async fn test_order_of_another_instance_is_not_overwritten_after_a_decision_on_outdated_state() {
-    // Symptom: two servers are promoted one after the other, and what was
-    // committed at the first is lost.
-    // Sequence: this instance decides to replace a primary, or to take its order
-    // back; meanwhile another one takes the duty with an order of its own, and
-    // this one hears of that before it writes.
-    // Cause: only a record that was not known yet counted as somebody else's
-    // doing; one that had been heard of was overwritten with its order.
+    // Guards against two servers that are promoted one after the other, which loses the
+    // commits at the first. This instance decides to replace a primary, or to withdraw
+    // its order. Another instance takes the duty with its own order meanwhile, and this
+    // one reads that record before it writes. The fault was to detect a conflict only
+    // if the record was not known yet, and to overwrite a known one with its order.
     let duty = |token| DutyRecord {
         group: "db".into(),
         holder: "other".into(),
@@ -111,7 +110,7 @@
     let ours = || OrderChange::Put(Some(order("ours")));
     assert!(claim(&engine, &directory, &"db".into(), ours(), 3).await.is_none());
     assert_eq!(directory.duty(), duty(4));
-    // Who decided with that record in view goes on from it.
+    // A decision that was based on that record may take the duty.
     let claimed = claim(&engine, &directory, &"db".into(), ours(), 4).await.unwrap();
     assert_eq!((claimed.duty.token, claimed.duty.order), (5, Some(order("ours"))));
 }
@@ -120,8 +119,7 @@
     DutyRecord { group: "db".into(), holder: holder.into(), life: 9, token, order, retired: 0 }
 }
 
-/// Guards against an order, unsettled still, that is forgotten since the copy of the
-/// store does not have it.
+/// Guards against discarding an unsettled order because the restored store lacks it.
 #[test]
 fn test_order_that_a_restored_store_lacks_stays_known() {
     let mut duties = DutyTable::default();
@@ -129,15 +127,15 @@
     assert!(duties.apply_record(Revision::new(2, 40), duty_of("b", 5, None)));
     let known = duties.record(&"db".into()).unwrap();
     assert_eq!((&*known.holder, known.order.clone()), ("b", Some(order("theirs"))));
-    // The record of the new era tells what became of it.
+    // A record of the new era settles the order.
     let token = first_token(2);
     duties.apply_record(Revision::new(2, 41), duty_of("b", token, None));
     assert_eq!(duties.record(&"db".into()).unwrap().order, None);
     assert!(duties.is_taken_in(&"db".into(), 2));
 }
 
-/// Guards against an order that was promised to another instance and whose record was
-/// never read here.
+/// Guards against discarding an order for which this instance promised, and whose record
+/// it never read.
 #[test]
 fn test_promised_order_that_a_restored_store_lacks_is_known() {
     let mut duties = DutyTable::default();
@@ -153,13 +151,14 @@
     assert_eq!(duties.record(&"db".into()).unwrap().order, Some(order("theirs")));
     duties.apply_record(Revision::new(3, 30), duty_of("b", 6, None));
     let known = duties.record(&"db".into()).unwrap();
-    assert_eq!(known.order, Some(order("theirs")), "a second copy lacks it as well");
+    assert_eq!(known.order, Some(order("theirs")), "a second backup lacks it as well");
     duties.forget_promised(&"db".into(), 7);
     duties.apply_record(Revision::new(4, 30), duty_of("b", 6, None));
-    assert_eq!(duties.record(&"db".into()).unwrap().order, None, "it was not given");
+    assert_eq!(duties.record(&"db".into()).unwrap().order, None, "it was withdrawn");
 }
 
-/// An engine in a fleet of its own, in an era of the store, that votes.
+/// An engine that is the only instance and knows an era of the store. `votes` makes it a
+/// voter that knows all orders.
 fn engine_in(era: u64, votes: bool) -> Engine {
     let engine = Engine::new(instance("me"), Arc::new(NoServer));
     engine.take_instances(vec![instance("me")]);
@@ -179,7 +178,7 @@
     OneRecord(Mutex::new(Entry { name: "db".into(), revision: Revision::new(era, 5), record }))
 }
 
-/// Guards against a token that was given out before in the lost history.
+/// Guards against reuse of a token that was taken in the lost history.
 #[tokio::test]
 async fn test_duty_taken_after_a_restore_has_a_token_of_its_era() {
     let (engine, directory) = (engine_in(2, true), store_in(2, 4));
@@ -188,7 +187,8 @@
     assert_eq!(claimed.written_era, Some(2));
 }
 
-/// Guards against a duty taken after a copy by one that cannot know what the copy lacks.
+/// Guards against taking a duty after a restore without knowing the retired terms that
+/// the restored store may lack.
 #[tokio::test]
 async fn test_duty_is_not_taken_after_a_restore_without_reports_of_most_voters() {
     let (engine, directory) = (engine_in(2, false), store_in(2, 4));
@@ -196,8 +196,8 @@
     assert_eq!(directory.duty().token, 4);
 }
 
-/// Guards against a duty that is held under a token of an era which ended while it was
-/// taken: its record may have replaced another one of the same number.
+/// Guards against holding a duty under a token of an era that ended while the duty was
+/// taken: the write may have replaced another record with the same revision number.
 #[tokio::test]
 async fn test_duty_written_into_another_history_than_was_read_is_not_held() {
     let (engine, directory) = (engine_in(3, true), store_in(2, 4));
@@ -205,8 +205,8 @@
     assert!(claim(&engine, &directory, &"db".into(), OrderChange::Keep, before).await.is_none());
 }
 
-/// Guards against a promise, for an order that a copy may lack, of an instance that knows
-/// of the copy from a list alone.
+/// Guards against a promise for an order that the restored store may lack. This instance
+/// knows of the restore only from a listing.
 #[test]
 fn test_order_of_an_earlier_era_than_is_known_gets_no_promise() {
     let engine = engine_in(1, true);
@@ -218,7 +218,7 @@
         written_era: Some(written_era),
         ..TermEnd::default()
     };
-    engine.store_era().note(2, "a list of servers");
+    engine.store_era().note(2, "a listing of servers");
     let reply = engine.end_term(&end(1));
     assert_eq!((reply.promised, reply.later_era), (false, 2));
     assert!(engine.end_term(&end(2)).promised);
--- a/daemon/tests/test_follow.rs
+++ b/daemon/tests/test_follow.rs
@@ -1,4 +1,5 @@
-//! Following records of a store that forgets its history.
+//! Tests of following the store's records while it drops its history, refuses calls, does
+//! not respond, or was restored from a backup.
 
 mod stubs;
 
@@ -27,11 +28,11 @@
 use stubs::StoreReads;
 use tokio::sync::Notify;
 
-/// Lists after which the test gives up.
+/// Number of listings after which the store stops answering, so that the test ends.
 const TOO_MANY_LISTS: usize = 50;
 
-/// A store whose old answers show revision 1, while all changes up to 5 are
-/// forgotten.
+/// A store whose stale answers are of revision 1, and that has dropped all changes up to
+/// revision 5.
 #[derive(Default)]
 struct CompactedStore {
     lists: AtomicUsize,
@@ -83,26 +84,25 @@
 
 #[tokio::test]
 async fn test_dropped_history_does_not_cause_repeated_listings() {
-    // Symptom: 11,000 calls to the store on a day, most of them in seconds.
-    // Sequence: the store forgets its history while its old answers are
-    // behind; an instance that takes old answers lists again.
-    // Cause: the list showed what is forgotten, so the watch failed at once,
-    // and so on without a pause.
+    // Guards against a loop of calls without a pause: 11,000 calls in a day, most of them
+    // within seconds. The store drops its history up to a revision that its stale answers
+    // have not reached. An instance that accepts stale answers lists, watches from a
+    // dropped revision, fails at once, and lists again.
     let store = Arc::new(CompactedStore::default());
     let following =
         tokio::spawn(follow(ReadOnly::new(&store), StoreState::default(), IgnoringFollower));
     store.settled.notified().await;
     following.abort();
-    assert_eq!(store.lists.load(Ordering::SeqCst), 2, "an old one, then a fresh one");
+    assert_eq!(store.lists.load(Ordering::SeqCst), 2, "a stale one, then a current one");
 }
 
-/// Time between two changes while servers start.
+/// Time between two changes of the store.
 const BETWEEN_CHANGES: Duration = Duration::from_millis(10);
 
-/// Servers that register one after the other.
+/// Number of servers that register one after the other.
 const REGISTERING: u64 = 60;
 
-/// A store in which servers register, and then nothing happens.
+/// A store in which servers register, and nothing changes afterwards.
 struct RegisteringServers {
     began_at: tokio::time::Instant,
     watches: AtomicUsize,
@@ -143,9 +143,9 @@
     }
 }
 
-/// Symptom: 602 of 2,250 priced calls of a quiet day in its first seconds, in
-/// which nobody asks anything. Sequence: 60 servers register while relays watch
-/// the list. Cause: each change ended a watch of each relay.
+/// Guards against one watch per registering server. When 60 servers registered while the
+/// relays watched the list, each change ended a watch of each relay: 602 of the 2,250
+/// calls of a day without load came in its first seconds.
 #[tokio::test(start_paused = true)]
 async fn test_servers_that_register_together_are_read_together() {
     let engine = Arc::new(Engine::new(stubs::instance("one"), Arc::new(stubs::NoServer)));
@@ -165,11 +165,11 @@
     assert!(watches <= 6, "{watches} watches");
 }
 
-/// A store that refuses for a while.
+/// A store that refuses all calls until `ends_at`.
 struct RefusingStore {
     ends_at: tokio::time::Instant,
     refused: AtomicUsize,
-    /// Kinds that got an answer.
+    /// Number of listings that were answered.
     answered: AtomicUsize,
     settled: Notify,
 }
@@ -217,9 +217,9 @@
     }
 }
 
-/// Symptom: 1,700 of 6,100 priced calls of a day were refused. Sequence: the store
-/// turns a third of the instances away for nine seconds. Cause: each of the four
-/// followers of an instance went on trying by itself.
+/// Guards against retries of all four followers of an instance while the store refuses it.
+/// When the store refused a third of the instances for nine seconds, 1,700 of the 6,100
+/// calls of a day were refused ones, which the platform charges for.
 #[tokio::test(start_paused = true)]
 async fn test_one_follower_tries_a_store_that_refuses() {
     let outage = Duration::from_secs(9);
@@ -237,11 +237,12 @@
     store.settled.notified().await;
     let refused = store.refused.load(Ordering::SeqCst);
     assert!(refused <= 16, "{refused} calls were refused");
-    // And all go on when one was answered.
+    // All followers continue once the store answers one.
     assert!(began_at.elapsed() < outage + Duration::from_secs(3));
 }
 
-/// A store that is silent for a while: what it receives then it never answers.
+/// A store that does not respond until `ends_at`, and never answers the calls that it
+/// receives before.
 struct UnresponsiveStore {
     ends_at: tokio::time::Instant,
     calls: AtomicUsize,
@@ -249,7 +250,7 @@
     settled: Notify,
 }
 
-/// Time for a call.
+/// Time after which a call fails without an answer.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 #[async_trait]
@@ -277,10 +278,10 @@
     }
 }
 
-/// Symptom: after all of 74 instances had been killed during an outage of the
-/// store, they served nobody for 0.9 s after its end. Sequence: the store goes
-/// silent, an instance starts, the store comes back. Cause: calls that the store
-/// had received while it was silent were waited for to their end.
+/// Guards against a start that is delayed beyond the end of an outage. The instance starts
+/// while the store does not respond, and waits for the timeout of calls that the store
+/// will never answer. 74 instances that were killed during an outage served no clients for
+/// 0.9 s after its end.
 #[tokio::test(start_paused = true)]
 async fn test_start_does_not_wait_for_calls_that_an_unresponsive_store_received() {
     for outage_ms in [100, 450, 900, 1_300, 1_950, 2_600] {
@@ -307,15 +308,14 @@
     }
 }
 
-/// A store behind a link on which a list takes long, and the longer, the more lists
-/// are under way.
+/// A store behind a slow link, which concurrent listings share.
 struct SlowLinkStore {
     in_progress: AtomicUsize,
     lists: AtomicUsize,
     settled: Notify,
 }
 
-/// A list of a megabyte over 20 Mbit/s.
+/// Time of a listing of one megabyte over 20 Mbit/s.
 const LIST_TIME: Duration = Duration::from_millis(450);
 
 #[async_trait]
@@ -339,16 +339,15 @@
         if kind == RecordKind::Duties {
             self.settled.notify_one();
         }
-        // Something changes all the time while others start.
+        // Records change all the time while other instances start.
         tokio::time::sleep(BETWEEN_CHANGES).await;
         Ok(Changes { revision: Revision::new(0, 1), changes: Vec::new() })
     }
 }
 
-/// Symptom: an instance calls for the same lists 30 times in two seconds. Sequence: it
-/// starts behind a link over which a list takes longer than the time after which it
-/// is called again. Cause: there was no limit to the calls under way, and each makes
-/// the others slower.
+/// Guards against a start that requests the same listings again and again, 30 times in two
+/// seconds. Over a slow link a listing takes longer than the time after which it is
+/// requested once more, and each concurrent request slows down the others.
 #[tokio::test(start_paused = true)]
 async fn test_first_listings_over_a_slow_link_are_not_requested_without_limit() {
     let store = Arc::new(SlowLinkStore {
@@ -367,13 +366,13 @@
     assert!(lists <= 3 * KINDS.len(), "{lists} lists");
 }
 
-/// A store that comes back from a copy while it is watched: the history of before ends
-/// at 20, the present one goes on from 10 to 30.
+/// A store that is restored from a backup while it is watched. The lost history ends at
+/// revision number 20; the present one continues from number 10 to 30.
 struct RestoredStore {
-    /// Era and revision of the lists, one after the other; the last one stays.
+    /// Revisions of successive listings; the last one repeats.
     lists: Vec<Revision>,
     listed: AtomicUsize,
-    /// Answer to the first watch.
+    /// Revision of the answer to the first watch.
     first_watch: Revision,
     watched_from: Mutex<Vec<Revision>>,
     settled: Notify,
@@ -424,7 +423,7 @@
     StoreState { era: era.clone(), ..StoreState::default() }
 }
 
-/// Counts the changes that it is applied.
+/// Counts the changes that it applies.
 struct CountingFollower(Arc<AtomicUsize>);
 
 impl Follower for CountingFollower {
@@ -439,8 +438,8 @@
     }
 }
 
-/// Guards against changes between equal numbers of two histories that are taken for
-/// changes of what is known, and against a watch that goes on in the new history.
+/// Guards against applying changes of another era, whose revision numbers stand for other
+/// states, and against a watch that continues in the new era.
 #[tokio::test(start_paused = true)]
 async fn test_records_are_listed_anew_when_a_watch_answers_of_another_era() {
     let store = RestoredStore::new(&[(1, 20), (2, 25)], (2, 30));
@@ -453,8 +452,8 @@
     assert_eq!(watched_from, [Revision::new(1, 20), Revision::new(2, 25)]);
 }
 
-/// Guards against an answer that is seconds old, of before the store came back from a
-/// copy, that takes the place of what is known since.
+/// Guards against a stale listing from before a restore of the store that replaces newer
+/// records.
 #[tokio::test(start_paused = true)]
 async fn test_listing_of_an_earlier_era_than_the_latest_known_is_not_applied() {
     let store = RestoredStore::new(&[(1, 20), (1, 20), (2, 25)], (2, 25));
@@ -467,8 +466,8 @@
     assert_eq!(watched_from[0], Revision::new(2, 25));
 }
 
-/// Guards against a watch that waits for its end, up to 15 s, while other instances
-/// know that the store came back from a copy.
+/// Guards against a watch that waits for up to 15 s although another instance reports that
+/// the store was restored from a backup.
 #[tokio::test(start_paused = true)]
 async fn test_watch_ends_when_another_instance_reports_a_later_era() {
     let store = RestoredStore::new(&[(1, 20), (2, 25)], (1, 20));
--- a/daemon/tests/test_probe.rs
+++ b/daemon/tests/test_probe.rs
@@ -1,4 +1,4 @@
-//! What an instance concludes when it asks a server for its state.
+//! Tests of the results of probes, by which an instance asks a server for its state.
 
 mod stubs;
 
@@ -16,7 +16,7 @@
 use stubs::shard_with_primary;
 use tokio::net::TcpListener;
 
-/// A shard with one server that can be reached and greets nobody.
+/// A shard with one server that accepts connections and sends no greeting.
 async fn shard() -> (Arc<Shard>, TargetId, TcpListener) {
     shard_with(Arc::new(NeverGreets)).await
 }
@@ -34,11 +34,10 @@
 
 #[tokio::test]
 async fn test_server_that_answers_statements_but_no_new_connection_is_busy() {
-    // Symptom: a loaded primary looks dead, and its instances ask it again and
-    // again on new connections, which take the slots that statements wait for.
-    // Sequence: all its slots are taken; it answers statements, but no new
-    // connection within the time for a probe.
-    // Cause: a greeting that did not come in time counted as a failure.
+    // Guards against a loaded primary that counts as failed, so that its instances probe
+    // it again and again on new connections, which take the slots that statements wait
+    // for. All its slots are in use: it answers statements, and greets no new connection
+    // within the time limit of a probe.
     let (shard, id, _listener) = shard().await;
     let (probed, probed_id) = (shard.clone(), id.clone());
     let probing = tokio::spawn(async move { probe(&probed, &probed_id).await });
@@ -59,10 +58,9 @@
 
 #[tokio::test]
 async fn test_server_with_too_many_connections_is_alive() {
-    // Symptom: after a power loss healthy primaries are about to be replaced.
-    // Sequence: all instances start again at once; servers still count the
-    // connections of before and refuse new ones.
-    // Cause: the refusal of a probe was taken for silence.
+    // Guards against the replacement of healthy primaries after a power loss. All
+    // instances restart at once, and the servers still count the earlier connections and
+    // refuse new ones. Such a refusal shows that the server runs.
     let (shard, id, _listener) = shard_with(Arc::new(TooManyConnections)).await;
     assert_eq!(probe(&shard, &id).await, Probed::Busy);
     assert_eq!(failures(&shard, &id), 0);
--- a/daemon/tests/test_silent_store.rs
+++ b/daemon/tests/test_silent_store.rs
@@ -1,5 +1,5 @@
-//! A store that is silent for a while: what it received meanwhile, or on connections
-//! that went silent, it never answers.
+//! Tests that a new configuration is in force in time after an outage of the store, or of
+//! the connections to it. Calls that such an outage affects are never answered.
 
 mod stubs;
 
@@ -26,32 +26,34 @@
 use stubs::StoreReads;
 use tokio::time::Instant;
 
-/// By then a configuration has to be in force, from its acknowledgement on.
+/// Time limit from the acknowledgement of a configuration until it is in force.
 const CONFIGURATION_BOUND: Duration = Duration::from_secs(3);
 
-/// Time of a call, beyond what the call itself waits.
+/// Time after which a call fails without an answer, in addition to the wait that it
+/// requests.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time of an answer.
+/// Time that the store takes to answer.
 const ANSWER_TIME: Duration = Duration::from_millis(4);
 
-/// When the first outage can begin: by then all followers watch.
+/// Time after the start until all followers watch, and the earliest begin of the outage.
 const SETTLED: Duration = Duration::from_secs(10);
 
-/// Versions before and after the change, and the revisions of both.
+/// Versions of the configuration before and after the change, with their revision numbers.
 const BEFORE: (ConfigVersion, u64) = (1, 10);
 const AFTER: (ConfigVersion, u64) = (2, 20);
 
-/// What goes silent.
+/// What stops answering.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Outage {
-    /// The store: calls under way, and those that it receives until it is back.
+    /// The store, for this time: it never answers the calls in progress at the begin, nor
+    /// those that it receives until the end.
     Store(Duration),
-    /// Calls under way; others are answered.
-    CallsUnderWay,
+    /// The connections of the calls in progress; the store answers later calls.
+    CallsInProgress,
 }
 
-/// A store that goes silent once, and a configuration that it takes afterwards.
+/// A store with one outage, and a change of the configuration after it.
 #[derive(Clone, Copy, Debug)]
 struct UnresponsiveOnce {
     outage: Outage,
@@ -63,11 +65,11 @@
     fn outage_until(&self) -> Instant {
         match self.outage {
             Outage::Store(lasts) => self.outage_from + lasts,
-            Outage::CallsUnderWay => self.outage_from,
+            Outage::CallsInProgress => self.outage_from,
         }
     }
 
-    /// Whether a call that is answered at a moment is answered at all.
+    /// Whether the store answers a call that it would answer at `answered_at`.
     fn answers(&self, called_at: Instant, answered_at: Instant) -> bool {
         called_at >= self.outage_until() || answered_at < self.outage_from
     }
@@ -139,12 +141,12 @@
     took
 }
 
-/// Times between the start of a call and the outage that swallows it: all of a watch.
+/// Offsets of the begin of the outage, which cover the whole duration of a watch.
 fn offsets() -> impl Iterator<Item = Duration> {
     (0..20).map(|step| Duration::from_millis(step * 250))
 }
 
-/// Cases in which a configuration was in force too late.
+/// Descriptions of the cases in which a configuration was in force too late.
 async fn late(outages: &[Outage], delays_ms: &[u64]) -> Vec<String> {
     let mut late = Vec::new();
     for outage in outages {
@@ -160,8 +162,8 @@
     late
 }
 
-/// Guards against a watch that the store swallowed and that holds up what is told
-/// after the store is back, and against a retry that is swallowed as well.
+/// Guards against waiting for a watch that the store never answers while a configuration
+/// changes after the outage, and against a retry that stays unanswered as well.
 #[tokio::test(start_paused = true)]
 async fn test_configuration_is_in_force_in_time_after_an_outage_of_any_length() {
     let outages: Vec<_> = [100, 500, 900, 1_500, 2_500, 3_300, 4_500, 5_600, 8_000]
@@ -171,10 +173,10 @@
     assert!(late.is_empty(), "{} late: {:#?}", late.len(), &late[..late.len().min(5)]);
 }
 
-/// Guards against a watch on a connection that went silent without a reset, while the
-/// store answers on others.
+/// Guards against waiting for a watch on a connection that is broken without a reset, while
+/// the store answers on others.
 #[tokio::test(start_paused = true)]
 async fn test_configuration_is_in_force_in_time_after_open_connections_stop_answering() {
-    let late = late(&[Outage::CallsUnderWay], &[100, 1_000]).await;
+    let late = late(&[Outage::CallsInProgress], &[100, 1_000]).await;
     assert!(late.is_empty(), "{} late: {:#?}", late.len(), &late[..late.len().min(5)]);
 }
--- a/daemon/tests/test_store_lines.rs
+++ b/daemon/tests/test_store_lines.rs
@@ -1,4 +1,4 @@
-//! Log lines that lead from a refused client to a store that does not answer.
+//! Tests that log lines connect a refused client to a store that does not answer.
 
 mod stubs;
 
@@ -26,7 +26,7 @@
 use stubs::NoServer;
 use stubs::ReadOnly;
 
-/// Keeps what is written.
+/// Collects the log in memory.
 #[derive(Clone, Default)]
 struct LogBuffer(Arc<Mutex<Vec<u8>>>);
 
@@ -55,8 +55,8 @@
     }
 }
 
-/// Guards against a refused session that cannot be traced: neither to its client, nor
-/// to a call to the store that got no answer.
+/// Guards against the log of a refused session that names neither its client nor the time
+/// of the last answer of the store, and so cannot be related to an unanswered call.
 #[tokio::test]
 async fn test_log_lines_lead_from_a_refused_session_to_an_unanswered_call() {
     let log = LogBuffer::default();
