--- a/daemon/src/engine/contacts.rs
+++ b/daemon/src/engine/contacts.rs
@@ -51,8 +51,8 @@
     /// Records that an instance answered a request that was sent at `asked_at`, and logs
     /// if it was unresponsive before.
     pub fn heard(&self, asked_at: Moment, id: &InstanceId) {
-        let news = self.lock().heard(asked_at, id);
-        if news {
+        let has_changed = self.lock().heard(asked_at, id);
+        if has_changed {
             event_log::emit(&Event::new(EventKind::PeerHeard).with("peer", id));
         }
     }
@@ -61,8 +61,8 @@
     /// becomes unresponsive by that.
     pub fn missed(&self, asked_at: Moment, id: &InstanceId) {
         let at = now();
-        let news = self.lock().missed(at, asked_at, id);
-        if news {
+        let has_changed = self.lock().missed(at, asked_at, id);
+        if has_changed {
             let event = Event::new(EventKind::PeerSilent).with("peer", id);
             event_log::emit(&event.with_ms("for_ms", at.saturating_sub(asked_at)));
         }
--- a/daemon/src/engine/controllers.rs
+++ b/daemon/src/engine/controllers.rs
@@ -24,10 +24,10 @@
 use crate::engine::leader_control;
 use crate::engine::peer_records::pull_directory;
 use crate::engine::peers;
+use crate::engine::primary_lease_control;
 use crate::engine::promoter::Promoter;
 use crate::engine::quota_control;
 use crate::engine::replacement::Replacer;
-use crate::engine::right_control;
 use crate::engine::server_control::ServerFollower;
 use crate::engine::shared::Engine;
 use crate::engine::shared::STORE_FIRST;
@@ -51,7 +51,7 @@
         promoter: promoter.clone(),
     };
     tokio::spawn(leader_control::run(replacer));
-    tokio::spawn(right_control::load_orders(engine.clone(), directory.clone()));
+    tokio::spawn(primary_lease_control::load_orders(engine.clone(), directory.clone()));
     tokio::spawn(instance_control::keep_record(engine.clone(), directory.clone()));
     tokio::spawn(fleet_control::send_heartbeats(engine.clone(), directory.clone()));
     tokio::spawn(quota_control::keep_shards(engine.clone()));
--- a/daemon/src/engine/duty_control.rs
+++ b/daemon/src/engine/duty_control.rs
@@ -114,7 +114,7 @@
     }
 
     /// Discards a promised order that was not sent and never will be.
-    pub fn forget_promised(&mut self, group: &GroupId, token: DutyToken) {
+    pub fn discard_promised(&mut self, group: &GroupId, token: DutyToken) {
         if self.latest_orders.get(group).is_some_and(|latest| latest.token == token) {
             self.latest_orders.remove(group);
         }
--- a/daemon/src/engine/follow.rs
+++ b/daemon/src/engine/follow.rs
@@ -85,7 +85,7 @@
 
 /// How long a follower makes no call of its own while the store is unavailable, and
 /// waits for a liveness check to succeed.
-const LIVENESS_WAIT: Duration = Duration::from_secs(5);
+const AVAILABILITY_WAIT: Duration = Duration::from_secs(5);
 
 /// Longest wait of one watch whose answer may be stale. Instances and duties change
 /// seldom, and heartbeats between instances carry newer changes, so a late answer does
@@ -231,7 +231,7 @@
                 }
                 if availability.aborts() > aborts {
                     let regained = availability.wait_until_available();
-                    let regained = tokio::time::timeout(LIVENESS_WAIT, regained).await.is_ok();
+                    let regained = tokio::time::timeout(AVAILABILITY_WAIT, regained).await.is_ok();
                     // A liveness reply proves as much as a short watch, at a tenth of
                     // the price.
                     if let (true, Some(revision)) = (regained, revision) {
--- a/daemon/src/engine/leader_control.rs
+++ b/daemon/src/engine/leader_control.rs
@@ -39,7 +39,7 @@
 
 /// Time between two checks of all groups. Each check costs a wake-up of the processor; a
 /// suspicion about a primary starts one at once.
-const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+const GROUP_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The watches of the primaries of all groups.
 #[derive(Default)]
@@ -101,7 +101,7 @@
     loop {
         // Both a suspicion and the timeout start a check.
         let _timeout =
-            tokio::time::timeout(CHECK_INTERVAL, replacer.engine.doubt().notified()).await;
+            tokio::time::timeout(GROUP_CHECK_INTERVAL, replacer.engine.doubt().notified()).await;
         // An instance without connections to a group cannot judge its primary, and leaves
         // that to the holders.
         for shard in replacer.engine.held_shards() {
--- a/daemon/src/engine/right_control.rs
+++ b/daemon/src/engine/primary_lease_control.rs
@@ -144,7 +144,7 @@
     let latest = engine.store_era().latest();
     for shard in engine.shards() {
         let term = ended.get(shard.id()).copied().unwrap_or_default();
-        shard.change_right(|right| {
+        shard.change_lease(|right| {
             right.note_era(latest);
             right.take_ended(term);
             right.granted_by_store(asked_at, term, era);
@@ -180,7 +180,7 @@
     fn start_voting(&self) {
         self.set_knows_orders();
         for shard in self.shards() {
-            shard.change_right(PrimaryRight::knows_orders);
+            shard.change_lease(PrimaryRight::knows_orders);
         }
         self.renewal().notify_one();
     }
@@ -203,7 +203,7 @@
         };
         let known: Vec<_> = shards.iter().filter(is_known).collect();
         for shard in &known {
-            shard.change_right(PrimaryRight::knows_orders);
+            shard.change_lease(PrimaryRight::knows_orders);
         }
         known.len() == shards.len() && self.catalog().version > 0
     }
@@ -266,7 +266,7 @@
         for shard in self.used_shards() {
             let voters = self.voters(shard.id());
             if !shard.with_group(|group| group.right().has_voters(&self.me().id, &voters)) {
-                shard.change_right(|right| right.set_voters(&self.me().id, &voters));
+                shard.change_lease(|right| right.set_voters(&self.me().id, &voters));
             }
         }
     }
@@ -300,7 +300,7 @@
         for grant in grants {
             let shard = self.shard(&grant.group.as_str().into());
             let retired = grant.retired_term;
-            shard.change_right(|right| right.granted(voter, asked_at, retired, era));
+            shard.change_lease(|right| right.granted(voter, asked_at, retired, era));
         }
     }
 
@@ -361,7 +361,7 @@
         let shard = self.shard(&news.group.as_str().into());
         let id = news.server.as_str().into();
         if news.server.is_empty() {
-            self.with_duties(|duties| duties.forget_promised(shard.id(), news.token));
+            self.with_duties(|duties| duties.discard_promised(shard.id(), news.token));
         }
         let changed = shard.with_group(|group| {
             group.right_mut().settle(news.token);
@@ -380,7 +380,7 @@
 impl Shard {
     /// Changes the leases on the primary, and resumes waiting requests if the primary
     /// becomes usable by that.
-    fn change_right(self: &Arc<Self>, change: impl FnOnce(&mut PrimaryRight)) {
+    fn change_lease(self: &Arc<Self>, change: impl FnOnce(&mut PrimaryRight)) {
         let regained = self.with_group(|group| {
             let had = group.usable_leader(now()).is_some();
             change(group.right_mut());
--- a/daemon/src/engine/shared.rs
+++ b/daemon/src/engine/shared.rs
@@ -47,9 +47,9 @@
 use crate::engine::peers::Guest;
 use crate::engine::peers::PeerHandler;
 use crate::engine::peers::Peers;
+use crate::engine::primary_lease_control::VoterLists;
 use crate::engine::quota_control::QuotaControl;
 use crate::engine::remote::StatementLinks;
-use crate::engine::right_control::VoterLists;
 use crate::engine::shard::Shard;
 use crate::engine::store_era::StoreEra;
 
--- a/daemon/tests/test_duty.rs
+++ b/daemon/tests/test_duty.rs
@@ -152,7 +152,7 @@
     duties.apply_record(Revision::new(3, 30), duty_of("b", 6, None));
     let known = duties.record(&"db".into()).unwrap();
     assert_eq!(known.order, Some(order("theirs")), "a second backup lacks it as well");
-    duties.forget_promised(&"db".into(), 7);
+    duties.discard_promised(&"db".into(), 7);
     duties.apply_record(Revision::new(4, 30), duty_of("b", 6, None));
     assert_eq!(duties.record(&"db".into()).unwrap().order, None, "it was withdrawn");
 }
