--- a/daemon/src/engine/contacts.rs
+++ b/daemon/src/engine/contacts.rs
@@ -1,8 +1,9 @@
-//! Liveness of the other instances: checks whether they respond, and picks a
-//! responsive holder of a group.
+//! Liveness of the other instances: checks whether they can be reached, and picks a
+//! reachable holder of a group.
 //!
 //! The holders of a group are the instances that keep connections to its servers. A
-//! liveness check is a request on a new link that the other instance answers at once.
+//! liveness check is a request on a new link that the other instance answers at once. An
+//! instance that leaves a request unanswered counts as unreachable until it answers one.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -49,7 +50,7 @@
     }
 
     /// Records that an instance answered a request that was sent at `asked_at`, and logs
-    /// if it was unresponsive before.
+    /// if it was unreachable before.
     pub fn heard(&self, asked_at: Moment, id: &InstanceId) {
         let has_changed = self.lock().heard(asked_at, id);
         if has_changed {
@@ -58,7 +59,7 @@
     }
 
     /// Records that an instance left a request of `asked_at` unanswered, and logs if it
-    /// becomes unresponsive by that.
+    /// becomes unreachable by that.
     pub fn missed(&self, asked_at: Moment, id: &InstanceId) {
         let at = now();
         let has_changed = self.lock().missed(at, asked_at, id);
@@ -141,8 +142,8 @@
         SignOfLifeReply { withdrawn: fate == Fate::Withdrawn, ended: fate == Fate::Ended }
     }
 
-    /// Picks a responsive holder of a group, other than those in `tried`. `None` if there
-    /// is none. Unresponsive holders are checked once more, unless that was done just now.
+    /// Picks a reachable holder of a group, other than those in `tried`. `None` if there
+    /// is none. Unreachable holders are checked once more, unless that was done just now.
     pub async fn find_holder(
         self: &Arc<Self>,
         group: &GroupId,
@@ -165,7 +166,7 @@
                     }
                 }
                 Contact::Silent => {
-                    if !self.check_unresponsive(&candidates).await {
+                    if !self.check_unreachable(&candidates).await {
                         return None;
                     }
                 }
@@ -182,9 +183,9 @@
         }
     }
 
-    /// Checks unresponsive candidates, except those that were checked just now. Returns
+    /// Checks unreachable candidates, except those that were checked just now. Returns
     /// true as soon as one answers, and false if none does.
-    async fn check_unresponsive(&self, candidates: &[Candidate]) -> bool {
+    async fn check_unreachable(&self, candidates: &[Candidate]) -> bool {
         let due = candidates.iter().filter(|c| self.contacts().take_question(&c.record.id));
         let mut checks: FuturesUnordered<_> =
             due.map(|candidate| self.check_liveness(&candidate.record)).collect();
--- a/daemon/src/engine/duty_control.rs
+++ b/daemon/src/engine/duty_control.rs
@@ -2,7 +2,8 @@
 //!
 //! The record of a duty in the platform's store names the instance that holds it, a
 //! fencing token, and the last promotion order. An instance takes the duty by writing the
-//! record with a higher token; the platform refuses orders under a lower one.
+//! record with a higher token; the platform refuses orders under a lower one. A token
+//! belongs to one incarnation of an instance, which is one run of its process.
 //!
 //! When the store was restored from a backup, its records may lack the latest tokens and
 //! orders. Instances therefore keep what they read or promised before, and the first
@@ -43,7 +44,7 @@
 #[derive(Debug, Default)]
 pub struct DutyTable {
     duties: HashMap<GroupId, (Revision, DutyRecord)>,
-    /// The last token of each group under which this process sent an order. The platform
+    /// The last token of each group under which this incarnation sent an order. The platform
     /// can carry out an unanswered order seconds later; only a higher token keeps it from
     /// undoing a later order.
     used_tokens: HashMap<GroupId, DutyToken>,
@@ -159,14 +160,15 @@
         self.record(group).map_or(0, |record| record.token)
     }
 
-    /// Whether this process sent an order under the present token of a group.
+    /// Whether this incarnation sent an order under the present token of a group.
     #[must_use]
     pub fn is_token_used(&self, group: &GroupId) -> bool {
         let token = self.record(group).map(|record| record.token);
         token.is_some() && self.used_tokens.get(group).copied() >= token
     }
 
-    /// The record of a duty that this process holds under a token that it has not used.
+    /// The record of a group's duty if the incarnation `life` of the instance `id` holds it
+    /// under a token that it has not used.
     fn usable(&self, group: &GroupId, id: &InstanceId, life: u64) -> Option<DutyRecord> {
         let record = self.record(group)?;
         let ours = record.holder == *id && record.life == life;
@@ -249,7 +251,8 @@
 ///
 /// `since` is the highest token that this instance knew when it decided to act. If another
 /// instance has taken the duty under a higher one, this one does not. While the store does
-/// not accept the write, a token suffices that this process took before and has not used.
+/// not accept the write, a token suffices that this incarnation took before and has not
+/// used.
 pub async fn claim(
     engine: &Engine,
     directory: &dyn Directory,
--- a/daemon/src/engine/follow.rs
+++ b/daemon/src/engine/follow.rs
@@ -83,8 +83,8 @@
 /// The reason that is logged when a watch in progress is aborted.
 const WATCH_ABORTED: &str = "aborted: the store does not answer liveness checks";
 
-/// How long a follower makes no call of its own while the store is unavailable, and
-/// waits for a liveness check to succeed.
+/// While the store is unavailable, how long a follower waits for a liveness check to
+/// succeed before it makes a call of its own.
 const AVAILABILITY_WAIT: Duration = Duration::from_secs(5);
 
 /// Longest wait of one watch whose answer may be stale. Instances and duties change
@@ -131,8 +131,9 @@
 /// a new configuration has to be in force.
 const LONGEST_RETRY_PAUSE: Duration = Duration::from_millis(600);
 
-/// Longest pause after a failed call whose answer may be stale: 74 instances would make
-/// 500 calls a second otherwise, and get newer changes from other instances meanwhile.
+/// Longest pause after a failed call for data that may be stale. With shorter pauses 74
+/// instances would make 500 calls a second, which cost even if refused. They get newer
+/// changes from other instances meanwhile.
 const LONGEST_STALE_RETRY_PAUSE: Duration = Duration::from_millis(2_500);
 
 /// Time after which the first listing of the configuration is requested once more. It
@@ -143,8 +144,8 @@
 const CONCURRENT_FIRST_LISTS: usize = 3;
 
 /// The greatest difference between the times in which the store answers calls that it
-/// received together. A call that is still open this long after the answer to another
-/// one is taken for lost.
+/// received together. A call that is still unanswered this long after the answer to another
+/// one counts as lost.
 pub const ANSWER_TIME_SPREAD: Duration = Duration::from_millis(100);
 
 /// The state of the store that the followers of an instance share.
--- a/daemon/src/engine/leader_control.rs
+++ b/daemon/src/engine/leader_control.rs
@@ -293,9 +293,12 @@
         order.iter().position(|id| *id == self.me().id)
     }
 
-    /// Whether no instance can act on the duty of a group: none holds it, the holder is not
-    /// a holder of the group any more, or its token was used or is from an earlier process.
-    /// After a restore of the store this waits until the duty can be taken.
+    /// Whether no instance can act on the duty of a group: none holds it, its holder does
+    /// not hold connections to the group any more, or this instance holds it under a token
+    /// that was used or is from an earlier incarnation.
+    ///
+    /// A duty that was not taken since a restore of the store counts as vacant too, from the
+    /// time when it can be taken.
     #[must_use]
     pub fn is_duty_vacant(&self, group: &GroupId) -> bool {
         let era = self.store_era().latest();
--- a/daemon/src/engine/primary_lease_control.rs
+++ b/daemon/src/engine/primary_lease_control.rs
@@ -188,10 +188,10 @@
     /// Lets this instance vote on the groups whose orders are known. Returns whether these
     /// are all groups.
     ///
-    /// A store that was restored from a backup can lack an order that an earlier process of
-    /// this instance promised. It reflects that order once an instance has taken the duty
-    /// with the retired terms of a majority. The order does not matter any more when this
-    /// process has run for [`FORGETFUL`].
+    /// A store that was restored from a backup can lack an order for which an earlier
+    /// incarnation of this instance promised. It reflects that order once an instance has
+    /// taken the duty with the retired terms of a majority of the voters. The order does not
+    /// matter any more when this instance has run for [`FORGETFUL`].
     fn start_voting_where_orders_are_known(&self) -> bool {
         let era = self.store_era().latest();
         if era == 0 || self.runs_for(FORGETFUL) {
--- a/daemon/src/engine/replacement.rs
+++ b/daemon/src/engine/replacement.rs
@@ -390,7 +390,7 @@
                     self.report_agreement(&agreement);
                     return Ok(());
                 }
-                Readiness::From(_) => "unresponsive instances may still use the old primary",
+                Readiness::From(_) => "unreachable instances may still use the old primary",
                 Readiness::TooFewVotes => "too few voters have promised",
                 Readiness::SomeSilent => {
                     "some instances do not answer and the store does not have the order"
--- a/daemon/src/engine/store_gate.rs
+++ b/daemon/src/engine/store_gate.rs
@@ -30,7 +30,8 @@
     /// `pause` for the follower that retries. For the others it is when the store
     /// answers a call, at the latest after `OTHER_RETRY_WAIT`.
     pub async fn wait(&self, kind: RecordKind, pause: Duration) {
-        // Registers before it reads who retries, so that it misses no answer.
+        // Registers before it determines which follower retries, so that it misses no
+        // answer.
         let mut answer_received = std::pin::pin!(self.answer_received.notified());
         answer_received.as_mut().enable();
         if self.becomes_retrying(kind) {
--- a/daemon/src/engine/store_liveness.rs
+++ b/daemon/src/engine/store_liveness.rs
@@ -31,8 +31,8 @@
 /// are the most urgent ones.
 const KIND: RecordKind = RecordKind::Configuration;
 
-/// Time until an instance that makes no checks looks whether it has to. Such an instance
-/// gets urgent changes from other instances.
+/// Interval in which an instance that makes no liveness checks determines whether it has to
+/// begin. Such an instance gets urgent changes from other instances.
 const NOT_CHECKING_PAUSE: Duration = Duration::from_millis(500);
 
 /// Time in which a watch reports a change after a liveness reply did, although the data
