--- a/daemon/src/engine/leader_control.rs
+++ b/daemon/src/engine/leader_control.rs
@@ -215,7 +215,6 @@
 
 /// Asks the other holders of a group whether they reach its primary, and applies their
 /// answers.
-
 async fn ask_holders(engine: &Arc<Engine>, shard: &Arc<Shard>, leader: Option<TargetId>) {
     let others = engine.co_holders(shard.id());
     let query = LeaderQuery {
