--- a/daemon/tests/stubs/mod.rs
+++ b/daemon/tests/stubs/mod.rs
@@ -1,4 +1,5 @@
-//! Stubs of what surrounds an engine. Each test binary uses a part of them.
+//! Stubs of the servers, the store and the other surroundings of an engine. Each test
+//! binary uses some of them.
 #![allow(dead_code, reason = "each test binary uses a part of the stubs")]
 
 use std::net::SocketAddr;
@@ -31,7 +32,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// Opens no connection.
+/// A connector that fails: there is no server.
 pub struct NoServer;
 
 #[async_trait]
@@ -47,11 +48,11 @@
     }
 }
 
-/// Connects, and never gets a greeting.
-pub struct NeverGreeted;
+/// A connector whose server never sends a greeting.
+pub struct NeverGreets;
 
 #[async_trait]
-impl Connector for NeverGreeted {
+impl Connector for NeverGreets {
     async fn start(
         &self,
         _stream: TcpStream,
@@ -63,11 +64,11 @@
     }
 }
 
-/// Refuses every connection: there are too many.
-pub struct Full;
+/// A connector whose server refuses every connection, because it has too many.
+pub struct TooManyConnections;
 
 #[async_trait]
-impl Connector for Full {
+impl Connector for TooManyConnections {
     async fn start(
         &self,
         _stream: TcpStream,
@@ -80,7 +81,7 @@
     }
 }
 
-/// An instance.
+/// The record of an instance in failure domain `a`.
 pub fn instance(id: &str) -> InstanceRecord {
     InstanceRecord {
         id: id.into(),
@@ -91,7 +92,7 @@
     }
 }
 
-/// A primary, as the platform lists it.
+/// A primary as the platform lists it.
 pub fn primary(id: TargetId, address: SocketAddr) -> ServerInfo {
     ServerInfo {
         id,
@@ -104,7 +105,7 @@
     }
 }
 
-/// A group with one server, the primary, at an address.
+/// A shard with one server, the primary, at an address.
 pub fn shard_with_primary(
     connector: Arc<dyn Connector>,
     id: &TargetId,
@@ -116,9 +117,9 @@
     shard
 }
 
-/// What a store lists, and tells of changes.
+/// The reading calls of a store.
 #[async_trait]
-pub trait Listed: Send + Sync {
+pub trait StoreReads: Send + Sync {
     /// Lists all records of a kind.
     async fn list(&self, kind: RecordKind, currency: Currency) -> Result<Listing, DirectoryError>;
 
@@ -132,11 +133,11 @@
     ) -> Result<Changes, DirectoryError>;
 }
 
-/// Lists nothing, and answers every watch with this error.
+/// A store with empty listings, in which every watch fails with this error.
 pub struct ListsOnly(pub DirectoryError);
 
 #[async_trait]
-impl Listed for ListsOnly {
+impl StoreReads for ListsOnly {
     async fn list(&self, _: RecordKind, _: Currency) -> Result<Listing, DirectoryError> {
         Ok(Listing::default())
     }
@@ -152,18 +153,19 @@
     }
 }
 
-/// A store that nobody writes to.
+/// A store in which no record exists and every write conflicts. Listings and watches are
+/// those of the inner value.
 pub struct ReadOnly<T>(Arc<T>);
 
-impl<T: Listed> ReadOnly<T> {
-    /// A store that lists what `listed` does.
-    pub fn new(listed: &Arc<T>) -> Arc<Self> {
-        Arc::new(Self(listed.clone()))
+impl<T: StoreReads> ReadOnly<T> {
+    /// A store that answers listings and watches as `reads` does.
+    pub fn new(reads: &Arc<T>) -> Arc<Self> {
+        Arc::new(Self(reads.clone()))
     }
 }
 
 #[async_trait]
-impl<T: Listed> Directory for ReadOnly<T> {
+impl<T: StoreReads> Directory for ReadOnly<T> {
     async fn list(&self, kind: RecordKind, currency: Currency) -> Result<Listing, DirectoryError> {
         self.0.list(kind, currency).await
     }
--- a/daemon/tests/test_follow.rs
+++ b/daemon/tests/test_follow.rs
@@ -1,4 +1,5 @@
-//! Following records of a store that forgets its history.
+//! Tests of following the store's records while it drops its history, refuses calls, does
+//! not respond, or was restored from a backup.
 
 mod stubs;
 
@@ -23,23 +24,23 @@
 use chervilwharf_daemon::engine::server_control::ServerFollower;
 use chervilwharf_daemon::engine::shared::Engine;
 use chervilwharf_daemon::engine::store_era::StoreEra;
-use stubs::Listed;
 use stubs::ReadOnly;
+use stubs::StoreReads;
 use tokio::sync::Notify;
 
-/// Lists after which the test gives up.
+/// Number of listings after which the store stops answering, so that the test ends.
 const TOO_MANY_LISTS: usize = 50;
 
-/// A store whose old answers show revision 1, while all changes up to 5 are
-/// forgotten.
+/// A store whose stale answers are of revision 1, and that has dropped all changes up to
+/// revision 5.
 #[derive(Default)]
-struct ForgetfulStore {
+struct CompactedStore {
     lists: AtomicUsize,
     settled: Notify,
 }
 
 #[async_trait]
-impl Listed for ForgetfulStore {
+impl StoreReads for CompactedStore {
     async fn list(&self, _: RecordKind, currency: Currency) -> Result<Listing, DirectoryError> {
         if self.lists.fetch_add(1, Ordering::SeqCst) >= TOO_MANY_LISTS {
             self.settled.notify_one();
@@ -65,9 +66,9 @@
     }
 }
 
-struct Quiet;
+struct IgnoringFollower;
 
-impl Follower for Quiet {
+impl Follower for IgnoringFollower {
     fn kind(&self) -> RecordKind {
         RecordKind::Instances
     }
@@ -83,32 +84,32 @@
 
 #[tokio::test]
 async fn test_dropped_history_does_not_cause_repeated_listings() {
-    // Symptom: 11,000 calls to the store on a day, most of them in seconds.
-    // Sequence: the store forgets its history while its old answers are
-    // behind; an instance that takes old answers lists again.
-    // Cause: the list showed what is forgotten, so the watch failed at once,
-    // and so on without a pause.
-    let store = Arc::new(ForgetfulStore::default());
-    let following = tokio::spawn(follow(ReadOnly::new(&store), StoreState::default(), Quiet));
+    // Guards against a loop of calls without a pause: 11,000 calls in a day, most of them
+    // within seconds. The store drops its history up to a revision that its stale answers
+    // have not reached. An instance that accepts stale answers lists, watches from a
+    // dropped revision, fails at once, and lists again.
+    let store = Arc::new(CompactedStore::default());
+    let following =
+        tokio::spawn(follow(ReadOnly::new(&store), StoreState::default(), IgnoringFollower));
     store.settled.notified().await;
     following.abort();
-    assert_eq!(store.lists.load(Ordering::SeqCst), 2, "an old one, then a fresh one");
+    assert_eq!(store.lists.load(Ordering::SeqCst), 2, "a stale one, then a current one");
 }
 
-/// Time between two changes while servers start.
+/// Time between two changes of the store.
 const BETWEEN_CHANGES: Duration = Duration::from_millis(10);
 
-/// Servers that register one after the other.
+/// Number of servers that register one after the other.
 const REGISTERING: u64 = 60;
 
-/// A store in which servers register, and then nothing happens.
-struct ServersRegister {
+/// A store in which servers register, and nothing changes afterwards.
+struct RegisteringServers {
     began_at: tokio::time::Instant,
     watches: AtomicUsize,
-    all_told: Notify,
+    all_reported: Notify,
 }
 
-impl ServersRegister {
+impl RegisteringServers {
     fn revision(&self) -> u64 {
         let watched_for = self.began_at.elapsed().saturating_sub(PEER_LISTING_TIME);
         let passed = watched_for.as_millis() / BETWEEN_CHANGES.as_millis();
@@ -117,7 +118,7 @@
 }
 
 #[async_trait]
-impl Listed for ServersRegister {
+impl StoreReads for RegisteringServers {
     async fn list(&self, _: RecordKind, _: Currency) -> Result<Listing, DirectoryError> {
         Ok(Listing { revision: Revision::new(0, 1), ..Listing::default() })
     }
@@ -131,7 +132,7 @@
     ) -> Result<Changes, DirectoryError> {
         self.watches.fetch_add(1, Ordering::SeqCst);
         if after.number > REGISTERING {
-            self.all_told.notify_one();
+            self.all_reported.notify_one();
             return std::future::pending().await;
         }
         while self.revision() <= after.number {
@@ -142,39 +143,39 @@
     }
 }
 
-/// Symptom: 602 of 2,250 priced calls of a quiet day in its first seconds, in
-/// which nobody asks anything. Sequence: 60 servers register while relays watch
-/// the list. Cause: each change ended a watch of each relay.
+/// Guards against one watch per registering server. When 60 servers registered while the
+/// relays watched the list, each change ended a watch of each relay: 602 of the 2,250
+/// calls of a day without load came in its first seconds.
 #[tokio::test(start_paused = true)]
 async fn test_servers_that_register_together_are_read_together() {
     let engine = Arc::new(Engine::new(stubs::instance("one"), Arc::new(stubs::NoServer)));
-    let store = Arc::new(ServersRegister {
+    let store = Arc::new(RegisteringServers {
         began_at: tokio::time::Instant::now(),
         watches: AtomicUsize::new(0),
-        all_told: Notify::new(),
+        all_reported: Notify::new(),
     });
     let following = tokio::spawn(follow(
         ReadOnly::new(&store),
         StoreState::default(),
         ServerFollower::new(engine),
     ));
-    store.all_told.notified().await;
+    store.all_reported.notified().await;
     following.abort();
     let watches = store.watches.load(Ordering::SeqCst);
     assert!(watches <= 6, "{watches} watches");
 }
 
-/// A store that refuses for a while.
-struct Refusing {
+/// A store that refuses all calls until `ends_at`.
+struct RefusingStore {
     ends_at: tokio::time::Instant,
     refused: AtomicUsize,
-    /// Kinds that got an answer.
+    /// Number of listings that were answered.
     answered: AtomicUsize,
     settled: Notify,
 }
 
 #[async_trait]
-impl Listed for Refusing {
+impl StoreReads for RefusingStore {
     async fn list(&self, _: RecordKind, _: Currency) -> Result<Listing, DirectoryError> {
         if tokio::time::Instant::now() < self.ends_at {
             self.refused.fetch_add(1, Ordering::SeqCst);
@@ -200,9 +201,9 @@
 const KINDS: [RecordKind; 4] =
     [RecordKind::Configuration, RecordKind::Servers, RecordKind::Instances, RecordKind::Duties];
 
-struct OfKind(RecordKind);
+struct IgnoringFollowerOfKind(RecordKind);
 
-impl Follower for OfKind {
+impl Follower for IgnoringFollowerOfKind {
     fn kind(&self) -> RecordKind {
         self.0
     }
@@ -216,13 +217,13 @@
     }
 }
 
-/// Symptom: 1,700 of 6,100 priced calls of a day were refused. Sequence: the store
-/// turns a third of the instances away for nine seconds. Cause: each of the four
-/// followers of an instance went on trying by itself.
+/// Guards against retries of all four followers of an instance while the store refuses it.
+/// When the store refused a third of the instances for nine seconds, 1,700 of the 6,100
+/// calls of a day were refused ones, which the platform charges for.
 #[tokio::test(start_paused = true)]
 async fn test_one_follower_tries_a_store_that_refuses() {
     let outage = Duration::from_secs(9);
-    let store = Arc::new(Refusing {
+    let store = Arc::new(RefusingStore {
         ends_at: tokio::time::Instant::now() + outage,
         refused: AtomicUsize::new(0),
         answered: AtomicUsize::new(0),
@@ -230,29 +231,30 @@
     });
     let state = StoreState::default();
     for kind in KINDS {
-        tokio::spawn(follow(ReadOnly::new(&store), state.clone(), OfKind(kind)));
+        tokio::spawn(follow(ReadOnly::new(&store), state.clone(), IgnoringFollowerOfKind(kind)));
     }
     let began_at = tokio::time::Instant::now();
     store.settled.notified().await;
     let refused = store.refused.load(Ordering::SeqCst);
     assert!(refused <= 16, "{refused} calls were refused");
-    // And all go on when one was answered.
+    // All followers continue once the store answers one.
     assert!(began_at.elapsed() < outage + Duration::from_secs(3));
 }
 
-/// A store that is silent for a while: what it receives then it never answers.
-struct Silent {
+/// A store that does not respond until `ends_at`, and never answers the calls that it
+/// receives before.
+struct UnresponsiveStore {
     ends_at: tokio::time::Instant,
     calls: AtomicUsize,
     answered: AtomicUsize,
     settled: Notify,
 }
 
-/// Time for a call.
+/// Time after which a call fails without an answer.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 #[async_trait]
-impl Listed for Silent {
+impl StoreReads for UnresponsiveStore {
     async fn list(&self, _: RecordKind, _: Currency) -> Result<Listing, DirectoryError> {
         self.calls.fetch_add(1, Ordering::SeqCst);
         if tokio::time::Instant::now() < self.ends_at {
@@ -276,15 +278,15 @@
     }
 }
 
-/// Symptom: after all of 74 instances had been killed during an outage of the
-/// store, they served nobody for 0.9 s after its end. Sequence: the store goes
-/// silent, an instance starts, the store comes back. Cause: calls that the store
-/// had received while it was silent were waited for to their end.
+/// Guards against a start that is delayed beyond the end of an outage. The instance starts
+/// while the store does not respond, and waits for the timeout of calls that the store
+/// will never answer. 74 instances that were killed during an outage served no clients for
+/// 0.9 s after its end.
 #[tokio::test(start_paused = true)]
 async fn test_start_does_not_wait_for_calls_that_an_unresponsive_store_received() {
     for outage_ms in [100, 450, 900, 1_300, 1_950, 2_600] {
         let ends_at = tokio::time::Instant::now() + Duration::from_millis(outage_ms);
-        let store = Arc::new(Silent {
+        let store = Arc::new(UnresponsiveStore {
             ends_at,
             calls: AtomicUsize::new(0),
             answered: AtomicUsize::new(0),
@@ -292,7 +294,11 @@
         });
         let state = StoreState::default();
         for kind in KINDS {
-            tokio::spawn(follow(ReadOnly::new(&store), state.clone(), OfKind(kind)));
+            tokio::spawn(follow(
+                ReadOnly::new(&store),
+                state.clone(),
+                IgnoringFollowerOfKind(kind),
+            ));
         }
         store.settled.notified().await;
         let took = ends_at.elapsed();
@@ -302,25 +308,24 @@
     }
 }
 
-/// A store behind a link on which a list takes long, and the longer, the more lists
-/// are under way.
-struct SlowLink {
-    under_way: AtomicUsize,
+/// A store behind a slow link, which concurrent listings share.
+struct SlowLinkStore {
+    in_progress: AtomicUsize,
     lists: AtomicUsize,
     settled: Notify,
 }
 
-/// A list of a megabyte over 20 Mbit/s.
+/// Time of a listing of one megabyte over 20 Mbit/s.
 const LIST_TIME: Duration = Duration::from_millis(450);
 
 #[async_trait]
-impl Listed for SlowLink {
+impl StoreReads for SlowLinkStore {
     async fn list(&self, _: RecordKind, _: Currency) -> Result<Listing, DirectoryError> {
         self.lists.fetch_add(1, Ordering::SeqCst);
-        let sharing = self.under_way.fetch_add(1, Ordering::SeqCst) + 1;
-        let sharing = u32::try_from(sharing).expect("few");
-        tokio::time::sleep(LIST_TIME * sharing).await;
-        self.under_way.fetch_sub(1, Ordering::SeqCst);
+        let concurrent = self.in_progress.fetch_add(1, Ordering::SeqCst) + 1;
+        let concurrent = u32::try_from(concurrent).expect("few");
+        tokio::time::sleep(LIST_TIME * concurrent).await;
+        self.in_progress.fetch_sub(1, Ordering::SeqCst);
         Ok(Listing { revision: Revision::new(0, 1), ..Listing::default() })
     }
 
@@ -334,26 +339,25 @@
         if kind == RecordKind::Duties {
             self.settled.notify_one();
         }
-        // Something changes all the time while others start.
+        // Records change all the time while other instances start.
         tokio::time::sleep(BETWEEN_CHANGES).await;
         Ok(Changes { revision: Revision::new(0, 1), changes: Vec::new() })
     }
 }
 
-/// Symptom: an instance calls for the same lists 30 times in two seconds. Sequence: it
-/// starts behind a link over which a list takes longer than the time after which it
-/// is called again. Cause: there was no limit to the calls under way, and each makes
-/// the others slower.
+/// Guards against a start that requests the same listings again and again, 30 times in two
+/// seconds. Over a slow link a listing takes longer than the time after which it is
+/// requested once more, and each concurrent request slows down the others.
 #[tokio::test(start_paused = true)]
 async fn test_first_listings_over_a_slow_link_are_not_requested_without_limit() {
-    let store = Arc::new(SlowLink {
-        under_way: AtomicUsize::new(0),
+    let store = Arc::new(SlowLinkStore {
+        in_progress: AtomicUsize::new(0),
         lists: AtomicUsize::new(0),
         settled: Notify::new(),
     });
     let state = StoreState::default();
     for kind in KINDS {
-        tokio::spawn(follow(ReadOnly::new(&store), state.clone(), OfKind(kind)));
+        tokio::spawn(follow(ReadOnly::new(&store), state.clone(), IgnoringFollowerOfKind(kind)));
     }
     let began_at = tokio::time::Instant::now();
     store.settled.notified().await;
@@ -362,19 +366,19 @@
     assert!(lists <= 3 * KINDS.len(), "{lists} lists");
 }
 
-/// A store that comes back from a copy while it is watched: the history of before ends
-/// at 20, the present one goes on from 10 to 30.
-struct ComesBack {
-    /// Era and revision of the lists, one after the other; the last one stays.
+/// A store that is restored from a backup while it is watched. The lost history ends at
+/// revision number 20; the present one continues from number 10 to 30.
+struct RestoredStore {
+    /// Revisions of successive listings; the last one repeats.
     lists: Vec<Revision>,
     listed: AtomicUsize,
-    /// Answer to the first watch.
+    /// Revision of the answer to the first watch.
     first_watch: Revision,
     watched_from: Mutex<Vec<Revision>>,
     settled: Notify,
 }
 
-impl ComesBack {
+impl RestoredStore {
     fn new(lists: &[(u64, u64)], first_watch: (u64, u64)) -> Arc<Self> {
         let revision = |(era, number): (u64, u64)| Revision::new(era, number);
         Arc::new(Self {
@@ -388,7 +392,7 @@
 }
 
 #[async_trait]
-impl Listed for ComesBack {
+impl StoreReads for RestoredStore {
     async fn list(&self, _: RecordKind, _: Currency) -> Result<Listing, DirectoryError> {
         let number = self.listed.fetch_add(1, Ordering::SeqCst).min(self.lists.len() - 1);
         Ok(Listing { revision: self.lists[number], ..Listing::default() })
@@ -415,14 +419,14 @@
     }
 }
 
-fn with_era(era: &Arc<StoreEra>) -> StoreState {
+fn state_with_era(era: &Arc<StoreEra>) -> StoreState {
     StoreState { era: era.clone(), ..StoreState::default() }
 }
 
-/// Counts the changes that it is told.
-struct Counting(Arc<AtomicUsize>);
+/// Counts the changes that it applies.
+struct CountingFollower(Arc<AtomicUsize>);
 
-impl Follower for Counting {
+impl Follower for CountingFollower {
     fn kind(&self) -> RecordKind {
         RecordKind::Servers
     }
@@ -434,42 +438,42 @@
     }
 }
 
-/// Guards against changes between equal numbers of two histories that are taken for
-/// changes of what is known, and against a watch that goes on in the new history.
+/// Guards against applying changes of another era, whose revision numbers stand for other
+/// states, and against a watch that continues in the new era.
 #[tokio::test(start_paused = true)]
 async fn test_records_are_listed_anew_when_a_watch_answers_of_another_era() {
-    let store = ComesBack::new(&[(1, 20), (2, 25)], (2, 30));
-    let told = Arc::new(AtomicUsize::new(0));
-    let follower = Counting(told.clone());
+    let store = RestoredStore::new(&[(1, 20), (2, 25)], (2, 30));
+    let applied = Arc::new(AtomicUsize::new(0));
+    let follower = CountingFollower(applied.clone());
     tokio::spawn(follow(ReadOnly::new(&store), StoreState::default(), follower));
     store.settled.notified().await;
-    assert_eq!(told.load(Ordering::SeqCst), 0);
+    assert_eq!(applied.load(Ordering::SeqCst), 0);
     let watched_from = store.watched_from.lock().unwrap().clone();
     assert_eq!(watched_from, [Revision::new(1, 20), Revision::new(2, 25)]);
 }
 
-/// Guards against an answer that is seconds old, of before the store came back from a
-/// copy, that takes the place of what is known since.
+/// Guards against a stale listing from before a restore of the store that replaces newer
+/// records.
 #[tokio::test(start_paused = true)]
 async fn test_listing_of_an_earlier_era_than_the_latest_known_is_not_applied() {
-    let store = ComesBack::new(&[(1, 20), (1, 20), (2, 25)], (2, 25));
+    let store = RestoredStore::new(&[(1, 20), (1, 20), (2, 25)], (2, 25));
     let era = Arc::new(StoreEra::default());
     era.note(2, "another instance");
-    let follower = Counting(Arc::default());
-    tokio::spawn(follow(ReadOnly::new(&store), with_era(&era), follower));
+    let follower = CountingFollower(Arc::default());
+    tokio::spawn(follow(ReadOnly::new(&store), state_with_era(&era), follower));
     store.settled.notified().await;
     let watched_from = store.watched_from.lock().unwrap().clone();
     assert_eq!(watched_from[0], Revision::new(2, 25));
 }
 
-/// Guards against a watch that waits for its end, up to 15 s, while other instances
-/// know that the store came back from a copy.
+/// Guards against a watch that waits for up to 15 s although another instance reports that
+/// the store was restored from a backup.
 #[tokio::test(start_paused = true)]
 async fn test_watch_ends_when_another_instance_reports_a_later_era() {
-    let store = ComesBack::new(&[(1, 20), (2, 25)], (1, 20));
+    let store = RestoredStore::new(&[(1, 20), (2, 25)], (1, 20));
     let era = Arc::new(StoreEra::default());
-    let follower = Counting(Arc::default());
-    tokio::spawn(follow(ReadOnly::new(&store), with_era(&era), follower));
+    let follower = CountingFollower(Arc::default());
+    tokio::spawn(follow(ReadOnly::new(&store), state_with_era(&era), follower));
     store.settled.notified().await;
     era.note(2, "another instance");
     store.settled.notified().await;
