--- a/daemon/src/engine/contacts.rs
+++ b/daemon/src/engine/contacts.rs
@@ -18,15 +18,15 @@
 use chervilwharf_lib::event::Event;
 use chervilwharf_lib::event::EventKind;
 use chervilwharf_lib::fleet::InstanceRecord;
+use chervilwharf_lib::holder_choice::Affinity;
 use chervilwharf_lib::holder_choice::Candidate;
-use chervilwharf_lib::holder_choice::Meeting;
 use chervilwharf_lib::holder_choice::choose;
 use chervilwharf_lib::id::GroupId;
 use chervilwharf_lib::id::InstanceId;
 use chervilwharf_lib::moment::Moment;
 use chervilwharf_lib::peer_contact::Contact;
+use chervilwharf_lib::peer_contact::LIVENESS_TIMEOUT;
 use chervilwharf_lib::peer_contact::PeerContacts;
-use chervilwharf_lib::peer_contact::SIGN_LIMIT;
 use futures::StreamExt;
 use futures::stream::FuturesUnordered;
 
@@ -81,8 +81,8 @@
     }
 
     /// Whether a liveness check of an instance is due; if so, it counts as sent.
-    fn take_question(&self, id: &InstanceId) -> bool {
-        self.lock().take_question(now(), id)
+    fn take_due_liveness_check(&self, id: &InstanceId) -> bool {
+        self.lock().take_due_liveness_check(now(), id)
     }
 }
 
@@ -120,7 +120,7 @@
     ) -> Option<SignOfLifeReply> {
         let asked_at = now();
         let request = Body::SignOfLife(request);
-        let answer = self.peers().ask_anew(peer.peer_address, request, SIGN_LIMIT).await;
+        let answer = self.peers().ask_anew(peer.peer_address, request, LIVENESS_TIMEOUT).await;
         let Ok(Body::SignOfLifeReply(reply)) = answer else {
             self.contacts().missed(asked_at, &peer.id);
             return None;
@@ -147,18 +147,18 @@
     pub async fn find_holder(
         self: &Arc<Self>,
         group: &GroupId,
-        meeting: &Meeting,
+        affinity: &Affinity,
         tried: &[InstanceId],
     ) -> Option<Candidate> {
         loop {
             let candidates = self.candidates(group, tried);
-            let chosen = choose(&candidates, meeting)?.clone();
+            let chosen = choose(&candidates, affinity)?.clone();
             match chosen.contact {
                 Contact::Heard => {
                     self.check_in_background(&candidates);
                     return Some(chosen);
                 }
-                Contact::Unproven => {
+                Contact::Unverified => {
                     // A statement may need one of the others next.
                     self.check_in_background(&candidates);
                     if self.check_liveness(&chosen.record).await {
@@ -176,7 +176,8 @@
 
     /// Checks the candidates whose check is due, without waiting for their answers.
     fn check_in_background(self: &Arc<Self>, candidates: &[Candidate]) {
-        let due = |candidate: &&Candidate| self.contacts().take_question(&candidate.record.id);
+        let due =
+            |candidate: &&Candidate| self.contacts().take_due_liveness_check(&candidate.record.id);
         for candidate in candidates.iter().filter(due) {
             let (engine, record) = (self.clone(), candidate.record.clone());
             tokio::spawn(async move { engine.check_liveness(&record).await });
@@ -186,7 +187,8 @@
     /// Checks unreachable candidates, except those that were checked just now. Returns
     /// true as soon as one answers, and false if none does.
     async fn check_unreachable(&self, candidates: &[Candidate]) -> bool {
-        let due = candidates.iter().filter(|c| self.contacts().take_question(&c.record.id));
+        let due =
+            candidates.iter().filter(|c| self.contacts().take_due_liveness_check(&c.record.id));
         let mut checks: FuturesUnordered<_> =
             due.map(|candidate| self.check_liveness(&candidate.record)).collect();
         while let Some(answered) = checks.next().await {
