--- a/daemon/src/engine/fleet_control.rs
+++ b/daemon/src/engine/fleet_control.rs
@@ -50,7 +50,7 @@
         if at > last_round + STOOD_STILL {
             let still = at.saturating_sub(last_round);
             event_log::emit(&Event::new(EventKind::StoodStill).with_ms("for_ms", still));
-            engine.with_fleet(|fleet| fleet.stood_still(at));
+            engine.with_fleet(|fleet| fleet.process_paused(at));
             engine.contacts().forget();
         }
         last_round = at;
--- a/lib/src/fleet.rs
+++ b/lib/src/fleet.rs
@@ -34,27 +34,27 @@
 /// Instances that each one sends heartbeats to. Three would bear the loss of
 /// two neighbours at the same time; more make the count of live instances
 /// true sooner where fleets are small.
-const WATCHED: usize = 8;
+const WATCHED_INSTANCES: usize = 8;
 
 /// An instance that did not answer for this long does not count as alive.
 /// Six heartbeats; longer than servers keep the connections of a dead caller
 /// (3 s), so that what they held is free when the others take it over.
-pub const SILENT_AFTER: Duration = Duration::from_millis(3_200);
+pub const UNREACHABLE_AFTER: Duration = Duration::from_millis(3_200);
 
 /// The record of one that was silent for this long is removed. A frozen
 /// instance usually wakes up before and finds its record in place.
-const REMOVED_AFTER: Duration = Duration::from_secs(8);
+const REMOVE_AFTER: Duration = Duration::from_secs(8);
 
 /// An instance that reaches the store has written its record again within this time
 /// after it came back from a copy: it learns of that with a heartbeat.
-const RESTORED_AFTER: Duration = Duration::from_millis(1_500);
+const RESTORE_AFTER: Duration = Duration::from_millis(1_500);
 
 /// Relays of a failure domain, so that one can be lost.
 const RELAYS_PER_DOMAIN: usize = 2;
 
 /// Smaller fleets read the present state everywhere: a few calls cost little,
 /// and nothing is learned a heartbeat later.
-const RELAYS_FROM: usize = 15;
+const MIN_OTHERS_FOR_RELAYS: usize = 15;
 
 /// Time between two heartbeats to the same instance.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
@@ -63,7 +63,7 @@
 struct Member {
     record: InstanceRecord,
     /// When it last answered; its first sight counts as an answer.
-    heard_at: Moment,
+    last_contact_at: Moment,
     leaving: bool,
     /// Connections that it wants, by group.
     demands: HashMap<GroupId, f64>,
@@ -104,7 +104,7 @@
         let id = record.id.clone();
         let member = Member {
             record,
-            heard_at: now,
+            last_contact_at: now,
             leaving: false,
             demands: HashMap::new(),
             unlisted_since: None,
@@ -129,7 +129,7 @@
     /// These are all records of a copy of the store, which lacks the latest ones.
     /// Instances that it does not list may be alive, and write their records again; until
     /// then they hold connections and vote as before.
-    pub fn replace_by_copy(&mut self, now: Moment, records: Vec<InstanceRecord>) {
+    pub fn replace_from_restored_copy(&mut self, now: Moment, records: Vec<InstanceRecord>) {
         let is_listed = |id: &InstanceId| records.iter().any(|record| record.id == *id);
         for (id, member) in &mut self.members {
             if !is_listed(id) {
@@ -157,7 +157,7 @@
     /// Forgets instances that a copy of the store lacked, and whose records nobody has
     /// written again.
     pub fn forget_unlisted(&mut self, now: Moment) {
-        let over = |since: Moment| since + REMOVED_AFTER <= now;
+        let over = |since: Moment| since + REMOVE_AFTER <= now;
         self.members.retain(|_, member| !member.unlisted_since.is_some_and(over));
     }
 
@@ -168,9 +168,9 @@
     pub fn restorable(&self, now: Moment) -> Vec<InstanceRecord> {
         let unlisted = |record: &InstanceRecord| {
             let member = self.members.get(&record.id);
-            let heard = member.filter(|member| member.heard_at + SILENT_AFTER > now);
+            let heard = member.filter(|member| member.last_contact_at + UNREACHABLE_AFTER > now);
             let since = heard.and_then(|member| member.unlisted_since);
-            since.is_some_and(|since| since + RESTORED_AFTER <= now)
+            since.is_some_and(|since| since + RESTORE_AFTER <= now)
         };
         let mut records = self.watched();
         records.retain(unlisted);
@@ -188,7 +188,7 @@
     /// An instance answered, or asked something.
     pub fn heard(&mut self, now: Moment, id: &str, leaving: bool) {
         if let Some(member) = self.members.get_mut(id) {
-            member.heard_at = now;
+            member.last_contact_at = now;
             member.leaving = leaving;
         }
     }
@@ -215,7 +215,7 @@
     pub fn watched(&self) -> Vec<InstanceRecord> {
         let after = self.members.range(self.me.clone()..).map(|(_, member)| member);
         let before = self.members.range(..self.me.clone()).map(|(_, member)| member);
-        after.chain(before).take(WATCHED).map(|member| member.record.clone()).collect()
+        after.chain(before).take(WATCHED_INSTANCES).map(|member| member.record.clone()).collect()
     }
 
     /// All instances that count as alive, this one included, in the order of
@@ -228,14 +228,14 @@
     #[must_use]
     pub fn live(&self, now: Moment) -> Vec<InstanceId> {
         let watched = if self.is_cut_off(now) { Vec::new() } else { self.watched() };
-        let silent = |member: &Member| {
-            member.heard_at + SILENT_AFTER <= now
+        let unresponsive = |member: &Member| {
+            member.last_contact_at + UNREACHABLE_AFTER <= now
                 && watched.iter().any(|record| record.id == member.record.id)
         };
         let mut live: Vec<_> = self
             .members
             .values()
-            .filter(|member| !silent(member))
+            .filter(|member| !unresponsive(member))
             .map(|member| member.record.id.clone())
             .collect();
         live.push(self.me.clone());
@@ -258,7 +258,7 @@
     /// cost 0.08 of the worth of a day.
     #[must_use]
     pub fn is_relay(&self, now: Moment, failure_domain: &FailureDomainId) -> bool {
-        if self.members.len() < RELAYS_FROM {
+        if self.members.len() < MIN_OTHERS_FOR_RELAYS {
             return true;
         }
         let mine = relay_score(&self.me);
@@ -298,19 +298,19 @@
 
     /// This instance stood still itself: that nobody answered meanwhile says
     /// nothing of the others.
-    pub fn stood_still(&mut self, now: Moment) {
+    pub fn process_paused(&mut self, now: Moment) {
         for member in self.members.values_mut() {
-            member.heard_at = now;
+            member.last_contact_at = now;
         }
     }
 
     fn is_cut_off(&self, now: Moment) -> bool {
         let watched = self.watched();
-        let silent = |record: &&InstanceRecord| {
+        let unresponsive = |record: &&InstanceRecord| {
             let member = self.members.get(&record.id);
-            member.is_some_and(|member| member.heard_at + SILENT_AFTER <= now)
+            member.is_some_and(|member| member.last_contact_at + UNREACHABLE_AFTER <= now)
         };
-        watched.iter().filter(silent).count() * 2 > watched.len()
+        watched.iter().filter(unresponsive).count() * 2 > watched.len()
     }
 
     /// Instances whose record this one should remove: it watches them, they
@@ -321,11 +321,13 @@
             return Vec::new();
         }
         let live = self.live(now);
-        let long_silent = |record: &InstanceRecord| {
+        let long_unresponsive = |record: &InstanceRecord| {
             let member = self.members.get(&record.id);
-            member.is_some_and(|member| member.heard_at + REMOVED_AFTER <= now)
+            member.is_some_and(|member| member.last_contact_at + REMOVE_AFTER <= now)
         };
         let watched = self.watched().into_iter();
-        watched.filter(|record| long_silent(record) && self.is_chosen_for(record, &live)).collect()
+        watched
+            .filter(|record| long_unresponsive(record) && self.is_chosen_for(record, &live))
+            .collect()
     }
 }
--- a/lib/src/holders.rs
+++ b/lib/src/holders.rs
@@ -11,23 +11,23 @@
 
 /// Fewest connections to a server with which an instance can serve on its own:
 /// two for transactions and one for single statements.
-const LEAST_CONNECTIONS: usize = 3;
+const MIN_CONNECTIONS_PER_HOLDER: usize = 3;
 
 /// Connections to a server that each holder should have when not all instances
 /// can have some. A few with many share them better than many with few.
-const HOLDER_CONNECTIONS: usize = 4;
+const TARGET_CONNECTIONS_PER_HOLDER: usize = 4;
 
 /// Most holders of a group. More would only divide the waiting requests into
 /// queues that cannot be served in order; eight bear the loss of several.
-const MOST_HOLDERS: usize = 8;
+const MAX_HOLDERS: usize = 8;
 
 /// Fewest holders, so that one can be lost.
-const FEWEST_HOLDERS: usize = 2;
+const MIN_HOLDERS: usize = 2;
 
 /// Holders of a group where there are more groups than instances: three bear
 /// the loss of two. Each pair of holders tells each other of the group twice a
 /// second, so that more would cost each instance a link to nearly every other.
-const HOLDERS_OF_MANY: usize = 3;
+const MIN_HOLDERS_WITH_MANY_GROUPS: usize = 3;
 
 /// The instances that hold the connections to one of `groups` groups: all of
 /// them where they are few and the servers take enough connections, else some
@@ -46,11 +46,11 @@
     staying: &[InstanceRecord],
 ) -> Vec<InstanceRecord> {
     let shared = max_connections.saturating_sub(RESERVE);
-    if staying.len() <= MOST_HOLDERS && staying.len() * LEAST_CONNECTIONS <= shared {
+    if staying.len() <= MAX_HOLDERS && staying.len() * MIN_CONNECTIONS_PER_HOLDER <= shared {
         return staying.to_vec();
     }
-    let by_connections = (shared / HOLDER_CONNECTIONS).clamp(FEWEST_HOLDERS, MOST_HOLDERS);
-    let by_groups = (staying.len() / groups.max(1)).max(HOLDERS_OF_MANY);
+    let by_connections = (shared / TARGET_CONNECTIONS_PER_HOLDER).clamp(MIN_HOLDERS, MAX_HOLDERS);
+    let by_groups = (staying.len() / groups.max(1)).max(MIN_HOLDERS_WITH_MANY_GROUPS);
     let chosen = ordered(group, staying).into_iter().take(by_connections.min(by_groups));
     chosen.cloned().collect()
 }
@@ -87,7 +87,7 @@
 /// when an instance joins or goes, one voter at most is replaced by another, and
 /// five of the eight before and five of the eight after have one in common. With
 /// seven or nine they need not.
-const MOST_VOTERS: usize = 8;
+const MAX_VOTERS: usize = 8;
 
 /// The instances that vote on a group, out of all that have a record.
 ///
@@ -97,6 +97,6 @@
 /// all are alive, and tell each other of the group with heartbeats anyway.
 #[must_use]
 pub fn voters(group: &GroupId, recorded: &[InstanceRecord]) -> Vec<InstanceId> {
-    let chosen = ordered(group, recorded).into_iter().take(MOST_VOTERS);
+    let chosen = ordered(group, recorded).into_iter().take(MAX_VOTERS);
     chosen.map(|record| record.id.clone()).collect()
 }
--- a/lib/src/instance.rs
+++ b/lib/src/instance.rs
@@ -45,7 +45,7 @@
 
 /// A group whose log is shorter may not have its ledger yet: its first owner
 /// can have died before it was made.
-const YOUNG_LOG: u64 = 16;
+const MAX_LOG_WITHOUT_LEDGER: u64 = 16;
 
 /// Opening of connections to one server is spaced by this.
 const OPENING_INTERVAL: Duration = Duration::from_millis(5);
@@ -190,7 +190,7 @@
 
 impl DatabaseState {
     /// Whether nothing has to happen here as time passes.
-    fn is_at_rest(&self) -> bool {
+    fn needs_no_ticks(&self) -> bool {
         *self.ownership.phase() == Phase::Idle && self.gate == Gate::Open
     }
 
@@ -237,7 +237,7 @@
         membership: MembershipTiming,
         ownership: OwnershipTiming,
     ) -> Self {
-        let holder = ownership::holder(&me.id, life);
+        let holder = ownership::holder_id(&me.id, life);
         let shards = (0..SHARD_COUNT).map(|_| Mutex::default()).collect();
         Self {
             membership: Mutex::new(Membership::new(me, membership)),
@@ -415,7 +415,7 @@
         for shard in &self.shards {
             let shard = lock(shard);
             let active = shard.active.iter().filter_map(|id| shard.databases.get_key_value(id));
-            let engaged = active.filter(|(_, state)| state.ownership.is_engaged());
+            let engaged = active.filter(|(_, state)| state.ownership.owns_or_is_taking());
             owned.extend(engaged.map(|(id, state)| {
                 let term = state.ownership.serving().map_or(0, |(term, _)| term);
                 (id.clone(), term)
@@ -439,7 +439,7 @@
                     let serving = state.ownership.serving();
                     movable.extend(serving.map(|(term, _)| (state.view(), term)));
                 }
-                if state.is_at_rest() {
+                if state.needs_no_ticks() {
                     shard.active.remove(&id);
                 }
             }
@@ -454,9 +454,9 @@
         movable: &[(DatabaseView, Term)],
     ) -> Vec<InstanceAction> {
         let mut actions = Vec::new();
-        let (due, concerns, balance) = {
+        let (due, candidate_databases, balance) = {
             let mut membership = self.membership();
-            (membership.tick(now), membership.concerns(), membership.balance_is_due(now))
+            (membership.tick(now), membership.candidate_databases(), membership.balance_is_due(now))
         };
         if !due.is_empty() {
             let body = self.heartbeat_body();
@@ -466,8 +466,8 @@
                 body: body.clone(),
             }));
         }
-        for database in concerns {
-            let idle = self.with_database(&database, |state| !state.ownership.is_engaged());
+        for database in candidate_databases {
+            let idle = self.with_database(&database, |state| !state.ownership.owns_or_is_taking());
             if idle == Some(true) {
                 actions.extend(self.take_if_due(now, &database));
             }
@@ -510,7 +510,7 @@
             // The offer may have arrived and only its answer be lost. The
             // other does not wait out our currency, so there must be none
             // left until a majority has confirmed our term anew.
-            self.with_database(database, |state| state.ownership.forget_currency());
+            self.with_database(database, |state| state.ownership.clear_term_confirmations());
             return Vec::new();
         }
         self.ownership_event(now, database, OwnershipEvent::Release)
@@ -534,7 +534,7 @@
                     let database = database.clone();
                     published.push(InstanceAction::PublishOwner { database, record });
                 }
-                OwnershipAction::Lost { .. } => self.membership().attempted(database),
+                OwnershipAction::Lost { .. } => self.membership().clear_vacancy(database),
                 _ => {}
             }
         }
@@ -555,9 +555,9 @@
         };
         let actions = state.ownership.handle(now, event);
         for action in &actions {
-            prepare(state, action);
+            prepare_requests(state, action);
         }
-        if !state.is_at_rest() {
+        if !state.needs_no_ticks() {
             shard.active.insert(database.clone());
         }
         actions
@@ -598,9 +598,9 @@
 
 /// Brings the request state of a database in line before anyone else sees
 /// the new owner phase.
-fn prepare(state: &mut DatabaseState, action: &OwnershipAction) {
+fn prepare_requests(state: &mut DatabaseState, action: &OwnershipAction) {
     if let OwnershipAction::Serve { first, primary, .. } = action {
-        state.ledger_ready = first.index > YOUNG_LOG;
+        state.ledger_ready = first.index > MAX_LOG_WITHOUT_LEDGER;
         state.floors.promoted(*first);
         if let Some(slots) = state.slots.get_mut(primary) {
             slots.start_slowly();
--- a/lib/src/keeper_lease.rs
+++ b/lib/src/keeper_lease.rs
@@ -15,7 +15,7 @@
 
 /// Shards of accounts. More would divide the asking of a large fleet further;
 /// each costs its keeper a round of questions to the voters.
-pub const SHARDS: u32 = 8;
+pub const ACCOUNT_SHARDS: u32 = 8;
 
 /// Voters of a shard. Even, as those of a group: when one instance joins or goes,
 /// majorities before and after have a voter in common.
@@ -25,18 +25,18 @@
 ///
 /// Shorter, and a keeper on a busy instance loses it between two renewals;
 /// longer, and accounts wait longer when their keeper dies.
-pub const LEASE: Duration = Duration::from_millis(1_200);
+pub const VOTE_LEASE: Duration = Duration::from_millis(1_200);
 
 /// How much of it a keeper uses, counted from when it asked. The rest is for clocks of
 /// unlike speed.
-const USED_LEASE: Duration = Duration::from_millis(1_100);
+const KEEPER_LEASE: Duration = Duration::from_millis(1_100);
 
 /// Time between two rounds of questions of a keeper to the voters.
-pub const RENEWAL: Duration = Duration::from_millis(300);
+pub const RENEWAL_INTERVAL: Duration = Duration::from_millis(300);
 
 /// How much later each next candidate tries. Two that try together divide the
 /// votes, and nobody keeps the shard until they are over.
-const STAGGER: Duration = Duration::from_millis(200);
+const CANDIDATE_STAGGER: Duration = Duration::from_millis(200);
 
 /// Counts shards of accounts from 0.
 pub type ShardNumber = u32;
@@ -45,7 +45,7 @@
 #[must_use]
 #[allow(clippy::cast_possible_truncation, reason = "less than the number of shards")]
 pub fn shard_of(account: &str) -> ShardNumber {
-    (stable_hash(&["account", account]) % u64::from(SHARDS)) as ShardNumber
+    (stable_hash(&["account", account]) % u64::from(ACCOUNT_SHARDS)) as ShardNumber
 }
 
 /// The instances in the order in which they should keep a shard: those with the
@@ -94,31 +94,31 @@
 #[derive(Clone, Debug)]
 pub struct Votes {
     started_at: Moment,
-    given: HashMap<ShardNumber, (Candidate, Moment)>,
+    votes: HashMap<ShardNumber, (Candidate, Moment)>,
 }
 
 impl Votes {
     /// A life that has not voted yet.
     #[must_use]
     pub fn new(started_at: Moment) -> Self {
-        Self { started_at, given: HashMap::new() }
+        Self { started_at, votes: HashMap::new() }
     }
 
     /// A candidate wants to keep a shard.
     pub fn ask(&mut self, now: Moment, shard: ShardNumber, candidate: Candidate) -> Vote {
-        if let Some((other, until)) = self.given.get(&shard) {
+        if let Some((other, until)) = self.votes.get(&shard) {
             // Another life of the same instance: the earlier one is gone.
             if other.id != candidate.id && *until > now {
                 return Vote::Refused;
             }
         }
-        self.given.insert(shard, (candidate, now + LEASE));
-        Vote::Granted { fresh: self.started_at + LEASE > now }
+        self.votes.insert(shard, (candidate, now + VOTE_LEASE));
+        Vote::Granted { fresh: self.started_at + VOTE_LEASE > now }
     }
 
     /// A keeper stops, or did not get enough votes: its shard is free.
     pub fn release(&mut self, now: Moment, shard: ShardNumber, candidate: &Candidate) {
-        if let Some((holder, until)) = self.given.get_mut(&shard) {
+        if let Some((holder, until)) = self.votes.get_mut(&shard) {
             if holder == candidate {
                 *until = now.min(*until);
             }
@@ -128,7 +128,7 @@
     /// Who keeps a shard, as far as this instance voted.
     #[must_use]
     pub fn keeper(&self, now: Moment, shard: ShardNumber) -> Option<&InstanceId> {
-        let (candidate, until) = self.given.get(&shard)?;
+        let (candidate, until) = self.votes.get(&shard)?;
         (*until > now).then_some(&candidate.id)
     }
 
@@ -136,8 +136,8 @@
     /// shard that is not renewed.
     #[must_use]
     pub fn should_try(&self, now: Moment, shard: ShardNumber, rank: u32) -> bool {
-        let free_since = self.given.get(&shard).map_or(self.started_at, |(_, until)| *until);
-        free_since + STAGGER * rank <= now
+        let free_since = self.votes.get(&shard).map_or(self.started_at, |(_, until)| *until);
+        free_since + CANDIDATE_STAGGER * rank <= now
     }
 }
 
@@ -150,7 +150,7 @@
 
 impl Grant {
     fn ends_at(&self) -> Moment {
-        self.asked_at + USED_LEASE
+        self.asked_at + KEEPER_LEASE
     }
 }
 
@@ -181,14 +181,14 @@
     pub fn check(&mut self, now: Moment, voters: &[InstanceRecord]) -> bool {
         let held_before = self.is_held(now);
         let grants = voters.iter().filter_map(|voter| self.granted.get(&voter.id));
-        let lasting: Vec<_> = grants.filter(|grant| grant.ends_at() > now).collect();
+        let valid: Vec<_> = grants.filter(|grant| grant.ends_at() > now).collect();
         // A fresh voter may have voted for another one in an earlier life. That one
         // is a voter as well, and refuses while it is at work.
-        let doubtful = lasting.iter().any(|grant| grant.fresh) && lasting.len() < voters.len();
-        if doubtful && !held_before {
+        let may_conflict = valid.iter().any(|grant| grant.fresh) && valid.len() < voters.len();
+        if may_conflict && !held_before {
             return false;
         }
-        let mut ends: Vec<_> = lasting.iter().map(|grant| grant.ends_at()).collect();
+        let mut ends: Vec<_> = valid.iter().map(|grant| grant.ends_at()).collect();
         ends.sort_unstable_by(|a, b| b.cmp(a));
         // The majority lasts until the first of its votes ends.
         self.held_until = ends.get(voters.len() / 2).copied().unwrap_or(Moment::ZERO);
--- a/lib/src/membership.rs
+++ b/lib/src/membership.rs
@@ -22,13 +22,13 @@
     /// Pace of heartbeats to each watched instance.
     pub heartbeat_interval: Duration,
     /// The same where not every instance watches every other one.
-    pub heartbeat_interval_of_many: Duration,
+    pub heartbeat_interval_large_fleet: Duration,
     /// A heartbeat without an answer for this long is missed.
     pub heartbeat_timeout: Duration,
     /// Heartbeats missed in a row that make an instance silent.
-    pub misses_to_silent: u32,
+    pub misses_to_unresponsive: u32,
     /// Wait after start before any database is considered vacant.
-    pub settle: Duration,
+    pub startup_wait: Duration,
     /// Each later successor waits this much longer than the one before.
     pub stagger: Duration,
     /// How long an owner may omit a database before it counts as given up.
@@ -43,10 +43,10 @@
     fn default() -> Self {
         Self {
             heartbeat_interval: Duration::from_millis(150),
-            heartbeat_interval_of_many: Duration::from_millis(400),
+            heartbeat_interval_large_fleet: Duration::from_millis(400),
             heartbeat_timeout: Duration::from_millis(350),
-            misses_to_silent: 3,
-            settle: Duration::from_millis(700),
+            misses_to_unresponsive: 3,
+            startup_wait: Duration::from_millis(700),
             stagger: Duration::from_millis(500),
             omitted_grace: Duration::from_millis(300),
             balance_interval: Duration::from_secs(1),
@@ -98,7 +98,7 @@
     detector: Detector,
     owned: BTreeMap<DatabaseId, Term>,
     /// Whether `owned` has been told by the peer itself.
-    has_spoken: bool,
+    has_reported: bool,
 }
 
 #[derive(Clone, Debug)]
@@ -192,7 +192,7 @@
 
     /// Keeps the succession in line with what is known of an instance.
     fn sync_candidate(&mut self, id: &str) {
-        let limit = self.timing.misses_to_silent;
+        let limit = self.timing.misses_to_unresponsive;
         match self.peers.get(id) {
             Some(peer) if peer.detector.misses() < limit && !peer.info.leaving => {
                 let info = peer.info.clone();
@@ -222,7 +222,7 @@
         if let Some(peer) = self.peers.get_mut(&info.id) {
             // The platform's list lags: it may only add that a peer leaves.
             peer.info.leaving |= info.leaving;
-            if !peer.has_spoken {
+            if !peer.has_reported {
                 peer.info.address = info.address;
                 peer.info.admin_address = info.admin_address;
             }
@@ -237,7 +237,7 @@
                 info,
                 detector: Detector::new(timeout),
                 owned: BTreeMap::new(),
-                has_spoken: false,
+                has_reported: false,
             },
         );
         self.sync_candidate(&id);
@@ -246,7 +246,7 @@
     /// Forgets instances that the platform no longer lists and that are
     /// silent as well.
     pub fn retain_listed(&mut self, listed: &BTreeSet<InstanceId>) {
-        let limit = self.timing.misses_to_silent;
+        let limit = self.timing.misses_to_unresponsive;
         let gone: Vec<_> = self
             .peers
             .iter()
@@ -268,11 +268,11 @@
 
     /// All other instances that are known.
     pub fn peers(&self) -> impl Iterator<Item = (&PeerInfo, bool)> {
-        self.peers.values().map(|peer| (&peer.info, self.is_alive(peer)))
+        self.peers.values().map(|peer| (&peer.info, self.is_responsive(peer)))
     }
 
-    fn is_alive(&self, peer: &Peer) -> bool {
-        peer.detector.misses() < self.timing.misses_to_silent
+    fn is_responsive(&self, peer: &Peer) -> bool {
+        peer.detector.misses() < self.timing.misses_to_unresponsive
     }
 
     /// Who owns a database, as far as is known.
@@ -305,7 +305,7 @@
         }
         peer.info = body.sender.clone();
         peer.owned = body.owned.iter().cloned().collect();
-        peer.has_spoken = true;
+        peer.has_reported = true;
         self.sync_candidate(&body.sender.id);
         let owned = body.owned.iter().map(|(database, term)| {
             let owner = body.sender.id.clone();
@@ -319,7 +319,7 @@
 
     /// A heartbeat was answered.
     pub fn answered(&mut self, now: Instant, peer: &str, sequence: u64) {
-        let limit = self.timing.misses_to_silent;
+        let limit = self.timing.misses_to_unresponsive;
         let Some(entry) = self.peers.get_mut(peer) else {
             return;
         };
@@ -369,7 +369,7 @@
         if self.peers.len() <= WATCH_ALL_LIMIT {
             self.timing.heartbeat_interval
         } else {
-            self.timing.heartbeat_interval_of_many
+            self.timing.heartbeat_interval_large_fleet
         }
     }
 
@@ -396,11 +396,11 @@
             return self.peers.keys().cloned().collect();
         }
         let mut watched = BTreeSet::new();
-        for database in self.succession.mine() {
+        for database in self.succession.ranked_databases() {
             let Some(record) = self.owners.get(database) else {
                 continue;
             };
-            let rank = self.succession.rank_of_me(database, Some(&record.owner));
+            let rank = self.succession.own_rank(database, Some(&record.owner));
             if rank.is_some_and(|rank| rank < SUCCESSORS) {
                 watched.insert(record.owner.clone());
             }
@@ -433,26 +433,26 @@
 
     /// Changes of ownership to tell with the next heartbeat.
     pub fn take_rumors(&mut self) -> Vec<(DatabaseId, OwnerRecord)> {
-        let mut told = Vec::new();
+        let mut sent = Vec::new();
         for (database, rumor) in self.rumors.iter_mut().take(RUMORS_PER_HEARTBEAT) {
             rumor.transmissions_left = rumor.transmissions_left.saturating_sub(1);
-            told.push((database.clone(), rumor.record.clone()));
+            sent.push((database.clone(), rumor.record.clone()));
         }
         self.rumors.retain(|_, rumor| rumor.transmissions_left > 0);
-        told
+        sent
     }
 
     /// Databases this instance may have to take.
     #[must_use]
-    pub fn concerns(&self) -> Vec<DatabaseId> {
-        self.succession.mine().cloned().collect()
+    pub fn candidate_databases(&self) -> Vec<DatabaseId> {
+        self.succession.ranked_databases().cloned().collect()
     }
 
     /// Whether this instance has to take the database now, and because the
     /// known owner is silent (`true`) or because there is none (`false`).
     pub fn should_take(&mut self, now: Instant, database: &DatabaseId) -> Option<bool> {
         let started_at = self.started_at?;
-        if self.me.leaving || now.saturating_duration_since(started_at) < self.timing.settle {
+        if self.me.leaving || now.saturating_duration_since(started_at) < self.timing.startup_wait {
             return None;
         }
         let record = self.owners.get(database).cloned();
@@ -467,11 +467,11 @@
         let since = *self.vacant_since.entry(database.clone()).or_insert(now);
         let owner = record.as_ref().map(|record| &record.owner);
         let without = owner.filter(|owner| **owner != self.me.id);
-        let rank = self.succession.rank_of_me(database, without.map(|id| &**id))?;
+        let rank = self.succession.own_rank(database, without.map(|id| &**id))?;
         let grace =
             if fault == OwnerFault::Omitted { self.timing.omitted_grace } else { Duration::ZERO };
         let wait = grace + self.timing.stagger * u32::try_from(rank).unwrap_or(u32::MAX);
-        (now.saturating_duration_since(since) >= wait).then_some(fault == OwnerFault::Silent)
+        (now.saturating_duration_since(since) >= wait).then_some(fault == OwnerFault::Unresponsive)
     }
 
     fn owner_fault(&self, record: &OwnerRecord, database: &str) -> Option<OwnerFault> {
@@ -481,17 +481,17 @@
             return Some(OwnerFault::Omitted);
         }
         let Some(peer) = self.peers.get(&record.owner) else {
-            return Some(OwnerFault::Silent);
+            return Some(OwnerFault::Unresponsive);
         };
-        if !self.is_alive(peer) {
-            return Some(OwnerFault::Silent);
+        if !self.is_responsive(peer) {
+            return Some(OwnerFault::Unresponsive);
         }
-        let omitted = peer.has_spoken && !peer.owned.contains_key(database);
+        let omitted = peer.has_reported && !peer.owned.contains_key(database);
         omitted.then_some(OwnerFault::Omitted)
     }
 
     /// Forgets that a database looked vacant, after an attempt to take it.
-    pub fn attempted(&mut self, database: &str) {
+    pub fn clear_vacancy(&mut self, database: &str) {
         self.vacant_since.remove(database);
     }
 
@@ -518,8 +518,8 @@
             return None;
         }
         let best = self.succession.best(&view.id, view.near.as_ref())?;
-        let spoke = self.peers.get(&best).is_some_and(|peer| peer.has_spoken);
-        (best != self.me.id && spoke).then_some(best)
+        let reported = self.peers.get(&best).is_some_and(|peer| peer.has_reported);
+        (best != self.me.id && reported).then_some(best)
     }
 }
 
@@ -529,7 +529,7 @@
     /// Nobody is known to own it.
     Vacant,
     /// The owner does not answer.
-    Silent,
+    Unresponsive,
     /// The owner answers but no longer lists the database.
     Omitted,
 }
--- a/lib/src/ownership.rs
+++ b/lib/src/ownership.rs
@@ -72,7 +72,7 @@
         /// First entry of the term.
         first: Position,
         /// Acknowledge nothing before this time.
-        answers_from: Instant,
+        acknowledge_from: Instant,
     },
     /// Waiting after a failed attempt.
     BackingOff {
@@ -98,7 +98,7 @@
 pub struct Ownership {
     me: InstanceId,
     holder: HolderId,
-    near: FailureDomainId,
+    failure_domain: FailureDomainId,
     database: DatabaseId,
     timing: OwnershipTiming,
     servers: BTreeMap<TargetId, ServerView>,
@@ -109,8 +109,8 @@
     primary: Option<TargetId>,
     last_tick_at: Option<Instant>,
     last_request_at: Option<Instant>,
-    majority_seen_at: Option<Instant>,
-    retried_at_once: bool,
+    majority_reached_at: Option<Instant>,
+    retried_after_refusal: bool,
     jitter_state: u64,
 }
 
@@ -124,7 +124,7 @@
 /// name to the servers as before, it would be granted its old term again and
 /// promote a second primary in it.
 #[must_use]
-pub fn holder(instance: &str, life: &str) -> HolderId {
+pub fn holder_id(instance: &str, life: &str) -> HolderId {
     format!("{instance}{HOLDER_SEPARATOR}{life}").into()
 }
 
@@ -141,7 +141,7 @@
     pub fn new(
         me: InstanceId,
         holder: HolderId,
-        near: FailureDomainId,
+        failure_domain: FailureDomainId,
         database: DatabaseId,
         servers: Vec<GroupServer>,
         timing: OwnershipTiming,
@@ -150,7 +150,7 @@
         let mut ownership = Self {
             me,
             holder,
-            near,
+            failure_domain,
             database,
             timing,
             servers: BTreeMap::new(),
@@ -160,8 +160,8 @@
             primary: None,
             last_tick_at: None,
             last_request_at: None,
-            majority_seen_at: None,
-            retried_at_once: false,
+            majority_reached_at: None,
+            retried_after_refusal: false,
             jitter_state,
         };
         ownership.set_servers(servers);
@@ -202,7 +202,7 @@
 
     /// Whether we own the database or are about to.
     #[must_use]
-    pub fn is_engaged(&self) -> bool {
+    pub fn owns_or_is_taking(&self) -> bool {
         matches!(
             self.phase,
             Phase::Fencing { .. } | Phase::Promoting { .. } | Phase::Serving { .. }
@@ -239,7 +239,7 @@
     /// Send times count, not receive times: whatever a server did between
     /// our sending and our receiving happened after the sending.
     #[must_use]
-    pub fn current_as_of(&self) -> Option<Instant> {
+    pub fn majority_confirmed_at(&self) -> Option<Instant> {
         let mut times: Vec<_> =
             self.servers.values().filter_map(|view| view.confirmed_sent_at).collect();
         times.sort_unstable_by(|a, b| b.cmp(a));
@@ -247,7 +247,7 @@
     }
 
     /// Forgets which servers have confirmed our term.
-    pub fn forget_currency(&mut self) {
+    pub fn clear_term_confirmations(&mut self) {
         for view in self.servers.values_mut() {
             view.confirmed_sent_at = None;
             view.detector.forgive();
@@ -257,13 +257,13 @@
     /// Whether reads may be answered at `now`.
     #[must_use]
     pub fn is_current(&self, now: Instant) -> bool {
-        let Phase::Serving { answers_from, .. } = &self.phase else {
+        let Phase::Serving { acknowledge_from, .. } = &self.phase else {
             return false;
         };
         let confirmed = self
-            .current_as_of()
-            .is_some_and(|at| now.saturating_duration_since(at) < self.timing.currency);
-        confirmed && now >= *answers_from
+            .majority_confirmed_at()
+            .is_some_and(|at| now.saturating_duration_since(at) < self.timing.confirmation_max_age);
+        confirmed && now >= *acknowledge_from
     }
 
     /// The newest position of our term that a replica has received. Whatever
@@ -343,17 +343,17 @@
             Phase::BackingOff { until } => now < until && cause != TakeCause::Handover,
             _ => false,
         };
-        if self.is_engaged() || backing_off {
+        if self.owns_or_is_taking() || backing_off {
             return Vec::new();
         }
         self.avoid.clear();
-        self.retried_at_once = false;
-        self.majority_seen_at = Some(now);
+        self.retried_after_refusal = false;
+        self.majority_reached_at = Some(now);
         self.start_fencing(now, cause)
     }
 
     fn tick(&mut self, now: Instant) -> Vec<OwnershipAction> {
-        self.forgive_after_pause(now);
+        self.reset_after_pause(now);
         match &self.phase {
             Phase::Idle => Vec::new(),
             Phase::BackingOff { until } => {
@@ -382,7 +382,7 @@
         }
     }
 
-    fn forgive_after_pause(&mut self, now: Instant) {
+    fn reset_after_pause(&mut self, now: Instant) {
         let paused =
             self.last_tick_at.is_some_and(|last| now.saturating_duration_since(last) > PAUSE_GAP);
         self.last_tick_at = Some(now);
@@ -392,7 +392,7 @@
         for view in self.servers.values_mut() {
             view.detector.forgive();
         }
-        self.majority_seen_at = Some(now);
+        self.majority_reached_at = Some(now);
     }
 
     /// A request came in for this database.
@@ -414,7 +414,7 @@
     }
 
     fn lose(&mut self, now: Instant, reason: LossReason) -> Vec<OwnershipAction> {
-        if !self.is_engaged() {
+        if !self.owns_or_is_taking() {
             return Vec::new();
         }
         // One who could not reach a majority leaves the field to instances
--- a/lib/src/ownership/fencing.rs
+++ b/lib/src/ownership/fencing.rs
@@ -127,8 +127,8 @@
         // The first refusal only tells the current term to one who did not
         // know it. A second one is a race with another instance, unless the
         // term is our own from before a restart.
-        if !self.retried_at_once || instance_of(owner) == &*self.me {
-            self.retried_at_once = true;
+        if !self.retried_after_refusal || instance_of(owner) == &*self.me {
+            self.retried_after_refusal = true;
             return self.start_fencing(now, cause);
         }
         self.back_off(now)
@@ -148,12 +148,12 @@
         };
         // The servers that did not answer may be dead. Waiting a little for
         // them avoids promoting a replica when the old primary is alive.
-        let waited = now.saturating_duration_since(majority_at) >= self.timing.choose_wait;
-        let rest_is_silent =
+        let waited = now.saturating_duration_since(majority_at) >= self.timing.straggler_wait;
+        let rest_is_unreachable =
             self.servers.iter().filter(|(id, _)| !granted.contains_key(*id)).all(|(id, view)| {
                 failed.contains(id) || view.detector.misses() >= self.timing.misses_to_suspect
             });
-        if answered < self.servers.len() && !waited && !rest_is_silent {
+        if answered < self.servers.len() && !waited && !rest_is_unreachable {
             return Vec::new();
         }
         let (term, cause) = (*term, *cause);
@@ -169,27 +169,29 @@
     /// by themselves. Otherwise it may be the only one of them that holds an
     /// acknowledged write, and leaving it out would lose that write.
     fn choose(&self, granted: &BTreeMap<TargetId, ServerState>, majority: usize) -> TargetId {
-        let wanted = granted.keys().filter(|id| !self.is_unwanted(id)).count();
-        let pass_over = wanted >= majority;
+        let wanted = granted.keys().filter(|id| !self.should_avoid(id)).count();
+        let can_exclude = wanted >= majority;
         let best = granted
             .iter()
-            .filter(|(id, _)| !(pass_over && self.avoid.contains(*id)))
+            .filter(|(id, _)| !(can_exclude && self.avoid.contains(*id)))
             .max_by_key(|(id, state)| {
-                let wanted = !self.is_unwanted(id);
+                let wanted = !self.should_avoid(id);
                 let is_primary = self.primary.as_ref() == Some(*id) || state.is_primary;
-                let near = self.is_near(id);
+                let near = self.is_in_own_domain(id);
                 (state.received, wanted, is_primary, near)
             });
         best.map(|(id, _)| id.clone()).expect("a majority was fenced, so at least one server was")
     }
 
-    pub(super) fn is_unwanted(&self, server: &TargetId) -> bool {
+    pub(super) fn should_avoid(&self, server: &TargetId) -> bool {
         let leaving = self.servers.get(server).is_some_and(|view| view.server.leaving);
         leaving || self.avoid.contains(server)
     }
 
-    pub(super) fn is_near(&self, server: &TargetId) -> bool {
-        self.servers.get(server).is_some_and(|view| view.server.failure_domain == self.near)
+    pub(super) fn is_in_own_domain(&self, server: &TargetId) -> bool {
+        self.servers
+            .get(server)
+            .is_some_and(|view| view.server.failure_domain == self.failure_domain)
     }
 
     pub(super) fn promoted(
@@ -216,12 +218,12 @@
                 return self.promotion_failed(now, server.clone());
             }
         };
-        let answers_from = if cause.earlier_owner_may_serve() {
-            majority_at + self.timing.currency
+        let acknowledge_from = if cause.earlier_owner_may_serve() {
+            majority_at + self.timing.confirmation_max_age
         } else {
             majority_at
         };
-        self.serve(server, term, first, answers_from, cause)
+        self.serve(server, term, first, acknowledge_from, cause)
     }
 
     pub(super) fn serve(
@@ -229,12 +231,12 @@
         primary: &TargetId,
         term: Term,
         first: Position,
-        answers_from: Instant,
+        acknowledge_from: Instant,
         cause: TakeCause,
     ) -> Vec<OwnershipAction> {
         self.primary = Some(primary.clone());
         self.avoid.clear();
-        self.phase = Phase::Serving { term, primary: primary.clone(), first, answers_from };
+        self.phase = Phase::Serving { term, primary: primary.clone(), first, acknowledge_from };
         if let Some(state) = self.servers.get_mut(primary).and_then(|view| view.state.as_mut()) {
             state.is_primary = true;
             state.received = first;
@@ -244,7 +246,7 @@
             term,
             primary: primary.clone(),
             first,
-            answers_from,
+            acknowledge_from,
             cause,
         }];
         let others = self.servers.keys().filter(|id| *id != primary);
--- a/lib/src/ownership/watching.rs
+++ b/lib/src/ownership/watching.rs
@@ -71,10 +71,10 @@
             .filter(|view| view.detector.misses() < self.timing.misses_to_suspect)
             .count();
         if reachable >= self.majority() {
-            self.majority_seen_at = Some(now);
+            self.majority_reached_at = Some(now);
             return false;
         }
-        self.majority_seen_at
+        self.majority_reached_at
             .is_some_and(|at| now.saturating_duration_since(at) >= self.timing.isolation_limit)
     }
 
@@ -86,7 +86,7 @@
             let others = self.reachable_others(primary).count();
             return (others >= self.majority()).then_some(TakeCause::PrimarySilent);
         }
-        if self.is_unheard(primary) {
+        if self.is_cut_off_from_replicas(primary) {
             return Some(TakeCause::PrimaryUnheard);
         }
         None
@@ -104,17 +104,17 @@
     /// Whether a majority of servers, all of them replicas we can reach, has
     /// not heard from the primary. It still answers us, but no write on it
     /// can be confirmed.
-    pub(super) fn is_unheard(&self, primary: &TargetId) -> bool {
+    pub(super) fn is_cut_off_from_replicas(&self, primary: &TargetId) -> bool {
         let mut unheard = 0;
         for view in self.reachable_others(primary) {
             let Some(state) = &view.state else {
                 continue;
             };
             let follows = state.follows.as_ref() == Some(primary);
-            let Some(heard) = state.primary_heard else {
+            let Some(heard) = state.since_primary_contact else {
                 continue;
             };
-            if !follows || heard < self.timing.unheard_limit {
+            if !follows || heard < self.timing.replication_timeout {
                 return false;
             }
             unheard += 1;
@@ -130,7 +130,7 @@
     ) -> Vec<OwnershipAction> {
         self.avoid.clear();
         self.avoid.insert(primary);
-        self.retried_at_once = true;
+        self.retried_after_refusal = true;
         let mut actions = vec![OwnershipAction::Pause { cause }];
         actions.extend(self.start_fencing(now, cause));
         actions
--- a/lib/src/peer_contact.rs
+++ b/lib/src/peer_contact.rs
@@ -23,23 +23,23 @@
 ///
 /// Many times the way there and back twice (6 ms between failure domains), and
 /// more than the turns that an instance with an eighth of a core waits for.
-pub const SIGN_LIMIT: Duration = Duration::from_millis(100);
+pub const LIVENESS_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// A statement without an answer for this long makes its sender ask for a sign
 /// of life. Three times the usual statement (18 ms), so that few ask in vain.
-pub const SIGN_AFTER: Duration = Duration::from_millis(60);
+pub const LIVENESS_CHECK_AFTER: Duration = Duration::from_millis(60);
 
 /// After an instance was found silent, others have to have given a sign of life
 /// for this long: a partition rarely takes one alone. Longer than the time in
 /// which all instances in use are asked.
-const ALARM: Duration = Duration::from_secs(2);
+const SUSPICION_PERIOD: Duration = Duration::from_secs(2);
 
 /// How long a sign of life lasts during an alarm.
-const SIGN_LASTS: Duration = Duration::from_secs(1);
+const LIVENESS_VALIDITY: Duration = Duration::from_secs(1);
 
 /// Time between two questions to a silent instance; what one more that is cut
 /// off costs each that wants it.
-const ASK_AGAIN: Duration = Duration::from_millis(400);
+const RECHECK_INTERVAL: Duration = Duration::from_millis(400);
 
 /// What is known of another instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -48,13 +48,13 @@
     Heard,
     /// Others are silent, and it has not been heard since: it has to give a
     /// sign of life first.
-    Unproven,
+    Unverified,
     /// It did not answer when it was last asked.
     Silent,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Known {
+struct PeerState {
     heard_at: Moment,
     silent: bool,
     asked_at: Moment,
@@ -63,16 +63,16 @@
 /// The contacts of one instance.
 #[derive(Clone, Debug, Default)]
 pub struct PeerContacts {
-    known: HashMap<InstanceId, Known>,
+    peers: HashMap<InstanceId, PeerState>,
     /// The last alarm, from when on others have to have been heard.
-    alarm: Option<(Moment, Moment)>,
+    suspicion: Option<(Moment, Moment)>,
 }
 
 impl PeerContacts {
     /// An instance answered something that was sent at `asked_at`. Returns
     /// whether it was silent before.
     pub fn heard(&mut self, asked_at: Moment, id: &InstanceId) -> bool {
-        let known = self.known.entry(id.clone()).or_default();
+        let known = self.peers.entry(id.clone()).or_default();
         known.heard_at = known.heard_at.max(asked_at);
         std::mem::take(&mut known.silent)
     }
@@ -80,48 +80,48 @@
     /// An instance did not answer something that was sent at `asked_at`. Returns
     /// whether that is news.
     pub fn missed(&mut self, now: Moment, asked_at: Moment, id: &InstanceId) -> bool {
-        let known = self.known.entry(id.clone()).or_default();
+        let known = self.peers.entry(id.clone()).or_default();
         // Somebody else heard it meanwhile.
         if known.heard_at > asked_at {
             return false;
         }
         known.asked_at = now;
-        let news = !std::mem::replace(&mut known.silent, true);
-        if news {
-            let since = match self.alarm {
+        let newly_unreachable = !std::mem::replace(&mut known.silent, true);
+        if newly_unreachable {
+            let since = match self.suspicion {
                 Some((since, until)) if until > now => since,
                 _ => asked_at,
             };
-            self.alarm = Some((since, now + ALARM));
+            self.suspicion = Some((since, now + SUSPICION_PERIOD));
         }
-        news
+        newly_unreachable
     }
 
     /// What is known of an instance.
     #[must_use]
     pub fn contact(&self, now: Moment, id: &InstanceId) -> Contact {
-        let known = self.known.get(id).copied().unwrap_or_default();
+        let known = self.peers.get(id).copied().unwrap_or_default();
         if known.silent {
             return Contact::Silent;
         }
-        let alarm = self.alarm.filter(|(_, until)| *until > now);
-        let Some((since, _)) = alarm else {
+        let suspicion = self.suspicion.filter(|(_, until)| *until > now);
+        let Some((since, _)) = suspicion else {
             return Contact::Heard;
         };
-        if known.heard_at >= since && known.heard_at + SIGN_LASTS > now {
+        if known.heard_at >= since && known.heard_at + LIVENESS_VALIDITY > now {
             return Contact::Heard;
         }
-        Contact::Unproven
+        Contact::Unverified
     }
 
     /// Whether an instance that is not heard should be asked now for a sign of
     /// life. It counts as asked.
-    pub fn take_question(&mut self, now: Moment, id: &InstanceId) -> bool {
+    pub fn take_due_liveness_check(&mut self, now: Moment, id: &InstanceId) -> bool {
         if self.contact(now, id) == Contact::Heard {
             return false;
         }
-        let known = self.known.entry(id.clone()).or_default();
-        let pause = if known.silent { ASK_AGAIN } else { SIGN_LIMIT };
+        let known = self.peers.entry(id.clone()).or_default();
+        let pause = if known.silent { RECHECK_INTERVAL } else { LIVENESS_TIMEOUT };
         let due = known.asked_at + pause <= now;
         if due {
             known.asked_at = now;
@@ -131,6 +131,6 @@
 
     /// Forgets instances that are gone.
     pub fn keep_only(&mut self, exists: impl Fn(&InstanceId) -> bool) {
-        self.known.retain(|id, _| exists(id));
+        self.peers.retain(|id, _| exists(id));
     }
 }
--- a/lib/src/succession.rs
+++ b/lib/src/succession.rs
@@ -17,7 +17,7 @@
 
 /// Instances kept of each ranking. One is the owner, two watch it, and one
 /// more is ready when one of these goes.
-pub const DEPTH: usize = 4;
+pub const RANKING_DEPTH: usize = 4;
 
 /// An instance in a ranking; greater is better.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug, Default)]
 struct Ranking {
     near: Option<FailureDomainId>,
-    /// Best first, at most [`DEPTH`].
+    /// Best first, at most [`RANKING_DEPTH`].
     top: Vec<Ranked>,
 }
 
@@ -41,7 +41,7 @@
     candidates: BTreeMap<InstanceId, FailureDomainId>,
     rankings: HashMap<DatabaseId, Ranking>,
     /// Databases in whose ranking we are.
-    mine: BTreeSet<DatabaseId>,
+    ranked_databases: BTreeSet<DatabaseId>,
 }
 
 fn rank_one(
@@ -61,35 +61,40 @@
     /// No databases, and no candidates.
     #[must_use]
     pub fn new(me: InstanceId) -> Self {
-        Self { me, candidates: BTreeMap::new(), rankings: HashMap::new(), mine: BTreeSet::new() }
+        Self {
+            me,
+            candidates: BTreeMap::new(),
+            rankings: HashMap::new(),
+            ranked_databases: BTreeSet::new(),
+        }
     }
 
     /// Takes the databases of a configuration. Only those that are new, or
     /// lie elsewhere than before, are ranked anew.
     pub fn set_databases(&mut self, views: &[DatabaseView]) {
         let mut old = std::mem::take(&mut self.rankings);
-        self.mine.clear();
+        self.ranked_databases.clear();
         for view in views {
             let known = old.remove(&view.id).filter(|ranking| ranking.near == view.near);
             let ranking = known.unwrap_or_else(|| self.rank_all(&view.id, view.near.clone()));
-            self.note_mine(&view.id, &ranking);
+            self.update_ranked_databases(&view.id, &ranking);
             self.rankings.insert(view.id.clone(), ranking);
         }
     }
 
     fn rank_all(&self, database: &str, near: Option<FailureDomainId>) -> Ranking {
-        let mut top: Vec<Ranked> = Vec::with_capacity(DEPTH + 1);
+        let mut top: Vec<Ranked> = Vec::with_capacity(RANKING_DEPTH + 1);
         for (id, domain) in &self.candidates {
             insert(&mut top, rank_one(database, near.as_ref(), id, domain));
         }
         Ranking { near, top }
     }
 
-    fn note_mine(&mut self, database: &DatabaseId, ranking: &Ranking) {
+    fn update_ranked_databases(&mut self, database: &DatabaseId, ranking: &Ranking) {
         if ranking.top.iter().any(|ranked| ranked.id == self.me) {
-            self.mine.insert(database.clone());
+            self.ranked_databases.insert(database.clone());
         } else {
-            self.mine.remove(database);
+            self.ranked_databases.remove(database);
         }
     }
 
@@ -107,7 +112,7 @@
                 changed.push(database.clone());
             }
         }
-        self.note_changed(&changed);
+        self.update_changed(&changed);
     }
 
     /// An instance cannot own databases any more.
@@ -127,20 +132,20 @@
             self.rankings.insert(database.clone(), ranking);
         }
         let names: Vec<_> = changed.into_iter().map(|(database, _)| database).collect();
-        self.note_changed(&names);
+        self.update_changed(&names);
     }
 
-    fn note_changed(&mut self, databases: &[DatabaseId]) {
+    fn update_changed(&mut self, databases: &[DatabaseId]) {
         for database in databases {
             if let Some(ranking) = self.rankings.get(database).cloned() {
-                self.note_mine(database, &ranking);
+                self.update_ranked_databases(database, &ranking);
             }
         }
     }
 
     /// Our place among the first few, not counting `without`.
     #[must_use]
-    pub fn rank_of_me(&self, database: &str, without: Option<&str>) -> Option<usize> {
+    pub fn own_rank(&self, database: &str, without: Option<&str>) -> Option<usize> {
         let ranking = self.rankings.get(database)?;
         let others = ranking.top.iter().filter(|ranked| Some(&*ranked.id) != without);
         let mut ids = others.map(|ranked| &ranked.id);
@@ -148,8 +153,8 @@
     }
 
     /// Databases in whose ranking we are.
-    pub fn mine(&self) -> impl Iterator<Item = &DatabaseId> {
-        self.mine.iter()
+    pub fn ranked_databases(&self) -> impl Iterator<Item = &DatabaseId> {
+        self.ranked_databases.iter()
     }
 
     /// The best candidate for a database that lies near `near`.
@@ -164,10 +169,10 @@
 /// Puts an instance in its place if it is among the first few.
 fn insert(top: &mut Vec<Ranked>, ranked: Ranked) -> bool {
     let place = top.partition_point(|other| *other > ranked);
-    if place >= DEPTH {
+    if place >= RANKING_DEPTH {
         return false;
     }
     top.insert(place, ranked);
-    top.truncate(DEPTH);
+    top.truncate(RANKING_DEPTH);
     true
 }
--- a/lib/tests/test_decisions.rs
+++ b/lib/tests/test_decisions.rs
@@ -30,7 +30,7 @@
 use chervilwharf_lib::routing::ReadTarget;
 use chervilwharf_lib::routing::Route;
 use chervilwharf_lib::routing::choose;
-use chervilwharf_lib::succession::DEPTH;
+use chervilwharf_lib::succession::RANKING_DEPTH;
 use chervilwharf_lib::succession::Succession;
 use prost::Message;
 use quickcheck::quickcheck;
@@ -343,7 +343,7 @@
 
 /// The kept rankings are those one would get by ranking everything anew.
 #[test]
-fn test_succession_follows_every_change_of_membership() {
+fn test_succession_matches_full_ranking_after_every_membership_change() {
     fn property(changes: Vec<(bool, u8)>) -> bool {
         let me: InstanceId = "instance-0".into();
         let domain = |n: u8| -> Arc<str> { format!("domain-{}", n % 3).into() };
@@ -371,14 +371,14 @@
                 .collect();
             for view in &views {
                 let all = rank(&view.id, &candidates, view.near.as_ref());
-                let place = all.iter().take(DEPTH).position(|id| *id == me);
-                if succession.rank_of_me(&view.id, None) != place {
+                let place = all.iter().take(RANKING_DEPTH).position(|id| *id == me);
+                if succession.own_rank(&view.id, None) != place {
                     return false;
                 }
                 if succession.best(&view.id, view.near.as_ref()) != all.first().cloned() {
                     return false;
                 }
-                if succession.mine().any(|id| *id == view.id) != place.is_some() {
+                if succession.ranked_databases().any(|id| *id == view.id) != place.is_some() {
                     return false;
                 }
             }
--- a/lib/tests/test_ownership.rs
+++ b/lib/tests/test_ownership.rs
@@ -19,7 +19,7 @@
         |id: &str| GroupServer { id: id.into(), failure_domain: "domain".into(), leaving: false };
     Ownership::new(
         "entry-1".into(),
-        ownership::holder("entry-1", life),
+        ownership::holder_id("entry-1", life),
         "domain".into(),
         "db".into(),
         vec![server("a"), server("b"), server("c")],
@@ -30,12 +30,12 @@
 fn granted(term: u64, received: Position) -> ServerState {
     ServerState {
         term,
-        owner: ownership::holder("entry-1", "2"),
+        owner: ownership::holder_id("entry-1", "2"),
         is_primary: false,
         follows: None,
         received,
         applied: received,
-        primary_heard: None,
+        since_primary_contact: None,
     }
 }
 
@@ -57,7 +57,7 @@
     let mut after = new_ownership("2");
     let first = after.handle(now, OwnershipEvent::Take(TakeCause::Vacant));
     assert_eq!(fence_terms(&first), [1, 1, 1]);
-    let owner = ownership::holder("entry-1", "1");
+    let owner = ownership::holder_id("entry-1", "1");
     let result = Err(FenceFailure::HigherTerm { term: 1, owner });
     let refused = OwnershipEvent::Fenced { server: "a".into(), term: 1, result };
     let second = after.handle(now, refused);
