--- a/lib/src/instance.rs
+++ b/lib/src/instance.rs
@@ -1,8 +1,10 @@
-//! One whole instance as a value: membership and all its databases.
+//! State machine of one instance: its membership in the fleet and the ownership
+//! of all databases.
 //!
-//! The daemon and the tests drive the same value. Databases are spread over
-//! shards, each under its own lock, so that requests for different databases
-//! do not wait for each other.
+//! The daemon and the tests drive the same state machine: they pass events in and
+//! perform the actions that it returns. Databases are spread over shards, each
+//! with its own lock, so that requests for different databases rarely wait for
+//! each other.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -40,97 +42,97 @@
 use crate::pool::ServerPool;
 use crate::position::Position;
 
-/// Shards of an instance. A small multiple of the cores of an entry instance.
+/// Number of shards of an instance: a small multiple of its processor cores.
 const SHARD_COUNT: usize = 16;
 
-/// A group whose log is shorter may not have its ledger yet: its first owner
-/// can have died before it was made.
+/// Largest index of a group's log up to which the ledger table may be missing: the
+/// first owner of the group may have failed before it created the table.
 const MAX_LOG_WITHOUT_LEDGER: u64 = 16;
 
-/// Opening of connections to one server is spaced by this.
+/// Shortest interval between the opening of two connections to one server.
 const OPENING_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Something the instance has to know.
+/// Input of the state machine.
 #[derive(Clone, Debug)]
 pub enum InstanceEvent {
-    /// Time passed.
+    /// Time has passed.
     Tick,
-    /// Something happened to one database.
+    /// An event for the ownership of one database.
     Ownership {
         /// The database.
         database: DatabaseId,
-        /// What happened.
+        /// The event.
         event: OwnershipEvent,
     },
     /// A heartbeat of another instance arrived.
     Heartbeat(HeartbeatBody),
     /// A heartbeat was answered.
     HeartbeatAnswered {
-        /// Number of the heartbeat.
+        /// Sequence number of the heartbeat.
         sequence: u64,
-        /// The answer.
+        /// Content of the answer.
         body: HeartbeatBody,
     },
     /// A heartbeat could not be delivered.
     HeartbeatFailed {
-        /// To whom.
+        /// Receiver of the heartbeat.
         peer: InstanceId,
-        /// Number of the heartbeat.
+        /// Sequence number of the heartbeat.
         sequence: u64,
     },
-    /// The platform or the settings list instances.
+    /// The platform or the settings supplied a list of instances.
     Listed(Vec<PeerInfo>),
-    /// Someone knows who owns a database.
+    /// The owner of a database was observed, for example in the platform's store.
     OwnerKnown {
         /// The database.
         database: DatabaseId,
         /// Its owner.
         record: OwnerRecord,
     },
-    /// Another instance passes a database to us.
+    /// Another instance offers to hand over a database to this one.
     HandoverOffered {
         /// The database.
         database: DatabaseId,
         /// Term of the earlier owner.
         term: Term,
     },
-    /// A handover by us ended.
+    /// A handover by this instance ended.
     HandoverEnded {
         /// The database.
         database: DatabaseId,
-        /// Whether the other instance took it.
+        /// Whether the other instance confirmed that it takes the database.
         accepted: bool,
     },
-    /// This instance has to stop: pass on all databases.
+    /// This instance is about to stop and hands over all its databases.
     Leave,
 }
 
-/// Something the driver has to do.
+/// Action that the driver of the state machine has to perform.
 #[derive(Clone, Debug)]
 pub enum InstanceAction {
-    /// For one database.
+    /// Perform an action for the ownership of one database.
     Ownership {
         /// The database.
         database: DatabaseId,
-        /// What to do.
+        /// The action.
         action: OwnershipAction,
     },
     /// Send a heartbeat.
     SendHeartbeat {
-        /// To whom.
+        /// Receiver of the heartbeat.
         peer: PeerInfo,
-        /// Its number.
+        /// Sequence number of the heartbeat.
         sequence: u64,
-        /// Its content.
+        /// Content of the heartbeat.
         body: HeartbeatBody,
     },
-    /// Finish what is in progress, then pass a database on.
+    /// Finish the work in progress, then hand over a database.
     HandOver {
         /// The database.
         database: DatabaseId,
-        /// Our term.
+        /// Term in which this instance serves it.
         term: Term,
-        /// To whom.
+        /// Instance that should take it.
         to: InstanceId,
     },
     /// Stop writes until a replica has caught up, then replace the primary.
@@ -138,58 +140,61 @@
         /// The database.
         database: DatabaseId,
     },
-    /// Tell the platform's store who owns a database.
+    /// Publish the owner of a database in the platform's store.
     PublishOwner {
         /// The database.
         database: DatabaseId,
         /// Its owner.
         record: OwnerRecord,
     },
-    /// A peer has a newer configuration.
+    /// Fetch a newer configuration from a peer.
     PullConfiguration {
         /// The peer.
         peer: InstanceId,
-        /// Its version.
+        /// Version of the configuration at the peer.
         version: ConfigVersion,
     },
 }
 
-/// Everything an instance knows of one database.
+/// State of one database at an instance.
 #[derive(Debug)]
 pub struct DatabaseState {
-    /// Ownership and the state of the servers.
+    /// Ownership of the database and the observed state of its servers.
     pub ownership: Ownership,
-    /// How current reads must be, while we own the database.
+    /// Lowest positions that reads must have, while this instance owns the
+    /// database.
     pub floors: Floors,
-    /// Slots of each server.
+    /// Queue for the statement slots of each server.
     pub slots: BTreeMap<TargetId, SlotQueue>,
     /// Connections to each server.
     pub pools: BTreeMap<TargetId, ServerPool>,
-    /// Whether the ledger is known to exist. Without it no write may start:
-    /// it could not be recorded.
+    /// Whether the ledger table is known to exist. No write may start without it,
+    /// because the write could not be recorded.
     pub ledger_ready: bool,
     /// Whether new work may start.
     pub gate: Gate,
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub in_progress: usize,
-    /// Interactive transactions that are open.
+    /// Number of open interactive transactions.
     pub open_transactions: usize,
 }
 
 /// Whether new work may start on a database.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Gate {
-    /// It may.
+    /// New work may start.
     #[default]
     Open,
-    /// A handover is near: open transactions go on, new ones wait.
+    /// A handover or the replacement of a leaving primary is being prepared: open
+    /// transactions continue, new ones wait.
     NoNewTransactions,
-    /// Nothing new starts; what is in progress ends.
+    /// No new work starts; work in progress finishes.
     Closed,
 }
 
 impl DatabaseState {
-    /// Whether nothing has to happen here as time passes.
+    /// Whether this database needs no ticks: this instance neither owns nor takes
+    /// it, no wait is running, and the gate is open.
     fn needs_no_ticks(&self) -> bool {
         *self.ownership.phase() == Phase::Idle && self.gate == Gate::Open
     }
@@ -206,15 +211,16 @@
     }
 }
 
-/// Databases under one lock.
+/// Databases that share one lock.
 #[derive(Debug, Default)]
 pub struct Shard {
     databases: BTreeMap<DatabaseId, DatabaseState>,
-    /// Databases that need ticks: those we own, or lately tried to own.
+    /// Databases that need ticks: those that this instance owns or recently owned
+    /// or tried to take.
     active: BTreeSet<DatabaseId>,
 }
 
-/// One instance.
+/// State machine of one instance. All methods can be called from several threads.
 #[derive(Debug)]
 pub struct Instance {
     membership: Mutex<Membership>,
@@ -228,8 +234,8 @@
 }
 
 impl Instance {
-    /// An instance without databases. `life` tells this life of the instance
-    /// from those before a restart.
+    /// Creates an instance without databases. `life` is the number of this
+    /// incarnation, which distinguishes it from those before a restart.
     #[must_use]
     pub fn new(
         me: PeerInfo,
@@ -247,13 +253,15 @@
         }
     }
 
-    /// Name of this life of the instance, as told to servers.
+    /// Returns the holder id of this incarnation of the instance, as reported to
+    /// servers.
     #[must_use]
     pub fn holder(&self) -> &HolderId {
         &self.holder
     }
 
-    /// This instance's view of the others.
+    /// Locks and returns the membership. The lock is held until the guard is
+    /// dropped.
     pub fn membership(&self) -> MutexGuard<'_, Membership> {
         lock(&self.membership)
     }
@@ -264,7 +272,8 @@
         lock(&self.shards[index])
     }
 
-    /// Runs `f` on a database while its shard is locked.
+    /// Runs `f` on a database while its shard is locked. Returns `None` if the
+    /// instance does not have the database.
     pub fn with_database<R>(
         &self,
         database: &str,
@@ -273,7 +282,7 @@
         self.shard(database).databases.get_mut(database).map(f)
     }
 
-    /// Names of all databases.
+    /// Returns the names of all databases.
     #[must_use]
     pub fn database_ids(&self) -> Vec<DatabaseId> {
         let shards = self.shards.iter();
@@ -282,7 +291,8 @@
         ids.collect()
     }
 
-    /// Puts a configuration in force.
+    /// Applies a configuration: adds, updates and removes databases, and announces
+    /// the version in heartbeats.
     pub fn configure(&self, config: &Config, version: ConfigVersion) {
         let me = self.membership().me().clone();
         for (id, database) in &config.databases {
@@ -313,7 +323,7 @@
                 in_progress: 0,
                 open_transactions: 0,
             });
-            // The state machine has no action for a mere change of servers.
+            // A change of servers alone yields no actions.
             state.ownership.handle(Instant::now(), OwnershipEvent::Servers(servers));
             for server in &database.servers {
                 state
@@ -336,7 +346,7 @@
         membership.set_configuration_version(version);
     }
 
-    /// Takes an event and returns what has to be done.
+    /// Processes an event and returns the actions that the driver has to perform.
     pub fn handle(&self, now: Instant, event: InstanceEvent) -> Vec<InstanceAction> {
         match event {
             InstanceEvent::Tick => self.tick(now),
@@ -399,7 +409,8 @@
         vec![InstanceAction::PullConfiguration { peer: body.sender.id.clone(), version }]
     }
 
-    /// Content of a heartbeat of ours.
+    /// Returns the content of the next heartbeat, or of an answer to one. Each
+    /// call counts as a transmission of the included rumors.
     #[must_use]
     pub fn heartbeat_body(&self) -> HeartbeatBody {
         let owned = self.owned();
@@ -408,7 +419,8 @@
         HeartbeatBody { sender: membership.me().clone(), owned, heard }
     }
 
-    /// Databases we own or are taking.
+    /// Returns the databases that this instance owns or is taking. The term is 0
+    /// for a database that it does not serve yet.
     #[must_use]
     pub fn owned(&self) -> Vec<(DatabaseId, Term)> {
         let mut owned = Vec::new();
@@ -507,9 +519,10 @@
     ) -> Vec<InstanceAction> {
         self.with_database(database, |state| state.gate = Gate::Open);
         if !accepted {
-            // The offer may have arrived and only its answer be lost. The
-            // other does not wait out our currency, so there must be none
-            // left until a majority has confirmed our term anew.
+            // The offer may have arrived and only its answer been lost. The other
+            // instance does not wait until the confirmations of this instance have
+            // expired. They are therefore cleared, so that this instance answers
+            // no reads until a majority has confirmed its term again.
             self.with_database(database, |state| state.ownership.clear_term_confirmations());
             return Vec::new();
         }
@@ -573,8 +586,10 @@
     }
 }
 
-/// Where a database lies by its configuration: all instances must see the
-/// same, and only its owner knows where its primary is now.
+/// Returns the placement properties of a database from its configuration alone.
+///
+/// All instances must compute the same result, and only the owner has the current
+/// primary, so the failure domain is that of the first configured server.
 fn configured_view((id, database): (&DatabaseId, &Database)) -> DatabaseView {
     let first = database.servers.first();
     DatabaseView { id: id.clone(), near: first.map(|server| server.failure_domain.clone()) }
@@ -582,8 +597,8 @@
 
 fn tick_database(now: Instant, id: &DatabaseId, state: &mut DatabaseState) -> Vec<InstanceAction> {
     if state.gate == Gate::Closed {
-        // No failover in the middle of a handover: the other side fences the
-        // group anyway.
+        // During a handover, this instance starts no failover: the other instance
+        // fences the servers anyway.
         return Vec::new();
     }
     let tick = state.ownership.handle(now, OwnershipEvent::Tick);
@@ -596,8 +611,8 @@
     actions
 }
 
-/// Brings the request state of a database in line before anyone else sees
-/// the new owner phase.
+/// Prepares the request state of a database for serving, under the same lock as
+/// the change of the phase, so that no request finds one without the other.
 fn prepare_requests(state: &mut DatabaseState, action: &OwnershipAction) {
     if let OwnershipAction::Serve { first, primary, .. } = action {
         state.ledger_ready = first.index > MAX_LOG_WITHOUT_LEDGER;
@@ -615,5 +630,5 @@
         .collect()
 }
 
-/// An instance shared by the tasks of the daemon.
+/// An [`Instance`] that the tasks of the daemon share.
 pub type SharedInstance = Arc<Instance>;
--- a/lib/src/keeper_lease.rs
+++ b/lib/src/keeper_lease.rs
@@ -1,9 +1,12 @@
-//! Which instance counts the operations of an account.
+//! Leases on shards of client accounts. The lease decides which instance counts
+//! the operations of an account against its quota.
 //!
-//! Accounts are divided into shards. The keeper of a shard holds a lease that
-//! more than half of its voters granted, so that two sides of a partition never
-//! both count. The voters are also the candidates: who finds that nobody renews
-//! the vote that it gave tries by itself, the first in their order soonest.
+//! Client accounts are divided into shards. The keeper of a shard is the instance
+//! that counts the operations of all its accounts. It holds a lease granted by
+//! more than half of the voters of the shard, so that instances on two sides of a
+//! partition never both count. The voters are also the candidates. A voter whose
+//! vote is not renewed tries to get the lease itself; the first in the order of
+//! candidates tries soonest.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -13,43 +16,47 @@
 use crate::moment::Moment;
 use crate::placement::stable_hash;
 
-/// Shards of accounts. More would divide the asking of a large fleet further;
-/// each costs its keeper a round of questions to the voters.
+/// Number of shards of client accounts. More shards would divide the requests of
+/// a large fleet among more keepers, but each shard costs its keeper a round of
+/// vote requests in every [`RENEWAL_INTERVAL`].
 pub const ACCOUNT_SHARDS: u32 = 8;
 
-/// Voters of a shard. Even, as those of a group: when one instance joins or goes,
-/// majorities before and after have a voter in common.
+/// Number of voters of a shard. It is even, as for the voters of a group: when one
+/// instance joins or leaves, each majority before and each majority after have a
+/// voter in common.
 const VOTERS: usize = 8;
 
-/// How long a vote binds a voter, counted from when it was given.
+/// Time for which a vote binds a voter, from when it granted the vote.
 ///
-/// Shorter, and a keeper on a busy instance loses it between two renewals;
-/// longer, and accounts wait longer when their keeper dies.
+/// With a shorter time, a keeper on a busy instance loses its lease between two
+/// renewals. With a longer time, accounts wait longer after their keeper failed.
 pub const VOTE_LEASE: Duration = Duration::from_millis(1_200);
 
-/// How much of it a keeper uses, counted from when it asked. The rest is for clocks of
-/// unlike speed.
+/// Time for which a keeper uses a vote, from when it sent the vote request. It is
+/// shorter than [`VOTE_LEASE`] to allow for clocks that run at different rates.
 const KEEPER_LEASE: Duration = Duration::from_millis(1_100);
 
-/// Time between two rounds of questions of a keeper to the voters.
+/// Interval between two rounds of vote requests from a keeper to the voters.
 pub const RENEWAL_INTERVAL: Duration = Duration::from_millis(300);
 
-/// How much later each next candidate tries. Two that try together divide the
-/// votes, and nobody keeps the shard until they are over.
+/// Additional wait of each candidate compared with the one before it. Two
+/// candidates that try at the same time can split the votes; then the shard has no
+/// keeper until these votes expire.
 const CANDIDATE_STAGGER: Duration = Duration::from_millis(200);
 
-/// Counts shards of accounts from 0.
+/// Number of a shard of client accounts, from 0.
 pub type ShardNumber = u32;
 
-/// The shard of an account.
+/// Returns the shard of a client account.
 #[must_use]
 #[allow(clippy::cast_possible_truncation, reason = "less than the number of shards")]
 pub fn shard_of(account: &str) -> ShardNumber {
     (stable_hash(&["account", account]) % u64::from(ACCOUNT_SHARDS)) as ShardNumber
 }
 
-/// The instances in the order in which they should keep a shard: those with the
-/// largest share of a processor first, since a keeper answers for all entries.
+/// Returns the instances in the order in which they should become keeper of a
+/// shard. Those with the largest share of a processor come first, since a keeper
+/// answers requests from all instances.
 #[must_use]
 pub fn candidates(shard: ShardNumber, recorded: &[InstanceRecord]) -> Vec<&InstanceRecord> {
     let number = shard.to_string();
@@ -61,36 +68,40 @@
     ordered
 }
 
-/// The instances that vote on the keeper of a shard, out of all that have a
-/// record. Whether they are alive has no part in it, as for groups.
+/// Returns the instances that vote on the keeper of a shard, out of all that have
+/// a record. As for groups, the choice does not depend on which instances
+/// respond: two sides of a partition would find different ones responsive, and
+/// each could form a majority of its own.
 #[must_use]
 pub fn voters(shard: ShardNumber, recorded: &[InstanceRecord]) -> Vec<InstanceRecord> {
     candidates(shard, recorded).into_iter().take(VOTERS).cloned().collect()
 }
 
-/// An instance in one of its lives.
+/// One incarnation of an instance that requests a vote.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// The instance.
+    /// Name of the instance.
     pub id: InstanceId,
-    /// Tells this run of it from earlier ones.
+    /// Number of the incarnation, that is, of one run of the instance between
+    /// start and exit.
     pub life: u64,
 }
 
-/// A voter's answer.
+/// Answer of a voter to a vote request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Vote {
-    /// The voter has voted for nobody else.
+    /// The voter has no unexpired vote for another candidate.
     Granted {
-        /// The voter has run for less than a lease: an earlier life of it may
-        /// have voted for somebody else.
+        /// Whether the voter has run for less than [`VOTE_LEASE`]. An earlier
+        /// incarnation of it may then have an unexpired vote for another
+        /// candidate.
         fresh: bool,
     },
-    /// It has voted for another one.
+    /// The voter has an unexpired vote for another candidate.
     Refused,
 }
 
-/// What this instance has voted for.
+/// The votes that this instance has granted.
 #[derive(Clone, Debug)]
 pub struct Votes {
     started_at: Moment,
@@ -98,16 +109,19 @@
 }
 
 impl Votes {
-    /// A life that has not voted yet.
+    /// Creates the votes of an incarnation that started at `started_at` and has
+    /// not voted yet.
     #[must_use]
     pub fn new(started_at: Moment) -> Self {
         Self { started_at, votes: HashMap::new() }
     }
 
-    /// A candidate wants to keep a shard.
+    /// Processes the vote request of a candidate that wants to become or to stay
+    /// keeper of a shard.
     pub fn ask(&mut self, now: Moment, shard: ShardNumber, candidate: Candidate) -> Vote {
         if let Some((other, until)) = self.votes.get(&shard) {
-            // Another life of the same instance: the earlier one is gone.
+            // A vote for an earlier incarnation of the same instance does not
+            // count: that incarnation has ended.
             if other.id != candidate.id && *until > now {
                 return Vote::Refused;
             }
@@ -116,7 +130,8 @@
         Vote::Granted { fresh: self.started_at + VOTE_LEASE > now }
     }
 
-    /// A keeper stops, or did not get enough votes: its shard is free.
+    /// Ends the vote for a candidate that stops being keeper or did not get enough
+    /// votes.
     pub fn release(&mut self, now: Moment, shard: ShardNumber, candidate: &Candidate) {
         if let Some((holder, until)) = self.votes.get_mut(&shard) {
             if holder == candidate {
@@ -125,15 +140,17 @@
         }
     }
 
-    /// Who keeps a shard, as far as this instance voted.
+    /// Returns the candidate for a shard that this instance has an unexpired vote
+    /// for.
     #[must_use]
     pub fn keeper(&self, now: Moment, shard: ShardNumber) -> Option<&InstanceId> {
         let (candidate, until) = self.votes.get(&shard)?;
         (*until > now).then_some(&candidate.id)
     }
 
-    /// Whether the candidate at `rank` among the voters should try to keep a
-    /// shard that is not renewed.
+    /// Whether the candidate at `rank` among the voters, from 0, should request
+    /// votes for a shard. That is so if the vote of this instance expired, or this
+    /// instance started without voting, `rank` times the stagger ago.
     #[must_use]
     pub fn should_try(&self, now: Moment, shard: ShardNumber, rank: u32) -> bool {
         let free_since = self.votes.get(&shard).map_or(self.started_at, |(_, until)| *until);
@@ -141,7 +158,7 @@
     }
 }
 
-/// A vote for a keeper.
+/// A vote that a candidate or keeper received.
 #[derive(Clone, Copy, Debug)]
 struct Grant {
     asked_at: Moment,
@@ -154,17 +171,17 @@
     }
 }
 
-/// A shard at an instance that keeps it, or tries to.
+/// The lease on one shard at an instance that is its keeper or tries to become it.
 #[derive(Clone, Debug, Default)]
 pub struct KeeperLease {
-    /// When the voters that granted were asked, and whether they were fresh.
+    /// The last vote of each voter that did not refuse since.
     granted: HashMap<InstanceId, Grant>,
-    /// Until when it was held when last looked at.
+    /// End of the lease as of the last call of `check`.
     held_until: Moment,
 }
 
 impl KeeperLease {
-    /// A voter that was asked at `asked_at` answered.
+    /// Records the answer of a voter to a vote request sent at `asked_at`.
     pub fn answered(&mut self, asked_at: Moment, voter: &InstanceId, vote: &Vote) {
         match vote {
             Vote::Granted { fresh } => {
@@ -176,38 +193,41 @@
         }
     }
 
-    /// Looks whether more than half of the voters grant it. Returns whether it
-    /// was gained now, after it was not held.
+    /// Computes the end of the lease from the received votes. Returns whether the
+    /// lease was not held before and is held now.
     pub fn check(&mut self, now: Moment, voters: &[InstanceRecord]) -> bool {
         let held_before = self.is_held(now);
         let grants = voters.iter().filter_map(|voter| self.granted.get(&voter.id));
         let valid: Vec<_> = grants.filter(|grant| grant.ends_at() > now).collect();
-        // A fresh voter may have voted for another one in an earlier life. That one
-        // is a voter as well, and refuses while it is at work.
+        // An earlier incarnation of a voter that started recently may have voted
+        // for another candidate. That candidate is a voter too and refuses while it
+        // holds the lease. So with such a voter, the lease is gained only if all
+        // voters grant it.
         let may_conflict = valid.iter().any(|grant| grant.fresh) && valid.len() < voters.len();
         if may_conflict && !held_before {
             return false;
         }
         let mut ends: Vec<_> = valid.iter().map(|grant| grant.ends_at()).collect();
         ends.sort_unstable_by(|a, b| b.cmp(a));
-        // The majority lasts until the first of its votes ends.
+        // The lease ends when so many votes have expired that the rest is no
+        // majority.
         self.held_until = ends.get(voters.len() / 2).copied().unwrap_or(Moment::ZERO);
         self.is_held(now) && !held_before
     }
 
-    /// Whether it is held.
+    /// Whether this instance holds the lease.
     #[must_use]
     pub fn is_held(&self, now: Moment) -> bool {
         self.held_until > now
     }
 
-    /// Whether any voter granted it.
+    /// Whether any voter granted a vote that it did not withdraw by a refusal.
     #[must_use]
     pub fn has_votes(&self) -> bool {
         !self.granted.is_empty()
     }
 
-    /// Gives it up.
+    /// Ends the lease and discards all votes.
     pub fn end(&mut self) {
         *self = Self::default();
     }
--- a/lib/src/membership.rs
+++ b/lib/src/membership.rs
@@ -1,4 +1,9 @@
-//! Which instances live, who owns what, and who has to take over.
+//! Membership of the fleet, as one instance observes it: which instances
+//! respond, which of them owns each database, and which databases this instance
+//! has to take over.
+//!
+//! Instances send each other heartbeats. A heartbeat lists the databases that
+//! its sender owns and spreads recent changes of ownership by gossip.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -16,26 +21,31 @@
 use crate::id::Term;
 use crate::succession::Succession;
 
-/// Times of the exchange between instances.
+/// Time limits of heartbeats and of changes of ownership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MembershipTiming {
-    /// Pace of heartbeats to each watched instance.
+    /// Interval between heartbeats to each watched instance, in a fleet where
+    /// every instance watches every other one.
     pub heartbeat_interval: Duration,
-    /// The same where not every instance watches every other one.
+    /// Interval between heartbeats to each watched instance, in a larger fleet.
     pub heartbeat_interval_large_fleet: Duration,
-    /// A heartbeat without an answer for this long is missed.
+    /// Time without an answer after which a heartbeat counts as missed.
     pub heartbeat_timeout: Duration,
-    /// Heartbeats missed in a row that make an instance silent.
+    /// Number of heartbeats missed in a row after which an instance counts as
+    /// unresponsive.
     pub misses_to_unresponsive: u32,
-    /// Wait after start before any database is considered vacant.
+    /// Time after start during which the instance takes no database that appears
+    /// to be without a working owner.
     pub startup_wait: Duration,
-    /// Each later successor waits this much longer than the one before.
+    /// Additional wait of each successor compared with the one before it.
     pub stagger: Duration,
-    /// How long an owner may omit a database before it counts as given up.
+    /// Time after which a database that its owner omits from heartbeats counts
+    /// as given up.
     pub omitted_grace: Duration,
-    /// Pace of looking for better owners.
+    /// Interval between searches for better placed owners.
     pub balance_interval: Duration,
-    /// Quiet time before a database moves to a better placed instance.
+    /// Time without a change of membership before a database moves to a better
+    /// placed instance.
     pub rebalance_after: Duration,
 }
 
@@ -55,40 +65,41 @@
     }
 }
 
-/// What instances tell each other about themselves.
+/// Description of an instance, as it sends it to others.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerInfo {
-    /// The instance.
+    /// Name of the instance.
     pub id: InstanceId,
-    /// Where other instances reach it.
+    /// Address for other instances.
     pub address: Arc<str>,
-    /// Where operators reach it.
+    /// Address for operators.
     pub admin_address: Arc<str>,
-    /// Where it runs.
+    /// Failure domain in which it runs.
     pub failure_domain: FailureDomainId,
-    /// It is about to stop.
+    /// Whether it is about to stop.
     pub leaving: bool,
-    /// Version of the configuration in force at it.
+    /// Version of the configuration that it uses.
     pub configuration_version: ConfigVersion,
 }
 
-/// Who owns a database, as far as is known.
+/// Owner of a database.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OwnerRecord {
     /// The owner.
     pub owner: InstanceId,
-    /// Its term. Of two records the one with the higher term is newer.
+    /// Term of the owner. Of two records, the one with the higher term is newer.
     pub term: Term,
 }
 
-/// Content of a heartbeat and of its answer.
+/// Content of a heartbeat and of the answer to one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HeartbeatBody {
     /// The sender.
     pub sender: PeerInfo,
-    /// Databases the sender owns or is taking.
+    /// Databases that the sender owns or is taking. The term is 0 for a database
+    /// that it does not serve yet.
     pub owned: Vec<(DatabaseId, Term)>,
-    /// Recent changes of ownership.
+    /// Recent changes of ownership that the sender passes on by gossip.
     pub heard: Vec<(DatabaseId, OwnerRecord)>,
 }
 
@@ -97,23 +108,24 @@
     info: PeerInfo,
     detector: Detector,
     owned: BTreeMap<DatabaseId, Term>,
-    /// Whether `owned` has been told by the peer itself.
+    /// Whether the peer itself has sent its description and `owned`.
     has_reported: bool,
 }
 
+/// A change of ownership that is spread by gossip.
 #[derive(Clone, Debug)]
 struct Rumor {
     record: OwnerRecord,
     transmissions_left: u32,
 }
 
-/// State of one instance's view of all others.
+/// Membership of the fleet as one instance observes it.
 #[derive(Clone, Debug)]
 pub struct Membership {
     me: PeerInfo,
     timing: MembershipTiming,
     peers: BTreeMap<InstanceId, Peer>,
-    /// Instances with a heartbeat on its way, or silent.
+    /// Instances with an unanswered heartbeat or with missed ones.
     probing: BTreeSet<InstanceId>,
     succession: Succession,
     owners: HashMap<DatabaseId, OwnerRecord>,
@@ -122,35 +134,38 @@
     started_at: Option<Instant>,
     changed_at: Option<Instant>,
     last_tick_at: Option<Instant>,
-    /// Last instance greeted in rotation.
+    /// Last instance that got a heartbeat in rotation.
     rotation: Option<InstanceId>,
     rotated_at: Option<Instant>,
     balanced_at: Option<Instant>,
 }
 
-/// Up to this many instances each watches every other one. Beyond it, an
-/// instance watches the owners it would succeed and a few more in rotation.
+/// Largest number of other instances with which an instance watches all of them.
+/// With more, it watches the owners that it would succeed, and sends heartbeats
+/// to a few more instances in rotation.
 const WATCH_ALL_LIMIT: usize = 8;
 
-/// Instances greeted in rotation, to spread what is new.
+/// Instances that get a heartbeat in each round of the rotation, which spreads
+/// changes of ownership.
 const ROTATING_PEERS: usize = 3;
 
-/// A rumor is sent this often. With three rotating peers a heartbeat it
-/// reaches all of 6,100 instances with high probability; configuration and
-/// the store's hint cover the rest.
+/// Number of heartbeats that carry a rumor; those sent at the same time to
+/// several instances count once. With three rotating peers a heartbeat, a rumor
+/// reaches all of 6,100 instances with high probability. The configuration and
+/// the owner published in the store cover the rest.
 const RUMOR_TRANSMISSIONS: u32 = 30;
 
-/// Rumors in one heartbeat, to bound its size.
+/// Largest number of rumors in one heartbeat, which bounds its size.
 const RUMORS_PER_HEARTBEAT: usize = 32;
 
-/// Successors that watch each owner.
+/// Number of successors that watch each owner.
 const SUCCESSORS: usize = 2;
 
-/// A gap between two ticks from which we conclude that we were paused.
+/// A longer gap between two ticks means that this process was paused.
 const PAUSE_GAP: Duration = Duration::from_millis(400);
 
 impl Membership {
-    /// The view of an instance that knows only itself.
+    /// Creates a membership without other instances.
     #[must_use]
     pub fn new(me: PeerInfo, timing: MembershipTiming) -> Self {
         let mut succession = Succession::new(me.id.clone());
@@ -173,24 +188,26 @@
         }
     }
 
-    /// This instance.
+    /// Returns the description of this instance.
     #[must_use]
     pub fn me(&self) -> &PeerInfo {
         &self.me
     }
 
-    /// Marks this instance as leaving.
+    /// Marks this instance as leaving, so that it is no longer a candidate for
+    /// ownership.
     pub fn leave(&mut self) {
         self.me.leaving = true;
         self.succession.remove(&self.me.id.clone());
     }
 
-    /// Takes the databases of a configuration.
+    /// Replaces the databases by those of a configuration.
     pub fn set_databases(&mut self, views: &[DatabaseView]) {
         self.succession.set_databases(views);
     }
 
-    /// Keeps the succession in line with what is known of an instance.
+    /// Adds an instance to the candidates for ownership if it is responsive and
+    /// not leaving, and removes it otherwise.
     fn sync_candidate(&mut self, id: &str) {
         let limit = self.timing.misses_to_unresponsive;
         match self.peers.get(id) {
@@ -202,12 +219,12 @@
         }
     }
 
-    /// Sets the configuration version announced to others.
+    /// Sets the configuration version sent in heartbeats.
     pub fn set_configuration_version(&mut self, version: ConfigVersion) {
         self.me.configuration_version = version;
     }
 
-    /// Learns of instances from the platform's list or from the settings.
+    /// Adds or updates instances from the platform's list or from the settings.
     pub fn learn(&mut self, now: Instant, peers: impl IntoIterator<Item = PeerInfo>) {
         for info in peers {
             self.learn_one(now, info);
@@ -220,7 +237,8 @@
         }
         let timeout = self.timing.heartbeat_timeout;
         if let Some(peer) = self.peers.get_mut(&info.id) {
-            // The platform's list lags: it may only add that a peer leaves.
+            // The platform's list may be out of date. It never clears `leaving`,
+            // and sets the addresses only until the peer has sent its own.
             peer.info.leaving |= info.leaving;
             if !peer.has_reported {
                 peer.info.address = info.address;
@@ -243,8 +261,8 @@
         self.sync_candidate(&id);
     }
 
-    /// Forgets instances that the platform no longer lists and that are
-    /// silent as well.
+    /// Removes instances that the platform no longer lists and that are
+    /// unresponsive as well.
     pub fn retain_listed(&mut self, listed: &BTreeSet<InstanceId>) {
         let limit = self.timing.misses_to_unresponsive;
         let gone: Vec<_> = self
@@ -260,13 +278,13 @@
         }
     }
 
-    /// What is known of an instance.
+    /// Returns the description of another instance.
     #[must_use]
     pub fn peer(&self, id: &str) -> Option<&PeerInfo> {
         self.peers.get(id).map(|peer| &peer.info)
     }
 
-    /// All other instances that are known.
+    /// Returns all other instances, each with whether it is responsive.
     pub fn peers(&self) -> impl Iterator<Item = (&PeerInfo, bool)> {
         self.peers.values().map(|peer| (&peer.info, self.is_responsive(peer)))
     }
@@ -275,13 +293,14 @@
         peer.detector.misses() < self.timing.misses_to_unresponsive
     }
 
-    /// Who owns a database, as far as is known.
+    /// Returns the newest known owner of a database.
     #[must_use]
     pub fn owner(&self, database: &str) -> Option<&OwnerRecord> {
         self.owners.get(database)
     }
 
-    /// Learns who owns a database. Returns whether this was new.
+    /// Records the owner of a database and spreads the record by gossip. Returns
+    /// whether the record was newer than the known one.
     pub fn observe_owner(&mut self, database: &DatabaseId, record: OwnerRecord) -> bool {
         let known = self.owners.get(database).map_or(0, |known| known.term);
         if record.term <= known {
@@ -317,7 +336,7 @@
         }
     }
 
-    /// A heartbeat was answered.
+    /// Records that a peer answered the heartbeat with this sequence number.
     pub fn answered(&mut self, now: Instant, peer: &str, sequence: u64) {
         let limit = self.timing.misses_to_unresponsive;
         let Some(entry) = self.peers.get_mut(peer) else {
@@ -330,7 +349,8 @@
         self.sync_candidate(peer);
     }
 
-    /// A heartbeat failed for certain.
+    /// Records that a heartbeat failed for certain, for example because the
+    /// connection was refused.
     pub fn failed(&mut self, peer: &str, sequence: u64) {
         if let Some(entry) = self.peers.get_mut(peer) {
             entry.detector.failed(sequence);
@@ -338,7 +358,8 @@
         self.sync_candidate(peer);
     }
 
-    /// Counts missed heartbeats and returns whom to send one now.
+    /// Counts missed heartbeats. Returns the instances that are due for one, each
+    /// with its sequence number.
     pub fn tick(&mut self, now: Instant) -> Vec<(PeerInfo, u64)> {
         self.started_at.get_or_insert(now);
         let paused =
@@ -363,8 +384,10 @@
         due
     }
 
-    /// Few instances can afford quick heartbeats; in a large fleet the bytes
-    /// count, and each owner still has two that watch it.
+    /// Returns the heartbeat interval for the size of the fleet.
+    ///
+    /// A small fleet can afford frequent heartbeats. In a large one the longer
+    /// interval limits the traffic; each owner is still watched by two instances.
     fn heartbeat_interval(&self) -> Duration {
         if self.peers.len() <= WATCH_ALL_LIMIT {
             self.timing.heartbeat_interval
@@ -373,8 +396,8 @@
         }
     }
 
-    /// Looks at the instances with a heartbeat on its way; the others cannot
-    /// have missed any.
+    /// Counts the missed heartbeats of the instances in `probing`. The others
+    /// have no unanswered heartbeat.
     fn count_missed(&mut self, now: Instant, paused: bool) {
         for id in self.probing.clone() {
             let Some(peer) = self.peers.get_mut(&id) else {
@@ -391,6 +414,7 @@
         }
     }
 
+    /// Returns the instances that may be due for a heartbeat.
     fn watched(&mut self, now: Instant) -> BTreeSet<InstanceId> {
         if self.peers.len() <= WATCH_ALL_LIMIT {
             return self.peers.keys().cloned().collect();
@@ -415,7 +439,8 @@
         watched
     }
 
-    /// The next few instances in the order of their names, over and over.
+    /// Returns the next few instances in the order of their names, and continues
+    /// with the first name after the last one.
     fn rotate(&mut self) -> Vec<InstanceId> {
         let after = self.rotation.take();
         let from = after.map_or(Bound::Unbounded, Bound::Excluded);
@@ -431,7 +456,8 @@
         next
     }
 
-    /// Changes of ownership to tell with the next heartbeat.
+    /// Returns the changes of ownership to send with the next heartbeat, and
+    /// counts one transmission of each.
     pub fn take_rumors(&mut self) -> Vec<(DatabaseId, OwnerRecord)> {
         let mut sent = Vec::new();
         for (database, rumor) in self.rumors.iter_mut().take(RUMORS_PER_HEARTBEAT) {
@@ -442,14 +468,18 @@
         sent
     }
 
-    /// Databases this instance may have to take.
+    /// Returns the databases that this instance is among the first candidates
+    /// for, so that it may have to take them.
     #[must_use]
     pub fn candidate_databases(&self) -> Vec<DatabaseId> {
         self.succession.ranked_databases().cloned().collect()
     }
 
-    /// Whether this instance has to take the database now, and because the
-    /// known owner is silent (`true`) or because there is none (`false`).
+    /// Whether this instance has to take the database now.
+    ///
+    /// Returns `Some(true)` if the known owner is unresponsive, `Some(false)` if
+    /// there is no owner or the owner has given the database up, and `None` if
+    /// this instance must not take it now.
     pub fn should_take(&mut self, now: Instant, database: &DatabaseId) -> Option<bool> {
         let started_at = self.started_at?;
         if self.me.leaving || now.saturating_duration_since(started_at) < self.timing.startup_wait {
@@ -476,8 +506,9 @@
 
     fn owner_fault(&self, record: &OwnerRecord, database: &str) -> Option<OwnerFault> {
         if record.owner == self.me.id {
-            // Our own record, but the caller would not ask if we served it:
-            // it stems from before a restart.
+            // The caller asks only about databases that this instance does not
+            // serve, so the record comes from before a restart or a loss of
+            // ownership.
             return Some(OwnerFault::Omitted);
         }
         let Some(peer) = self.peers.get(&record.owner) else {
@@ -490,13 +521,15 @@
         omitted.then_some(OwnerFault::Omitted)
     }
 
-    /// Forgets that a database looked vacant, after an attempt to take it.
+    /// Restarts the wait before the next attempt to take a database, after an
+    /// attempt failed or ownership was lost.
     pub fn clear_vacancy(&mut self, database: &str) {
         self.vacant_since.remove(database);
     }
 
-    /// Whether it is time to look for better owners of our databases. Each
-    /// look goes through all instances.
+    /// Whether the next search for better placed owners of this instance's
+    /// databases is due. The interval limits the cost: each search examines all
+    /// instances.
     pub fn balance_is_due(&mut self, now: Instant) -> bool {
         let due = self
             .balanced_at
@@ -507,7 +540,8 @@
         due || self.me.leaving
     }
 
-    /// Instance that should own a database of ours instead of us, if any.
+    /// Returns the instance to which this one should hand over a database that it
+    /// owns, if another one is placed better.
     #[must_use]
     pub fn better_owner(&self, now: Instant, view: &DatabaseView) -> Option<InstanceId> {
         let quiet = self
@@ -526,19 +560,20 @@
 /// Why a database needs a new owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum OwnerFault {
-    /// Nobody is known to own it.
+    /// It has no known owner.
     Vacant,
-    /// The owner does not answer.
+    /// The owner is unresponsive or no longer a member.
     Unresponsive,
-    /// The owner answers but no longer lists the database.
+    /// The owner responds, but its heartbeats no longer list the database.
     Omitted,
 }
 
-/// What placement needs to know of a database.
+/// Properties of a database that decide which instance should own it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DatabaseView {
-    /// The database.
+    /// Name of the database.
     pub id: DatabaseId,
-    /// Failure domain of its primary, or of its first server.
+    /// Failure domain of its primary, or of its first server. Instances in this
+    /// domain are preferred as owners.
     pub near: Option<FailureDomainId>,
 }
--- a/lib/src/ownership.rs
+++ b/lib/src/ownership.rs
@@ -1,10 +1,12 @@
 //! Ownership of one database group: fencing, promotion and failover.
 //!
-//! Exactly one instance serves a database at a time. What makes this safe is
-//! not a lease but the group's own term: an instance that wants to serve
-//! fences a majority of the servers with a higher term, and a fenced server
-//! refuses everything of a lower one. Taking over from another owner and
-//! replacing a failed primary are the same procedure.
+//! The owner of a database is the one instance that serves it. Ownership is
+//! not a lease; it rests on the term of the group. An instance that wants to
+//! serve the database fences a majority of its servers: it asks them to accept
+//! a higher term, after which they refuse all work of lower terms. It then
+//! promotes one of the fenced servers to primary. An instance follows the same
+//! procedure to take a database from another owner and to replace a failed
+//! primary.
 
 mod fencing;
 mod watching;
@@ -30,24 +32,24 @@
 use crate::ownership_types::TakeCause;
 use crate::position::Position;
 
-/// Where an owner stands.
+/// Phase of the ownership procedure at one instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Another instance owns the database, or nobody.
+    /// This instance neither owns the database nor is taking it.
     Idle,
-    /// Collecting a majority for a new term.
+    /// Collecting grants for a new term from a majority of the servers.
     Fencing {
         /// The new term.
         term: Term,
-        /// When it began.
+        /// When the fence requests were sent.
         since: Instant,
-        /// When a majority had granted it.
+        /// When a majority had granted the term, if it has.
         majority_at: Option<Instant>,
-        /// Servers that granted it.
+        /// Servers that granted the term, with the state that they reported.
         granted: BTreeMap<TargetId, ServerState>,
-        /// Servers that failed or refused.
+        /// Servers that could not be reached or returned an error.
         failed: BTreeSet<TargetId>,
-        /// What started it.
+        /// Why the database is being taken.
         cause: TakeCause,
     },
     /// Waiting for the chosen server to become primary.
@@ -56,44 +58,47 @@
         term: Term,
         /// The chosen server.
         candidate: TargetId,
-        /// When it was asked.
+        /// When the promotion request was sent.
         since: Instant,
         /// When a majority had granted the term.
         majority_at: Instant,
-        /// What started it.
+        /// Why the database is being taken.
         cause: TakeCause,
     },
-    /// Serving.
+    /// This instance owns the database and serves it.
     Serving {
-        /// Our term.
+        /// Term in which it serves.
         term: Term,
         /// The primary.
         primary: TargetId,
-        /// First entry of the term.
+        /// Position of the first log entry of the term.
         first: Position,
-        /// Acknowledge nothing before this time.
+        /// Nothing is acknowledged and no read answered before this time: until
+        /// then an earlier owner may still answer reads.
         acknowledge_from: Instant,
     },
-    /// Waiting after a failed attempt.
+    /// Waiting before another attempt, after a failed one or after a loss of
+    /// ownership.
     BackingOff {
-        /// Until when.
+        /// End of the wait.
         until: Instant,
     },
 }
 
+/// State of one server as observed by this instance.
 #[derive(Clone, Debug)]
 struct ServerView {
     server: GroupServer,
     detector: Detector,
     state: Option<ServerState>,
-    /// Send time of the newest probe, fence or statement that confirmed our
-    /// term.
+    /// Send time of the newest probe, fence or statement whose answer confirmed
+    /// the term of this instance.
     confirmed_sent_at: Option<Instant>,
-    /// When the last probe was sent.
+    /// Send time of the last probe.
     probed_at: Option<Instant>,
 }
 
-/// State machine of one database at one instance.
+/// State machine for the ownership of one database at one instance.
 #[derive(Clone, Debug)]
 pub struct Ownership {
     me: InstanceId,
@@ -104,7 +109,8 @@
     servers: BTreeMap<TargetId, ServerView>,
     phase: Phase,
     highest_term: Term,
-    /// Servers not to promote if there is another way.
+    /// Servers that are promoted only if no other choice is safe: the primary
+    /// being replaced, and servers whose promotion failed.
     avoid: BTreeSet<TargetId>,
     primary: Option<TargetId>,
     last_tick_at: Option<Instant>,
@@ -114,15 +120,16 @@
     jitter_state: u64,
 }
 
-/// Separates the name of an instance from its life in a holder.
+/// Separates the name of an instance from its incarnation in a holder id.
 const HOLDER_SEPARATOR: char = '@';
 
-/// Names one life of an instance.
+/// Returns the holder id of one incarnation of an instance, that is, of one run
+/// between start and exit. `life` is the number of the incarnation.
 ///
-/// A server takes a repeated fence of a term from the same holder. An
-/// instance that was restarted has forgotten its term; if it had the same
-/// name to the servers as before, it would be granted its old term again and
-/// promote a second primary in it.
+/// A server grants a term again when the same holder repeats its fence request.
+/// A restarted instance has lost its term. If it had the same holder id as
+/// before, servers would grant it the old term again and it would promote a
+/// second primary in that term.
 #[must_use]
 pub fn holder_id(instance: &str, life: &str) -> HolderId {
     format!("{instance}{HOLDER_SEPARATOR}{life}").into()
@@ -132,11 +139,14 @@
     holder.rsplit_once(HOLDER_SEPARATOR).map_or(holder, |(instance, _)| instance)
 }
 
-/// A gap between two ticks from which we conclude that we were paused.
+/// A longer gap between two ticks means that this process was paused.
 const PAUSE_GAP: Duration = Duration::from_millis(300);
 
 impl Ownership {
-    /// A database that nobody is known to own.
+    /// Creates the state machine of a database without a known owner.
+    ///
+    /// `me` is this instance, `holder` its incarnation as reported to servers, and
+    /// `failure_domain` the domain in which it runs.
     #[must_use]
     pub fn new(
         me: InstanceId,
@@ -168,30 +178,31 @@
         ownership
     }
 
-    /// Where we stand.
+    /// Returns the current phase.
     #[must_use]
     pub fn phase(&self) -> &Phase {
         &self.phase
     }
 
-    /// The database.
+    /// Returns the database whose ownership this is.
     #[must_use]
     pub fn database(&self) -> &DatabaseId {
         &self.database
     }
 
-    /// Highest term seen so far.
+    /// Returns the highest term observed so far.
     #[must_use]
     pub fn highest_term(&self) -> Term {
         self.highest_term
     }
 
-    /// Learns of a term from elsewhere, for example from the platform's store.
+    /// Records a term observed elsewhere, for example in the platform's store.
+    /// The next attempt of this instance uses a higher one.
     pub fn observe_term(&mut self, term: Term) {
         self.highest_term = self.highest_term.max(term);
     }
 
-    /// Term and primary while serving.
+    /// Returns the term and the primary while this instance serves the database.
     #[must_use]
     pub fn serving(&self) -> Option<(Term, TargetId)> {
         match &self.phase {
@@ -200,7 +211,7 @@
         }
     }
 
-    /// Whether we own the database or are about to.
+    /// Whether this instance owns the database or is taking it.
     #[must_use]
     pub fn owns_or_is_taking(&self) -> bool {
         matches!(
@@ -209,13 +220,14 @@
         )
     }
 
-    /// What is known of a server.
+    /// Returns the last reported state of a server.
     #[must_use]
     pub fn server_state(&self, server: &str) -> Option<&ServerState> {
         self.servers.get(server)?.state.as_ref()
     }
 
-    /// Whether a server answers and is not about to leave.
+    /// Whether a server has missed no probe since its last answer and is not
+    /// marked as leaving.
     #[must_use]
     pub fn is_usable(&self, server: &str) -> bool {
         self.servers
@@ -223,21 +235,23 @@
             .is_some_and(|view| view.detector.misses() == 0 && !view.server.leaving)
     }
 
-    /// The servers of the group.
+    /// Returns the servers of the group.
     pub fn servers(&self) -> impl Iterator<Item = &GroupServer> {
         self.servers.values().map(|view| &view.server)
     }
 
-    /// How many servers make a majority.
+    /// Returns the number of servers that form a majority.
     #[must_use]
     pub fn majority(&self) -> usize {
         self.servers.len() / 2 + 1
     }
 
-    /// The newest time at which a majority is known to have held our term.
+    /// Returns the latest time at which a majority is known to have held the term
+    /// of this instance.
     ///
-    /// Send times count, not receive times: whatever a server did between
-    /// our sending and our receiving happened after the sending.
+    /// The result is based on the send times of confirmed messages. A server may
+    /// have accepted a higher term between its answer and the receipt of that
+    /// answer, but not before the message was sent.
     #[must_use]
     pub fn majority_confirmed_at(&self) -> Option<Instant> {
         let mut times: Vec<_> =
@@ -246,7 +260,9 @@
         times.get(self.majority() - 1).copied()
     }
 
-    /// Forgets which servers have confirmed our term.
+    /// Discards all confirmations of the term, and all missed probes.
+    ///
+    /// No read is answered until a majority has confirmed the term again.
     pub fn clear_term_confirmations(&mut self) {
         for view in self.servers.values_mut() {
             view.confirmed_sent_at = None;
@@ -254,7 +270,11 @@
         }
     }
 
-    /// Whether reads may be answered at `now`.
+    /// Whether reads may be answered and writes acknowledged at `now`.
+    ///
+    /// A majority must have confirmed the term within
+    /// [`OwnershipTiming::confirmation_max_age`]. The limit keeps an owner that
+    /// another instance has replaced from returning stale data.
     #[must_use]
     pub fn is_current(&self, now: Instant) -> bool {
         let Phase::Serving { acknowledge_from, .. } = &self.phase else {
@@ -266,8 +286,11 @@
         confirmed && now >= *acknowledge_from
     }
 
-    /// The newest position of our term that a replica has received. Whatever
-    /// lies at or before it survives the loss of the primary.
+    /// Returns the newest position of the current term that a replica has
+    /// received. Entries up to this position survive the loss of the primary.
+    ///
+    /// In a group of one server, this is the position of the primary. Without
+    /// ownership it is [`Position::ZERO`].
     #[must_use]
     pub fn confirmed(&self) -> Position {
         let Some((term, primary)) = self.serving() else {
@@ -287,7 +310,7 @@
             .unwrap_or(Position::ZERO)
     }
 
-    /// The position that every server has applied.
+    /// Returns the position up to which every server has applied the log.
     #[must_use]
     pub fn applied_everywhere(&self) -> Position {
         self.servers
@@ -297,7 +320,7 @@
             .unwrap_or(Position::ZERO)
     }
 
-    /// Takes an event and returns what has to be done.
+    /// Processes an event and returns the actions that the driver has to perform.
     pub fn handle(&mut self, now: Instant, event: OwnershipEvent) -> Vec<OwnershipAction> {
         match event {
             OwnershipEvent::Tick => self.tick(now),
@@ -395,7 +418,7 @@
         self.majority_reached_at = Some(now);
     }
 
-    /// A request came in for this database.
+    /// Records that a request for this database arrived.
     pub fn requested(&mut self, now: Instant) {
         self.last_request_at = Some(now);
     }
@@ -417,8 +440,9 @@
         if !self.owns_or_is_taking() {
             return Vec::new();
         }
-        // One who could not reach a majority leaves the field to instances
-        // that can, for longer than one that merely lost a race.
+        // An instance that reached no majority waits longer than one that only
+        // lost a race, so that an instance that does reach a majority can take
+        // the database first.
         let pause = match reason {
             LossReason::Isolated => self.timing.isolation_limit * 3,
             LossReason::Fenced | LossReason::Released | LossReason::AttemptFailed => {
@@ -435,8 +459,8 @@
         vec![OwnershipAction::Lost { term: self.highest_term, reason: LossReason::AttemptFailed }]
     }
 
-    /// One to four times the shortest pause, so that two instances that
-    /// raced do not meet again at once.
+    /// Returns a random wait of one to four times the shortest one, so that two
+    /// instances that raced do not retry at the same time.
     fn backoff_time(&mut self) -> Duration {
         self.jitter_state ^= self.jitter_state << 13;
         self.jitter_state ^= self.jitter_state >> 7;
--- a/lib/src/ownership/fencing.rs
+++ b/lib/src/ownership/fencing.rs
@@ -1,4 +1,7 @@
-//! How an owner fences the servers of a database, and chooses and promotes one.
+//! Fencing and promotion: how an instance takes a database.
+//!
+//! The instance asks all servers to accept a new term (a fence request). Once a
+//! majority has granted the term, it promotes the server with the newest log.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -17,6 +20,7 @@
 use crate::position::Position;
 
 impl Ownership {
+    /// Starts an attempt in a term above all observed ones.
     pub(super) fn start_fencing(&mut self, now: Instant, cause: TakeCause) -> Vec<OwnershipAction> {
         let term = self.highest_term + 1;
         self.highest_term = term;
@@ -37,6 +41,7 @@
             .collect()
     }
 
+    /// Processes the answer of a server to a fence request.
     pub(super) fn fenced(
         &mut self,
         now: Instant,
@@ -60,8 +65,8 @@
         term: Term,
         state: ServerState,
     ) -> Vec<OwnershipAction> {
-        // A server that came back while we serve was fenced again; it can
-        // follow the primary now.
+        // While this instance serves, it fences only servers that returned with
+        // an older term. Once fenced, such a server can follow the primary.
         if let Phase::Serving { term: own, primary, .. } = &self.phase {
             if *own != term || *primary == server {
                 return Vec::new();
@@ -121,12 +126,13 @@
         if *own != term {
             return Vec::new();
         }
-        // Whoever holds the higher term may be serving reads in it, whatever
-        // had started our own attempt.
+        // The holder of the higher term may answer reads in it, whatever the
+        // cause of this attempt was.
         let cause = if cause.earlier_owner_may_serve() { *cause } else { TakeCause::OwnerSilent };
-        // The first refusal only tells the current term to one who did not
-        // know it. A second one is a race with another instance, unless the
-        // term is our own from before a restart.
+        // The first refusal usually means only that this instance had not
+        // observed the current term, so it retries at once with a higher one. A
+        // second refusal means a race with another instance, unless the refusing
+        // term was granted to an earlier incarnation of this instance.
         if !self.retried_after_refusal || instance_of(owner) == &*self.me {
             self.retried_after_refusal = true;
             return self.start_fencing(now, cause);
@@ -134,6 +140,8 @@
         self.back_off(now)
     }
 
+    /// Promotes a server if a majority granted the term and the remaining
+    /// servers have answered, are unreachable or had enough time to answer.
     pub(super) fn choose_if_ready(&mut self, now: Instant) -> Vec<OwnershipAction> {
         let majority = self.majority();
         let Phase::Fencing { term, majority_at, granted, failed, cause, .. } = &self.phase else {
@@ -146,8 +154,8 @@
             }
             return Vec::new();
         };
-        // The servers that did not answer may be dead. Waiting a little for
-        // them avoids promoting a replica when the old primary is alive.
+        // A server that has not answered yet may be down or only slow. A short
+        // wait avoids promoting a replica although the old primary still works.
         let waited = now.saturating_duration_since(majority_at) >= self.timing.straggler_wait;
         let rest_is_unreachable =
             self.servers.iter().filter(|(id, _)| !granted.contains_key(*id)).all(|(id, view)| {
@@ -163,11 +171,12 @@
         vec![OwnershipAction::Promote { server: candidate, term }]
     }
 
-    /// Picks the server with the highest log among those fenced.
+    /// Chooses the server with the newest log among the fenced ones.
     ///
-    /// A server to avoid is passed over only when the others are a majority
-    /// by themselves. Otherwise it may be the only one of them that holds an
-    /// acknowledged write, and leaving it out would lose that write.
+    /// Servers in `avoid` are excluded only if the fenced servers that need not
+    /// be avoided form a majority by themselves. Otherwise a server to avoid may
+    /// be the only fenced one that has an acknowledged write, and excluding it
+    /// would lose that write.
     fn choose(&self, granted: &BTreeMap<TargetId, ServerState>, majority: usize) -> TargetId {
         let wanted = granted.keys().filter(|id| !self.should_avoid(id)).count();
         let can_exclude = wanted >= majority;
@@ -183,17 +192,20 @@
         best.map(|(id, _)| id.clone()).expect("a majority was fenced, so at least one server was")
     }
 
+    /// Whether another server should be promoted instead of this one if possible.
     pub(super) fn should_avoid(&self, server: &TargetId) -> bool {
         let leaving = self.servers.get(server).is_some_and(|view| view.server.leaving);
         leaving || self.avoid.contains(server)
     }
 
+    /// Whether a server runs in the failure domain of this instance.
     pub(super) fn is_in_own_domain(&self, server: &TargetId) -> bool {
         self.servers
             .get(server)
             .is_some_and(|view| view.server.failure_domain == self.failure_domain)
     }
 
+    /// Processes the answer of a server to a promotion request.
     pub(super) fn promoted(
         &mut self,
         now: Instant,
@@ -226,6 +238,7 @@
         self.serve(server, term, first, acknowledge_from, cause)
     }
 
+    /// Enters the serving phase and makes the other servers follow the primary.
     pub(super) fn serve(
         &mut self,
         primary: &TargetId,
@@ -258,6 +271,7 @@
         actions
     }
 
+    /// Starts another attempt that avoids the server whose promotion failed.
     pub(super) fn promotion_failed(
         &mut self,
         now: Instant,
@@ -265,14 +279,15 @@
     ) -> Vec<OwnershipAction> {
         self.avoid.insert(server);
         let cause = match &self.phase {
-            // Whether an earlier owner may still serve does not change by
-            // our own second attempt.
+            // A second attempt by this instance does not rule out that an earlier
+            // owner still serves, so the original cause is kept.
             Phase::Promoting { cause, .. } if cause.earlier_owner_may_serve() => *cause,
             _ => TakeCause::PromotionFailed,
         };
         self.start_fencing(now, cause)
     }
 
+    /// Chooses a server if a majority granted the term, and backs off otherwise.
     pub(super) fn fencing_timed_out(&mut self, now: Instant) -> Vec<OwnershipAction> {
         let Phase::Fencing { majority_at, .. } = &self.phase else {
             return Vec::new();
--- a/lib/src/ownership/watching.rs
+++ b/lib/src/ownership/watching.rs
@@ -1,5 +1,5 @@
-//! How an owner watches the servers of a database that it serves, and what it
-//! does when one of them fails.
+//! Monitoring by the owner of a database: how it probes the servers of the
+//! group, confirms its term, replaces a failed primary and repairs replicas.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -15,6 +15,7 @@
 use crate::position::Position;
 
 impl Ownership {
+    /// Detects failures and returns the probes and repairs that are due.
     pub(super) fn tick_serving(
         &mut self,
         now: Instant,
@@ -33,8 +34,9 @@
         let mut actions = Vec::new();
         let (interval, state_interval) = self.probe_pace(now);
         for (id, view) in &mut self.servers {
-            // Statements prove that a server lives, but only a probe tells
-            // whether a replica hears its primary and whom it follows.
+            // Answered statements show that a server responds. Only a probe
+            // returns which server a replica follows and when it last received
+            // data from it.
             let state_is_due =
                 view.probed_at.is_none_or(|at| now.saturating_duration_since(at) >= state_interval);
             if !state_is_due && !view.detector.is_due(now, interval) {
@@ -48,10 +50,12 @@
         actions
     }
 
-    /// Pace of the probes to a silent server, and to one that answers.
+    /// Returns the probe interval for servers without recent traffic, and the
+    /// interval for servers that answer statements.
     ///
-    /// Nobody waits for an idle database, so its servers are asked seldom;
-    /// the first request after that finds the next probe due at once.
+    /// An idle database has no waiting requests, so its servers are probed less
+    /// often. With the first request, the short intervals apply again and the
+    /// next probe is due at once.
     fn probe_pace(&self, now: Instant) -> (Duration, Duration) {
         let timing = &self.timing;
         let quiet = self
@@ -64,6 +68,8 @@
         (timing.probe_interval, timing.state_interval)
     }
 
+    /// Whether no majority of the servers was reachable for
+    /// `isolation_limit`.
     pub(super) fn is_isolated(&mut self, now: Instant) -> bool {
         let reachable = self
             .servers
@@ -78,11 +84,12 @@
             .is_some_and(|at| now.saturating_duration_since(at) >= self.timing.isolation_limit)
     }
 
+    /// Returns why the primary has to be replaced, if it has to.
     fn primary_fault(&self, primary: &TargetId) -> Option<TakeCause> {
         let view = self.servers.get(primary)?;
         if view.detector.misses() >= self.timing.misses_to_suspect {
-            // Fencing needs a majority; without one the primary stays, since
-            // nothing would be won.
+            // Fencing needs a majority. If the other servers do not form one, an
+            // attempt to replace the primary cannot succeed.
             let others = self.reachable_others(primary).count();
             return (others >= self.majority()).then_some(TakeCause::PrimarySilent);
         }
@@ -92,6 +99,7 @@
         None
     }
 
+    /// Returns the servers besides the primary that have missed no probe.
     pub(super) fn reachable_others<'a>(
         &'a self,
         primary: &'a TargetId,
@@ -101,9 +109,11 @@
             .filter(move |view| view.server.id != *primary && view.detector.misses() == 0)
     }
 
-    /// Whether a majority of servers, all of them replicas we can reach, has
-    /// not heard from the primary. It still answers us, but no write on it
-    /// can be confirmed.
+    /// Whether the replicas that this instance reaches form a majority and none
+    /// of them received anything from the primary for `replication_timeout`.
+    ///
+    /// Such a primary still answers this instance, but none of its writes can be
+    /// confirmed by a replica.
     pub(super) fn is_cut_off_from_replicas(&self, primary: &TargetId) -> bool {
         let mut unheard = 0;
         for view in self.reachable_others(primary) {
@@ -122,6 +132,7 @@
         unheard >= self.majority()
     }
 
+    /// Pauses the database and starts an attempt that avoids the present primary.
     pub(super) fn replace_primary(
         &mut self,
         now: Instant,
@@ -136,7 +147,8 @@
         actions
     }
 
-    /// Replaces a primary that is to leave, once a replica has all it has.
+    /// Replaces a primary that is marked as leaving. The caller calls this once a
+    /// replica has received the whole log of the primary.
     pub fn replace_leaving_primary(&mut self, now: Instant) -> Vec<OwnershipAction> {
         let Some((_, primary)) = self.serving() else {
             return Vec::new();
@@ -144,7 +156,8 @@
         self.replace_primary(now, primary, TakeCause::PrimaryLeaving)
     }
 
-    /// Whether the primary is marked as leaving and a replica could replace it.
+    /// Whether the primary is marked as leaving and the reachable servers that
+    /// are not leaving form a majority, so that one of them can replace it.
     #[must_use]
     pub fn should_replace_leaving_primary(&self) -> bool {
         let Some((_, primary)) = self.serving() else {
@@ -155,8 +168,9 @@
         leaving && others >= self.majority()
     }
 
-    /// Servers that hold our term but follow nobody, and servers that came
-    /// back with an older term, are brought into line.
+    /// Returns the actions that repair replicas: a server with an older term is
+    /// fenced again, and a server of the current term that does not follow the
+    /// primary is made to follow it.
     pub(super) fn repair_followers(&self, term: Term, primary: &TargetId) -> Vec<OwnershipAction> {
         let mut actions = Vec::new();
         for (id, view) in &self.servers {
@@ -176,6 +190,7 @@
         actions
     }
 
+    /// Processes the answer of a server to a probe, or the lack of one.
     pub(super) fn probed(
         &mut self,
         now: Instant,
@@ -195,7 +210,8 @@
         let sent_at = view.detector.succeeded(sequence);
         let (term, owner) = (state.term, state.owner.clone());
         self.highest_term = self.highest_term.max(term);
-        // Answers can cross: positions never go back within one term.
+        // Answers can arrive out of order. Within a term, an answer with a lower
+        // position is older than the known state and is ignored.
         let is_newer = view.state.as_ref().is_none_or(|known| {
             state.term > known.term
                 || (state.term == known.term
@@ -218,8 +234,8 @@
         Vec::new()
     }
 
-    /// Learns a replica's received position outside the paced probes, from a
-    /// write that waits for its confirmation.
+    /// Records the position that a replica has received, as reported outside the
+    /// regular probes to a write that waits for confirmation.
     pub fn received(&mut self, server: &str, term: Term, position: Position) {
         let Some(view) = self.servers.get_mut(server) else {
             return;
@@ -232,11 +248,12 @@
         }
     }
 
-    /// A statement sent at `sent_at` in our `term` was answered by a server,
-    /// which had applied `applied` afterwards.
+    /// Records that a server answered a statement that was sent at `sent_at` in
+    /// `term`. `applied` is the position that the server had applied afterwards.
     ///
-    /// Statements are only taken by servers that hold our term, so the answer
-    /// confirms it like a probe. Under load hardly any probe is left to send.
+    /// A server accepts statements only in the term that it holds, so the answer
+    /// confirms the term as a probe does. Under load, statements replace nearly
+    /// all probes.
     pub fn answered(&mut self, server: &str, term: Term, sent_at: Instant, applied: Position) {
         if self.serving().is_none_or(|(own, _)| own != term) {
             return;
--- a/lib/src/ownership_types.rs
+++ b/lib/src/ownership_types.rs
@@ -1,4 +1,5 @@
-//! What goes into the ownership state machine and what comes out of it.
+//! Events, actions and timing of the ownership state machine in
+//! [`crate::ownership`].
 
 use std::time::Duration;
 use std::time::Instant;
@@ -9,36 +10,38 @@
 use crate::id::Term;
 use crate::position::Position;
 
-/// Times of failure detection and failover. See docs/DESIGN.md for why each
-/// has its value.
+/// Time limits of failure detection and failover. `docs/DESIGN.md` gives the
+/// reason for each value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OwnershipTiming {
-    /// Pace of the probes to a server that no statement was sent to.
+    /// Interval between probes to a server that receives no statements.
     pub probe_interval: Duration,
-    /// Pace of the probes to a server that answers statements.
+    /// Interval between probes to a server that answers statements.
     pub state_interval: Duration,
-    /// Pace of the probes to the servers of a database without requests.
+    /// Interval between probes to the servers of an idle database.
     pub idle_interval: Duration,
-    /// A database is idle after this time without a request.
+    /// Time without a request after which a database is idle.
     pub idle_after: Duration,
-    /// A probe without an answer for this long is missed.
+    /// Time without an answer after which a probe counts as missed.
     pub probe_timeout: Duration,
-    /// Probes missed in a row that make a primary suspect.
+    /// Number of probes missed in a row after which a server counts as failed.
     pub misses_to_suspect: u32,
-    /// A read is answered only if a majority confirmed the term on a probe
-    /// sent less than this before.
+    /// Longest time since the sending of a message with which a majority
+    /// confirmed the term. Beyond it, the owner answers no reads.
     pub confirmation_max_age: Duration,
-    /// Longest wait for the servers to answer a fence.
+    /// Longest wait for a majority to grant a fence request.
     pub fence_timeout: Duration,
-    /// Wait for the remaining servers once a majority is fenced.
+    /// Wait for the remaining servers once a majority has granted the term.
     pub straggler_wait: Duration,
-    /// Longest wait for a promotion.
+    /// Longest wait for the answer to a promotion request.
     pub promote_timeout: Duration,
-    /// A primary from which no replica heard for this long is replaced.
+    /// Time after which the owner replaces a primary from which the reachable
+    /// replicas, if they form a majority, have received nothing.
     pub replication_timeout: Duration,
-    /// Without a majority for this long an owner gives up.
+    /// Time without a reachable majority after which the owner gives up the
+    /// database.
     pub isolation_limit: Duration,
-    /// Shortest pause before another attempt after a lost race.
+    /// Shortest wait before another attempt after a lost race.
     pub backoff: Duration,
 }
 
@@ -62,123 +65,126 @@
     }
 }
 
-/// Why ownership is taken, or taken again in a new term.
+/// Why an instance takes a database, or fences it again in a new term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum TakeCause {
-    /// Nobody is known to own the database.
+    /// The database has no known owner.
     Vacant,
-    /// The owner does not answer.
+    /// The owner is unresponsive.
     OwnerSilent,
-    /// The owner passes the database on and has stopped serving it.
+    /// The owner hands the database over and has stopped serving it.
     Handover,
-    /// We own the database and its primary does not answer.
+    /// This instance owns the database and its primary is unresponsive.
     PrimarySilent,
-    /// We own the database and no replica hears its primary.
+    /// This instance owns the database and the replicas receive nothing from its
+    /// primary.
     PrimaryUnheard,
-    /// We own the database and its primary is to leave.
+    /// This instance owns the database and its primary is marked as leaving.
     PrimaryLeaving,
-    /// A promotion failed.
+    /// The promotion of the chosen server failed.
     PromotionFailed,
 }
 
 impl TakeCause {
-    /// Whether the earlier owner can still believe that it owns the database
-    /// and answer reads from it for as long as its currency lasts.
+    /// Whether an earlier owner may still serve the database. It can answer reads
+    /// until its last confirmation is older than
+    /// [`OwnershipTiming::confirmation_max_age`].
     pub(crate) fn earlier_owner_may_serve(self) -> bool {
         matches!(self, Self::Vacant | Self::OwnerSilent)
     }
 }
 
-/// What a server of the group says about itself.
+/// State of a server as it reports it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerState {
-    /// Highest term it has seen.
+    /// Highest term that it has accepted.
     pub term: Term,
-    /// Holder that fenced it with this term.
+    /// Holder that it granted this term to.
     pub owner: HolderId,
     /// Whether it was promoted in this term.
     pub is_primary: bool,
-    /// Server it follows, if it does.
+    /// Primary that it replicates from, if any.
     pub follows: Option<TargetId>,
-    /// Last log entry received.
+    /// Position of the last log entry that it received.
     pub received: Position,
-    /// Last log entry applied.
+    /// Position of the last log entry that it applied.
     pub applied: Position,
-    /// Time since it last heard from the primary it follows.
+    /// Time since it last received anything from the primary that it follows.
     pub since_primary_contact: Option<Duration>,
 }
 
 /// A server of the group, from the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GroupServer {
-    /// The server.
+    /// Name of the server.
     pub id: TargetId,
-    /// Where it runs.
+    /// Failure domain in which it runs.
     pub failure_domain: FailureDomainId,
-    /// It is about to leave and gets no new work.
+    /// Whether it is about to be removed and gets no new work.
     pub leaving: bool,
 }
 
-/// Something the state machine has to know.
+/// Input of the state machine.
 #[derive(Clone, Debug)]
 pub enum OwnershipEvent {
-    /// Time passed.
+    /// Time has passed.
     Tick,
-    /// Take the database, unless it is held or being taken already.
+    /// Take the database, unless this instance owns it or is taking it already.
     Take(TakeCause),
-    /// A server answered a fence.
+    /// A server answered a fence request.
     Fenced {
         /// The server.
         server: TargetId,
-        /// Term of the fence.
+        /// Term of the request.
         term: Term,
-        /// Its state, or why it refused.
+        /// State of the server, or why it did not grant the term.
         result: Result<ServerState, FenceFailure>,
     },
-    /// A server answered a promotion.
+    /// A server answered a promotion request.
     Promoted {
         /// The server.
         server: TargetId,
-        /// Term of the promotion.
+        /// Term of the request.
         term: Term,
-        /// Position of the first entry of the term.
+        /// Position of the first log entry of the term, or why the promotion
+        /// failed.
         result: Result<Position, FenceFailure>,
     },
-    /// A server answered a probe.
+    /// A probe was answered or failed.
     Probed {
         /// The server.
         server: TargetId,
-        /// Number of the probe.
+        /// Sequence number of the probe.
         sequence: u64,
-        /// Its state, or `None` if it could not be reached.
+        /// State of the server, or `None` if it could not be reached.
         state: Option<ServerState>,
     },
     /// A server refused work because of a higher term.
     HigherTerm(Term),
-    /// Stop owning the database: it was handed over, or must be.
+    /// Give the database up: another instance has taken it over, or must.
     Release,
     /// The servers of the group changed.
     Servers(Vec<GroupServer>),
 }
 
-/// Why a server did not do what it was asked.
+/// Why a server did not carry out a fence or promotion request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FenceFailure {
-    /// It holds this term, for this owner.
+    /// The server has granted another term, or the same term to another holder.
     HigherTerm {
-        /// Its term.
+        /// Term that the server holds.
         term: Term,
-        /// Its holder.
+        /// Holder that the server granted the term to.
         owner: HolderId,
     },
-    /// It could not be reached or failed.
+    /// The server could not be reached or returned an error.
     Unreachable,
 }
 
-/// Something the driver has to do.
+/// Action that the driver of the state machine has to perform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OwnershipAction {
-    /// Ask a server to refuse all lower terms.
+    /// Ask a server to accept the term and refuse all lower ones.
     Fence {
         /// The server.
         server: TargetId,
@@ -205,45 +211,46 @@
     Probe {
         /// The server.
         server: TargetId,
-        /// Number to give back with the answer.
+        /// Sequence number, returned in [`OwnershipEvent::Probed`].
         sequence: u64,
     },
-    /// The database is served from now on.
+    /// Start to serve the database.
     Serve {
-        /// Our term.
+        /// Term in which this instance serves.
         term: Term,
         /// The primary.
         primary: TargetId,
-        /// First entry of the term.
+        /// Position of the first log entry of the term.
         first: Position,
-        /// Acknowledge nothing before this time.
+        /// Acknowledge no write and answer no read before this time.
         acknowledge_from: Instant,
-        /// What started it.
+        /// Why the database was taken.
         cause: TakeCause,
     },
-    /// The database is not served for now: the primary is being replaced.
+    /// Stop serving the database while its primary is being replaced.
     Pause {
-        /// What started it.
+        /// Why the primary is being replaced.
         cause: TakeCause,
     },
-    /// The database is not ours any more.
+    /// Stop serving the database, which this instance no longer owns or failed
+    /// to take.
     Lost {
-        /// The highest term seen.
+        /// Highest term observed.
         term: Term,
-        /// Why.
+        /// Why ownership ended.
         reason: LossReason,
     },
 }
 
-/// Why an instance stopped owning a database.
+/// Why an instance no longer owns a database or failed to take it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum LossReason {
-    /// A server holds a higher term.
+    /// A server has granted a higher term.
     Fenced,
     /// No majority of the servers could be reached.
     Isolated,
-    /// It was handed over.
+    /// The database was handed over.
     Released,
-    /// An attempt to take it failed.
+    /// An attempt to take the database failed.
     AttemptFailed,
 }
--- a/lib/src/succession.rs
+++ b/lib/src/succession.rs
@@ -1,9 +1,14 @@
-//! Who succeeds whom, kept up to date without looking at everything.
+//! Order of succession: for each database, the instances that should own it,
+//! best first.
 //!
-//! A fleet has thousands of instances and databases. Ranking all instances
-//! for each database at every tick would take more than the time between two
-//! ticks, so the first few of each ranking are kept, and a change of one
-//! instance touches only what it can change.
+//! The order is that of rendezvous hashing, with instances in the failure domain
+//! of the database first (see [`crate::placement`]). If the owner of a database
+//! fails, the next instance in the order takes over.
+//!
+//! A fleet has thousands of instances and databases. Ranking all instances for
+//! each database at every tick would take longer than the interval between two
+//! ticks. [`Succession`] therefore keeps the first few instances of each ranking,
+//! and a change of one instance updates only the rankings that it can affect.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -15,11 +20,11 @@
 use crate::membership::DatabaseView;
 use crate::placement;
 
-/// Instances kept of each ranking. One is the owner, two watch it, and one
-/// more is ready when one of these goes.
+/// Number of instances kept for each ranking: the owner, two that watch it, and
+/// one more that replaces the first of these to fail.
 pub const RANKING_DEPTH: usize = 4;
 
-/// An instance in a ranking; greater is better.
+/// An instance in a ranking. The greater value ranks higher.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Ranked {
     near: bool,
@@ -34,13 +39,14 @@
     top: Vec<Ranked>,
 }
 
-/// The first few of the ranking of every database.
+/// The first few instances in the ranking of every database, as one instance
+/// computes them.
 #[derive(Clone, Debug)]
 pub struct Succession {
     me: InstanceId,
     candidates: BTreeMap<InstanceId, FailureDomainId>,
     rankings: HashMap<DatabaseId, Ranking>,
-    /// Databases in whose ranking we are.
+    /// Databases in whose kept ranking this instance is.
     ranked_databases: BTreeSet<DatabaseId>,
 }
 
@@ -58,7 +64,8 @@
 }
 
 impl Succession {
-    /// No databases, and no candidates.
+    /// Creates a succession without databases and candidates. `me` is the name of
+    /// this instance.
     #[must_use]
     pub fn new(me: InstanceId) -> Self {
         Self {
@@ -69,8 +76,8 @@
         }
     }
 
-    /// Takes the databases of a configuration. Only those that are new, or
-    /// lie elsewhere than before, are ranked anew.
+    /// Replaces the databases by those of a configuration. Only databases that
+    /// are new or have moved to another failure domain are ranked again.
     pub fn set_databases(&mut self, views: &[DatabaseView]) {
         let mut old = std::mem::take(&mut self.rankings);
         self.ranked_databases.clear();
@@ -98,7 +105,7 @@
         }
     }
 
-    /// An instance can own databases from now on.
+    /// Adds an instance to the candidates for ownership.
     pub fn add(&mut self, id: &InstanceId, domain: &FailureDomainId) {
         if self.candidates.get(id) == Some(domain) {
             return;
@@ -115,7 +122,7 @@
         self.update_changed(&changed);
     }
 
-    /// An instance cannot own databases any more.
+    /// Removes an instance from the candidates for ownership.
     pub fn remove(&mut self, id: &str) {
         if self.candidates.remove(id).is_none() {
             return;
@@ -143,7 +150,9 @@
         }
     }
 
-    /// Our place among the first few, not counting `without`.
+    /// Returns the rank of this instance for a database, from 0, not counting the
+    /// instance `without`. Returns `None` if this instance is not in the kept
+    /// ranking.
     #[must_use]
     pub fn own_rank(&self, database: &str, without: Option<&str>) -> Option<usize> {
         let ranking = self.rankings.get(database)?;
@@ -152,12 +161,13 @@
         ids.position(|id| *id == self.me)
     }
 
-    /// Databases in whose ranking we are.
+    /// Returns the databases in whose kept ranking this instance is.
     pub fn ranked_databases(&self) -> impl Iterator<Item = &DatabaseId> {
         self.ranked_databases.iter()
     }
 
-    /// The best candidate for a database that lies near `near`.
+    /// Returns the best of all candidates for a database if the failure domain
+    /// `near` is preferred.
     #[must_use]
     pub fn best(&self, database: &str, near: Option<&FailureDomainId>) -> Option<InstanceId> {
         let ranked =
@@ -166,7 +176,8 @@
     }
 }
 
-/// Puts an instance in its place if it is among the first few.
+/// Inserts an instance at its rank if that is within [`RANKING_DEPTH`]. Returns
+/// whether it did.
 fn insert(top: &mut Vec<Ranked>, ranked: Ranked) -> bool {
     let place = top.partition_point(|other| *other > ranked);
     if place >= RANKING_DEPTH {
