--- a/lib/src/fleet.rs
+++ b/lib/src/fleet.rs
@@ -129,7 +129,7 @@
     /// These are all records of a copy of the store, which lacks the latest ones.
     /// Instances that it does not list may be alive, and write their records again; until
     /// then they hold connections and vote as before.
-    pub fn replace_from_restored_copy(&mut self, now: Moment, records: Vec<InstanceRecord>) {
+    pub fn replace_after_store_restore(&mut self, now: Moment, records: Vec<InstanceRecord>) {
         let is_listed = |id: &InstanceId| records.iter().any(|record| record.id == *id);
         for (id, member) in &mut self.members {
             if !is_listed(id) {
--- a/lib/tests/quota_world/mod.rs
+++ b/lib/tests/quota_world/mod.rs
@@ -204,7 +204,7 @@
             if self.without == Some(Rule::UnlistedCount) {
                 one.fleet.replace(now, listed.clone());
             } else {
-                one.fleet.replace_from_restored_copy(now, listed.clone());
+                one.fleet.replace_after_store_restore(now, listed.clone());
             }
         }
     }
--- a/lib/tests/test_store_copy.rs
+++ b/lib/tests/test_store_copy.rs
@@ -129,7 +129,7 @@
 fn test_instance_that_a_copy_lacks_counts_until_it_is_known_to_be_gone() {
     let mut fleet = Fleet::new("i0".into());
     fleet.replace(at(0), vec![record(1), record(2), record(3)]);
-    fleet.replace_from_restored_copy(at(1_000), vec![record(1)]);
+    fleet.replace_after_store_restore(at(1_000), vec![record(1)]);
     assert_eq!(names(&fleet), ["i1", "i2", "i3"].map(InstanceId::from));
     fleet.present(at(2_000), record(2));
     // History may be lost besides, so that all are listed once more.
@@ -153,7 +153,7 @@
     for me in &all[..3] {
         let mut fleet = Fleet::new(me.id.clone());
         fleet.replace(at(0), others(me));
-        fleet.replace_from_restored_copy(at(1_000), all[..3].to_vec());
+        fleet.replace_after_store_restore(at(1_000), all[..3].to_vec());
         fleet.heard(at(2_000), "i3", false);
         assert_eq!(fleet.restorable(at(2_400)), [], "it can do so itself");
         writers.extend(fleet.restorable(at(2_500)));
@@ -168,6 +168,6 @@
 fn test_record_of_a_silent_instance_is_not_written_again() {
     let mut fleet = Fleet::new("i0".into());
     fleet.replace(at(0), vec![record(1)]);
-    fleet.replace_from_restored_copy(at(1_000), Vec::new());
+    fleet.replace_after_store_restore(at(1_000), Vec::new());
     assert_eq!(fleet.restorable(at(3_500)), []);
 }
