--- a/lib/src/fleet.rs
+++ b/lib/src/fleet.rs
@@ -1,9 +1,14 @@
-//! Which instances there are, and which of them are alive.
+//! The fleet: all instances with a record in the platform's store, and which of
+//! them respond.
 //!
-//! Each instance has a record in the platform's store. Nothing there expires
-//! by itself, so instances watch each other: each sends heartbeats to the next
-//! few in a ring of all names, and removes the record of one that stays
-//! silent. The cost does not grow with the number of instances.
+//! Records in the store do not expire, so instances watch each other. Each
+//! instance sends heartbeats to the next few instances in a ring of all names, and
+//! removes the record of one that stays unresponsive. The cost for each instance
+//! does not grow with the size of the fleet.
+//!
+//! After a failure, the store may be restored from a backup that lacks the latest
+//! records. Instances without a record in it are kept for a while and written
+//! again.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -16,67 +21,74 @@
 use crate::moment::Moment;
 use crate::placement::stable_hash;
 
-/// What an instance says of itself in the platform's store.
+/// Record of an instance in the platform's store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InstanceRecord {
-    /// Its name.
+    /// Name of the instance.
     pub id: InstanceId,
-    /// Tells this run of the program from earlier ones of the same name.
+    /// Number of the incarnation, that is, of one run of the program between start
+    /// and exit. It distinguishes the run from others of the same name.
     pub life: u64,
-    /// Where other instances reach it.
+    /// Address for other instances.
     pub peer_address: SocketAddr,
-    /// Where it runs.
+    /// Failure domain in which it runs.
     pub failure_domain: FailureDomainId,
-    /// Its share of a processor, in thousandths of a core.
+    /// Its share of processor time, in thousandths of a core.
     pub capacity_millicores: u32,
 }
 
-/// Instances that each one sends heartbeats to. Three would bear the loss of
-/// two neighbours at the same time; more make the count of live instances
-/// true sooner where fleets are small.
+/// Number of instances that each one sends heartbeats to. Three would tolerate the
+/// loss of two neighbours in the ring at the same time. In small fleets, more make
+/// the list of live instances correct sooner.
 const WATCHED_INSTANCES: usize = 8;
 
-/// An instance that did not answer for this long does not count as alive.
-/// Six heartbeats; longer than servers keep the connections of a dead caller
-/// (3 s), so that what they held is free when the others take it over.
+/// Time without an answer after which a watched instance no longer counts as live:
+/// more than six heartbeats. It is longer than servers keep the connections of a
+/// failed client (3 s), so that these are free when other instances take over.
 pub const UNREACHABLE_AFTER: Duration = Duration::from_millis(3_200);
 
-/// The record of one that was silent for this long is removed. A frozen
-/// instance usually wakes up before and finds its record in place.
+/// Time without an answer after which the record of an instance is removed. A
+/// paused instance usually continues earlier than that and finds its record in
+/// place. It is also the time after which an instance is forgotten whose record is
+/// missing since a restore of the store.
 const REMOVE_AFTER: Duration = Duration::from_secs(8);
 
-/// An instance that reaches the store has written its record again within this time
-/// after it came back from a copy: it learns of that with a heartbeat.
+/// Time after a restore of the store within which an instance that reaches the
+/// store has written its own record again. Heartbeats announce the restore.
 const RESTORE_AFTER: Duration = Duration::from_millis(1_500);
 
-/// Relays of a failure domain, so that one can be lost.
+/// Number of relays in each failure domain (see [`Fleet::is_relay`]). With two,
+/// one can fail.
 const RELAYS_PER_DOMAIN: usize = 2;
 
-/// Smaller fleets read the present state everywhere: a few calls cost little,
-/// and nothing is learned a heartbeat later.
+/// Number of other instances from which on only relays read the current state. In
+/// a smaller fleet every instance does: a few calls cost little, and no instance
+/// gets changes a heartbeat later than others.
 const MIN_OTHERS_FOR_RELAYS: usize = 15;
 
-/// Time between two heartbeats to the same instance.
+/// Interval between two heartbeats to the same instance.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
+/// Another instance of the fleet.
 #[derive(Clone, Debug)]
 struct Member {
     record: InstanceRecord,
-    /// When it last answered; its first sight counts as an answer.
+    /// When the last message from it arrived, or its record was first listed.
     last_contact_at: Moment,
     leaving: bool,
-    /// Connections that it wants, by group.
+    /// Number of connections that it wants, by group.
     demands: HashMap<GroupId, f64>,
-    /// Since when a copy of the store lacks its record.
+    /// Since when its record is missing in a restored store, if it is.
     unlisted_since: Option<Moment>,
 }
 
-/// Those with the highest score are the relays of their failure domain.
+/// Score of an instance as a relay. Those with the highest scores are the relays of
+/// their failure domain.
 fn relay_score(id: &str) -> u64 {
     stable_hash(&["relay", id])
 }
 
-/// The instances.
+/// The fleet as one instance observes it.
 #[derive(Clone, Debug)]
 pub struct Fleet {
     me: InstanceId,
@@ -84,13 +96,13 @@
 }
 
 impl Fleet {
-    /// A fleet of which only this instance is known.
+    /// Creates a fleet in which only this instance is known.
     #[must_use]
     pub fn new(me: InstanceId) -> Self {
         Self { me, members: BTreeMap::new() }
     }
 
-    /// A record was listed or changed.
+    /// Adds or updates a record that the store lists.
     pub fn present(&mut self, now: Moment, record: InstanceRecord) {
         if record.id == self.me {
             return;
@@ -112,12 +124,13 @@
         self.members.insert(id, member);
     }
 
-    /// A record is gone.
+    /// Removes an instance whose record was removed from the store.
     pub fn removed(&mut self, id: &str) {
         self.members.remove(id);
     }
 
-    /// These are all records.
+    /// Replaces all records by those that the store lists. Instances that are
+    /// missing since a restore of the store are kept.
     pub fn replace(&mut self, now: Moment, records: Vec<InstanceRecord>) {
         let is_listed = |id: &InstanceId| records.iter().any(|record| record.id == *id);
         self.members.retain(|id, member| member.unlisted_since.is_some() || is_listed(id));
@@ -126,9 +139,10 @@
         }
     }
 
-    /// These are all records of a copy of the store, which lacks the latest ones.
-    /// Instances that it does not list may be alive, and write their records again; until
-    /// then they hold connections and vote as before.
+    /// Replaces all records by those of a store that was restored from a backup,
+    /// which may lack the latest records. Known instances that it does not list are
+    /// kept: they may still run and write their records again. Until then they hold
+    /// connections and vote as before.
     pub fn replace_after_store_restore(&mut self, now: Moment, records: Vec<InstanceRecord>) {
         let is_listed = |id: &InstanceId| records.iter().any(|record| record.id == *id);
         for (id, member) in &mut self.members {
@@ -139,8 +153,8 @@
         self.replace(now, records);
     }
 
-    /// Another instance told of these records. Those that the store does not list are
-    /// taken for lacking in its copy.
+    /// Adds records that another instance sent. Those that the store does not list
+    /// count as missing since a restore of the store.
     pub fn add_unlisted(&mut self, now: Moment, records: Vec<InstanceRecord>) {
         for record in records {
             let id = record.id.clone();
@@ -154,16 +168,17 @@
         }
     }
 
-    /// Forgets instances that a copy of the store lacked, and whose records nobody has
-    /// written again.
+    /// Removes instances whose records are missing since a restore of the store and
+    /// were not written again in time.
     pub fn forget_unlisted(&mut self, now: Moment) {
         let over = |since: Moment| since + REMOVE_AFTER <= now;
         self.members.retain(|_, member| !member.unlisted_since.is_some_and(over));
     }
 
-    /// Instances whose record this one should write again: it watches them, they are
-    /// alive and do not do it themselves, since they do not reach the store; and it is
-    /// the one chosen for it.
+    /// Returns the records that this instance should write again after a restore of
+    /// the store: those of watched instances that respond but did not write their
+    /// own record, since they do not reach the store. Of all live instances, only
+    /// the one chosen for a record writes it.
     #[must_use]
     pub fn restorable(&self, now: Moment) -> Vec<InstanceRecord> {
         let unlisted = |record: &InstanceRecord| {
@@ -179,13 +194,15 @@
         records
     }
 
-    /// Whether this instance is the one of those alive that changes another one's record.
+    /// Whether this instance is the one among the live ones that changes the record
+    /// of another instance.
     fn is_chosen_for(&self, record: &InstanceRecord, live: &[InstanceId]) -> bool {
         let others = live.iter().filter(|id| **id != record.id);
         others.max_by_key(|id| stable_hash(&[&record.id, id])) == Some(&self.me)
     }
 
-    /// An instance answered, or asked something.
+    /// Records that a message from an instance arrived, and whether the instance is
+    /// leaving.
     pub fn heard(&mut self, now: Moment, id: &str, leaving: bool) {
         if let Some(member) = self.members.get_mut(id) {
             member.last_contact_at = now;
@@ -193,14 +210,15 @@
         }
     }
 
-    /// What an instance wants of the connections to each group.
+    /// Records how many connections to each group an instance wants.
     pub fn set_demands(&mut self, id: &str, demands: HashMap<GroupId, f64>) {
         if let Some(member) = self.members.get_mut(id) {
             member.demands = demands;
         }
     }
 
-    /// What other instances that hold connections to a group want of them.
+    /// Returns how many connections to a group each of `holders` wants; 0 for an
+    /// instance without a known demand.
     #[must_use]
     pub fn demands(&self, group: &GroupId, holders: &[InstanceId]) -> Vec<f64> {
         let demand = |id: &InstanceId| {
@@ -210,7 +228,8 @@
         holders.iter().map(|id| demand(id).unwrap_or(0.0)).collect()
     }
 
-    /// Instances to send heartbeats to: the next ones in the ring of names.
+    /// Returns the instances that this one sends heartbeats to: the next ones in
+    /// the ring of names.
     #[must_use]
     pub fn watched(&self) -> Vec<InstanceRecord> {
         let after = self.members.range(self.me.clone()..).map(|(_, member)| member);
@@ -218,13 +237,13 @@
         after.chain(before).take(WATCHED_INSTANCES).map(|member| member.record.clone()).collect()
     }
 
-    /// All instances that count as alive, this one included, in the order of
-    /// their names. Those that nobody here sends heartbeats to are taken for alive
-    /// as long as they have a record.
+    /// Returns all instances that count as live, this one included, in the order of
+    /// their names. An instance that this one does not watch counts as live as long
+    /// as it has a record.
     ///
-    /// While most others are silent, it is more likely that this instance is
-    /// cut off than that they are all gone. They all count then, and keep their
-    /// connections.
+    /// If most of the watched instances are unresponsive, it is more likely that
+    /// this instance is cut off than that all of them failed. All instances then
+    /// count as live and keep their connections.
     #[must_use]
     pub fn live(&self, now: Moment) -> Vec<InstanceId> {
         let watched = if self.is_cut_off(now) { Vec::new() } else { self.watched() };
@@ -243,19 +262,20 @@
         live
     }
 
-    /// Live instances that do not leave, for duties.
+    /// Returns the live instances that are not leaving and can get new duties.
     #[must_use]
     pub fn staying(&self, now: Moment) -> Vec<InstanceId> {
         let leaving = |id: &InstanceId| self.members.get(id).is_some_and(|member| member.leaving);
         self.live(now).into_iter().filter(|id| !leaving(id)).collect()
     }
 
-    /// Whether this instance reads configuration and servers from the store as
-    /// they are now. The others read what may be seconds old, at a tenth of the
-    /// price, and learn what is newer from the relays with heartbeats.
+    /// Whether this instance is a relay: it reads the current configuration and
+    /// servers from the store and passes changes on with heartbeats. Other instances
+    /// read a state that may be seconds old, at a tenth of the cost, and get newer
+    /// changes from the relays.
     ///
-    /// With 74 instances that all read the present state, calls to the store
-    /// cost 0.08 of the worth of a day.
+    /// With 74 instances that all read the current state, calls to the store cost 8 %
+    /// of the value of a day of operation.
     #[must_use]
     pub fn is_relay(&self, now: Moment, failure_domain: &FailureDomainId) -> bool {
         if self.members.len() < MIN_OTHERS_FOR_RELAYS {
@@ -270,8 +290,7 @@
         before.count() < RELAYS_PER_DOMAIN
     }
 
-    /// Other instances that read configuration and servers from the store as they
-    /// are now, one of each failure domain.
+    /// Returns one relay of each failure domain, out of the other instances.
     #[must_use]
     pub fn relays(&self, now: Moment) -> Vec<InstanceRecord> {
         let mut first: BTreeMap<&FailureDomainId, &InstanceRecord> = BTreeMap::new();
@@ -285,25 +304,26 @@
         first.into_values().cloned().collect()
     }
 
-    /// Record of another instance.
+    /// Returns the record of another instance.
     #[must_use]
     pub fn record(&self, id: &str) -> Option<&InstanceRecord> {
         self.members.get(id).map(|member| &member.record)
     }
 
-    /// Records of all other instances.
+    /// Returns the records of all other instances.
     pub fn others(&self) -> impl Iterator<Item = &InstanceRecord> {
         self.members.values().map(|member| &member.record)
     }
 
-    /// This instance stood still itself: that nobody answered meanwhile says
-    /// nothing of the others.
+    /// Restarts the time without an answer of all instances, after this process was
+    /// paused: that no answer was processed meanwhile says nothing about the others.
     pub fn process_paused(&mut self, now: Moment) {
         for member in self.members.values_mut() {
             member.last_contact_at = now;
         }
     }
 
+    /// Whether more than half of the watched instances are unresponsive.
     fn is_cut_off(&self, now: Moment) -> bool {
         let watched = self.watched();
         let unresponsive = |record: &&InstanceRecord| {
@@ -313,8 +333,9 @@
         watched.iter().filter(unresponsive).count() * 2 > watched.len()
     }
 
-    /// Instances whose record this one should remove: it watches them, they
-    /// were silent for long, and it is the one chosen for it.
+    /// Returns the records that this instance should remove: those of watched
+    /// instances that did not answer for `REMOVE_AFTER`. Of all live instances, only
+    /// the one chosen for a record removes it.
     #[must_use]
     pub fn removable(&self, now: Moment) -> Vec<InstanceRecord> {
         if self.is_cut_off(now) {
--- a/lib/src/holder_choice.rs
+++ b/lib/src/holder_choice.rs
@@ -1,40 +1,44 @@
-//! Through which holder of a group a statement goes.
+//! Choice of the holder through which an instance sends a statement.
+//!
+//! The holders of a group are the instances that hold connections to its servers
+//! (see [`crate::holders`]).
 
 use crate::fleet::InstanceRecord;
 use crate::id::AccountId;
 use crate::peer_contact::Contact;
 use crate::placement::stable_hash;
 
-/// A holder that a statement could go through.
+/// A holder through which a statement can be sent.
 #[derive(Clone, Debug)]
 pub struct Candidate {
-    /// Its record.
+    /// Record of the holder.
     pub record: InstanceRecord,
-    /// Whether it is heard.
+    /// Whether the holder is reachable.
     pub contact: Contact,
-    /// Whether it just refused a statement of this group that another holder
-    /// may be able to serve.
+    /// Whether the holder recently refused a statement of this group that another
+    /// holder may be able to serve.
     pub recently_refused: bool,
-    /// Whether it runs in the sender's failure domain.
+    /// Whether the holder runs in the failure domain of the sender.
     pub near: bool,
 }
 
-/// What the statements have in common that should meet at one holder.
+/// Property by which statements are sent to the same holder.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Affinity {
-    /// The session: a number that stays the same for it.
+    /// The session, by a number that is constant for it.
     Session(u32),
-    /// The account, whose connections serve nobody else. Spread over all holders,
-    /// the statements of each account would need a connection at each of them.
+    /// The client account. Connections are not shared between accounts, so if an
+    /// account used all holders, it would need a connection at each of them.
     Account(AccountId),
 }
 
-/// Chooses a holder: one that is heard before a silent one, one that can serve
-/// before one that just could not, and among equals the same for those that should
-/// meet.
+/// Chooses a holder. Reachable holders are preferred to unreachable ones, then
+/// holders that did not recently refuse a statement. Among equal holders, the
+/// affinity decides. Returns `None` if there are no candidates.
 ///
-/// A session goes to a near holder. An account has one home among all of a group:
-/// when a holder goes, only the accounts that were at home there move.
+/// For a session, holders in the failure domain of the sender are preferred. An
+/// account has one home holder among all holders of a group, chosen by rendezvous
+/// hashing: if a holder fails, only the accounts with their home there move.
 #[must_use]
 pub fn choose<'a>(candidates: &'a [Candidate], affinity: &Affinity) -> Option<&'a Candidate> {
     let rank = |candidate: &Candidate| {
--- a/lib/src/holders.rs
+++ b/lib/src/holders.rs
@@ -1,4 +1,9 @@
-//! Which instances hold the connections to the servers of a group.
+//! Choice of the holders and voters of a group.
+//!
+//! The holders of a group are the instances that hold connections to its servers;
+//! all other instances send statements for the group through a holder. The voters
+//! are the instances that vote on the group. Every instance computes both from the
+//! list of records alone.
 
 use std::collections::HashMap;
 
@@ -9,35 +14,40 @@
 use crate::id::InstanceId;
 use crate::placement::stable_hash;
 
-/// Fewest connections to a server with which an instance can serve on its own:
-/// two for transactions and one for single statements.
+/// Smallest number of connections to a server with which an instance can serve a
+/// group: two for transactions and one for single statements.
 const MIN_CONNECTIONS_PER_HOLDER: usize = 3;
 
-/// Connections to a server that each holder should have when not all instances
-/// can have some. A few with many share them better than many with few.
+/// Number of connections to a server that each holder should have if there are not
+/// enough for all instances. A few holders with many connections use them better
+/// than many holders with few.
 const TARGET_CONNECTIONS_PER_HOLDER: usize = 4;
 
-/// Most holders of a group. More would only divide the waiting requests into
-/// queues that cannot be served in order; eight bear the loss of several.
+/// Largest number of holders of a group. More would only divide the waiting
+/// requests into more queues, which are not served in a common order. Eight
+/// tolerate the loss of several.
 const MAX_HOLDERS: usize = 8;
 
-/// Fewest holders, so that one can be lost.
+/// Smallest number of holders of a group. With two, one can fail.
 const MIN_HOLDERS: usize = 2;
 
-/// Holders of a group where there are more groups than instances: three bear
-/// the loss of two. Each pair of holders tells each other of the group twice a
-/// second, so that more would cost each instance a link to nearly every other.
+/// Number of holders of a group in a fleet with many groups for its size. Three
+/// tolerate the loss of two. The holders of a group exchange its state with each
+/// other twice a second, so with more holders each instance would need a link to
+/// nearly every other one.
 const MIN_HOLDERS_WITH_MANY_GROUPS: usize = 3;
 
-/// The instances that hold the connections to one of `groups` groups: all of
-/// them where they are few and the servers take enough connections, else some
-/// that the others go through.
+/// Returns the holders of one of `groups` groups, out of `staying`, the live
+/// instances that are not leaving. `max_connections` is the number of connections
+/// that each server of the group accepts.
 ///
-/// Weighted rendezvous hashing: all instances compute the same few from the
-/// same list, each with a chance by its capacity, and when one goes only its
-/// place is taken by another. The failure domains take turns: clients go
-/// through a holder of their own domain, and one that was alone in its domain
-/// had 40 % of the requests of a group.
+/// All instances are holders if they are few and the servers accept enough
+/// connections. Otherwise some are chosen by weighted rendezvous hashing: all
+/// instances choose the same holders from the same list, an instance is chosen with
+/// a probability according to its capacity, and if a holder fails, only its place
+/// is taken by another instance. Holders are chosen from the failure domains in
+/// turn: clients use a holder in their own domain, and a holder that was alone in
+/// its domain received 40 % of the requests of a group.
 #[must_use]
 pub fn holders(
     group: &GroupId,
@@ -55,7 +65,7 @@
     chosen.cloned().collect()
 }
 
-/// Instances in the order in which they hold a group.
+/// Returns the instances in the order in which they are chosen as holders.
 fn ordered<'a>(group: &GroupId, staying: &'a [InstanceRecord]) -> Vec<&'a InstanceRecord> {
     let mut scored: Vec<_> = staying.iter().map(|record| (score(group, record), record)).collect();
     scored.sort_by(|a, b| b.0.total_cmp(&a.0).then_with(|| a.1.id.cmp(&b.1.id)));
@@ -68,12 +78,13 @@
             (*turn, record)
         })
         .collect();
-    // Stable: within a turn the best score goes first.
+    // The sort is stable, so within a turn the instances stay ordered by score.
     ordered.sort_by_key(|(turn, _)| *turn);
     ordered.into_iter().map(|(_, record)| record).collect()
 }
 
-/// A score whose order picks instances in proportion to their capacity.
+/// Score for weighted rendezvous hashing: the probability that an instance has the
+/// highest score is proportional to its capacity.
 #[allow(clippy::cast_precision_loss, reason = "53 bits of a hash are enough for an order")]
 fn score(group: &GroupId, record: &InstanceRecord) -> f64 {
     let hash = stable_hash(&["holder", group, &record.id]) >> 11;
@@ -81,20 +92,21 @@
     f64::from(record.capacity_millicores.max(1)) / -uniform.ln()
 }
 
-/// Most instances that vote on a group.
+/// Largest number of instances that vote on a group.
 ///
-/// Eight bear the loss of three. It is the same for all larger fleets, and even:
-/// when an instance joins or goes, one voter at most is replaced by another, and
-/// five of the eight before and five of the eight after have one in common. With
-/// seven or nine they need not.
+/// Eight tolerate the loss of three. The number is the same for all larger fleets,
+/// and even: when an instance joins or leaves, at most one voter is replaced, and
+/// any five of the eight voters before and five of the eight after have one in
+/// common. With an odd number such as seven or nine this does not hold.
 const MAX_VOTERS: usize = 8;
 
-/// The instances that vote on a group, out of all that have a record.
+/// Returns the instances that vote on a group, out of all that have a record.
 ///
-/// Whether they are alive has no part in it: two sides of a partition take
-/// different instances for dead, and would each find a majority of their own. In
-/// a large fleet with few groups they are those that hold the connections while
-/// all are alive, and tell each other of the group with heartbeats anyway.
+/// The choice does not depend on which instances respond: two sides of a partition
+/// would find different instances unresponsive, and each could form a majority of
+/// its own. In a large fleet with few groups, the voters are the holders as long as
+/// all instances respond, and these exchange the state of the group with heartbeats
+/// anyway.
 #[must_use]
 pub fn voters(group: &GroupId, recorded: &[InstanceRecord]) -> Vec<InstanceId> {
     let chosen = ordered(group, recorded).into_iter().take(MAX_VOTERS);
--- a/lib/src/peer_contact.rs
+++ b/lib/src/peer_contact.rs
@@ -1,17 +1,18 @@
-//! Which other instances this one hears, as far as it can tell without asking.
+//! Reachability of other instances, as one instance observes it from its own
+//! traffic.
 //!
-//! The load that this answers: a partition, behind which are most of the
-//! instances that hold connections. Found out by each statement on its own, a
-//! silent holder cost 300 ms for a new connection and the whole time of the
-//! statement on an open one; with 195 instances, of which 71 % were cut off from
-//! the others, each instance had some hundred silent holders to find, and
-//! forgot them after a second. One statement in five was late or refused,
-//! though all but one of the twenty groups had holders and servers within reach.
+//! After a network partition, most of the instances that hold connections can be
+//! unreachable. If each statement detects that on its own, an unreachable holder
+//! costs 300 ms on a new connection, and the whole time limit of the statement on
+//! an open one. With 195 instances, of which 71 % were cut off from the others,
+//! each instance had some hundred unreachable holders to detect, and discarded the
+//! result after a second. One statement in five was late or refused, although all
+//! but one of the twenty groups had reachable holders and servers.
 //!
-//! So silence is a property of the instance, not of a statement: whoever finds
-//! one instance silent asks all others that it has not heard since for a sign of
-//! life before it trusts them with a statement, and a silent one gets no
-//! statement until it has given such a sign.
+//! Reachability is therefore tracked for each instance and not for each statement.
+//! When one instance proves unreachable, all others from which nothing arrived
+//! since must answer a liveness check before they get a statement. An unreachable
+//! instance gets no statement until it has answered such a check.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -19,74 +20,80 @@
 use crate::id::InstanceId;
 use crate::moment::Moment;
 
-/// How long a sign of life may take, connecting included.
+/// Time limit of a liveness check, including the time to connect.
 ///
-/// Many times the way there and back twice (6 ms between failure domains), and
-/// more than the turns that an instance with an eighth of a core waits for.
+/// It is many times the duration of two round trips (6 ms between failure domains),
+/// and longer than an instance with an eighth of a core waits for processor time.
 pub const LIVENESS_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// A statement without an answer for this long makes its sender ask for a sign
-/// of life. Three times the usual statement (18 ms), so that few ask in vain.
+/// Time without an answer to a statement after which its sender starts a liveness
+/// check. It is three times the duration of a usual statement (18 ms), so that few
+/// checks are unnecessary.
 pub const LIVENESS_CHECK_AFTER: Duration = Duration::from_millis(60);
 
-/// After an instance was found silent, others have to have given a sign of life
-/// for this long: a partition rarely takes one alone. Longer than the time in
-/// which all instances in use are asked.
+/// Time after an instance became unreachable during which the others must pass a
+/// liveness check before they get statements, since a partition rarely affects one
+/// instance alone. It is longer than the checks of all instances in use take.
 const SUSPICION_PERIOD: Duration = Duration::from_secs(2);
 
-/// How long a sign of life lasts during an alarm.
+/// Time for which an answer proves reachability during a suspicion period.
 const LIVENESS_VALIDITY: Duration = Duration::from_secs(1);
 
-/// Time between two questions to a silent instance; what one more that is cut
-/// off costs each that wants it.
+/// Interval between liveness checks of an unreachable instance. It limits what each
+/// additional unreachable instance costs those that would use it.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(400);
 
-/// What is known of another instance.
+/// Reachability of another instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Contact {
-    /// Nothing speaks against sending it a statement.
+    /// The instance is presumed reachable and can get statements.
     Heard,
-    /// Others are silent, and it has not been heard since: it has to give a
-    /// sign of life first.
+    /// Another instance became unreachable and nothing arrived from this one since:
+    /// it must answer a liveness check before it gets a statement.
     Unverified,
-    /// It did not answer when it was last asked.
+    /// The instance is unreachable: it did not answer the last request or liveness
+    /// check in time.
     Silent,
 }
 
+/// State of one peer.
 #[derive(Clone, Copy, Debug, Default)]
 struct PeerState {
-    heard_at: Moment,
-    silent: bool,
-    asked_at: Moment,
+    /// Send time of the newest message that the peer answered.
+    answered_sent_at: Moment,
+    unreachable: bool,
+    /// When the last liveness check was due, or a message went unanswered.
+    checked_at: Moment,
 }
 
-/// The contacts of one instance.
+/// Reachability of all peers of one instance.
 #[derive(Clone, Debug, Default)]
 pub struct PeerContacts {
     peers: HashMap<InstanceId, PeerState>,
-    /// The last alarm, from when on others have to have been heard.
+    /// The last suspicion period: the time since which peers must have answered,
+    /// and the end of the period.
     suspicion: Option<(Moment, Moment)>,
 }
 
 impl PeerContacts {
-    /// An instance answered something that was sent at `asked_at`. Returns
-    /// whether it was silent before.
+    /// Records that a peer answered a message sent at `asked_at`. Returns whether
+    /// the peer was unreachable before.
     pub fn heard(&mut self, asked_at: Moment, id: &InstanceId) -> bool {
         let known = self.peers.entry(id.clone()).or_default();
-        known.heard_at = known.heard_at.max(asked_at);
-        std::mem::take(&mut known.silent)
+        known.answered_sent_at = known.answered_sent_at.max(asked_at);
+        std::mem::take(&mut known.unreachable)
     }
 
-    /// An instance did not answer something that was sent at `asked_at`. Returns
-    /// whether that is news.
+    /// Records that a peer did not answer a message sent at `asked_at`. Returns
+    /// whether this makes the peer unreachable.
     pub fn missed(&mut self, now: Moment, asked_at: Moment, id: &InstanceId) -> bool {
         let known = self.peers.entry(id.clone()).or_default();
-        // Somebody else heard it meanwhile.
-        if known.heard_at > asked_at {
+        // The peer has answered a later message.
+        if known.answered_sent_at > asked_at {
             return false;
         }
-        known.asked_at = now;
-        let newly_unreachable = !std::mem::replace(&mut known.silent, true);
+        known.checked_at = now;
+        let newly_unreachable = !std::mem::replace(&mut known.unreachable, true);
         if newly_unreachable {
             let since = match self.suspicion {
                 Some((since, until)) if until > now => since,
@@ -97,39 +104,39 @@
         newly_unreachable
     }
 
-    /// What is known of an instance.
+    /// Returns the reachability of a peer.
     #[must_use]
     pub fn contact(&self, now: Moment, id: &InstanceId) -> Contact {
         let known = self.peers.get(id).copied().unwrap_or_default();
-        if known.silent {
+        if known.unreachable {
             return Contact::Silent;
         }
         let suspicion = self.suspicion.filter(|(_, until)| *until > now);
         let Some((since, _)) = suspicion else {
             return Contact::Heard;
         };
-        if known.heard_at >= since && known.heard_at + LIVENESS_VALIDITY > now {
+        if known.answered_sent_at >= since && known.answered_sent_at + LIVENESS_VALIDITY > now {
             return Contact::Heard;
         }
         Contact::Unverified
     }
 
-    /// Whether an instance that is not heard should be asked now for a sign of
-    /// life. It counts as asked.
+    /// Whether a liveness check of a peer is due. If so, it counts as sent at `now`.
+    /// No check is due for a peer that is presumed reachable.
     pub fn take_due_liveness_check(&mut self, now: Moment, id: &InstanceId) -> bool {
         if self.contact(now, id) == Contact::Heard {
             return false;
         }
         let known = self.peers.entry(id.clone()).or_default();
-        let pause = if known.silent { RECHECK_INTERVAL } else { LIVENESS_TIMEOUT };
-        let due = known.asked_at + pause <= now;
+        let pause = if known.unreachable { RECHECK_INTERVAL } else { LIVENESS_TIMEOUT };
+        let due = known.checked_at + pause <= now;
         if due {
-            known.asked_at = now;
+            known.checked_at = now;
         }
         due
     }
 
-    /// Forgets instances that are gone.
+    /// Removes the peers for which `exists` returns `false`.
     pub fn keep_only(&mut self, exists: impl Fn(&InstanceId) -> bool) {
         self.peers.retain(|id, _| exists(id));
     }
--- a/lib/src/placement.rs
+++ b/lib/src/placement.rs
@@ -1,4 +1,4 @@
-//! Which instance should own which database.
+//! Placement: which instance should own which database, by rendezvous hashing.
 
 use std::hash::Hasher;
 
@@ -8,19 +8,21 @@
 /// An instance that can own databases.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// The instance.
+    /// Name of the instance.
     pub id: InstanceId,
-    /// Where it runs.
+    /// Failure domain in which it runs.
     pub failure_domain: FailureDomainId,
 }
 
-/// FNV-1a: stable over versions and machines, which `std`'s hasher is not.
-/// All instances must compute the same order from the same list.
+/// FNV-1a hasher. All instances must compute the same order from the same list, and
+/// unlike the hasher of `std`, FNV-1a is the same in all versions and on all
+/// machines.
 struct StableHasher(u64);
 
 impl Hasher for StableHasher {
     fn finish(&self) -> u64 {
-        // A final mix, since FNV alone leaves the high bits of short keys alike.
+        // The final mixing step is needed because FNV alone yields similar high
+        // bits for short keys.
         let mut value = self.0;
         value ^= value >> 33;
         value = value.wrapping_mul(0xff51_afd7_ed55_8ccd);
@@ -36,7 +38,7 @@
     }
 }
 
-/// A hash that is the same on every instance.
+/// Hashes a sequence of strings. The result is the same on every instance.
 #[must_use]
 pub fn stable_hash(parts: &[&str]) -> u64 {
     let mut hasher = StableHasher(0xcbf2_9ce4_8422_2325);
@@ -47,11 +49,11 @@
     hasher.finish()
 }
 
-/// Orders the candidates for `key`, best first (rendezvous hashing).
+/// Orders the candidates for `key`, best first, by rendezvous hashing.
 ///
-/// Candidates in `preferred` (the failure domain of the primary) come first,
-/// since each write pays the way from the owner to the primary. When an
-/// instance goes, only the databases it was first for move.
+/// Candidates in `preferred`, the failure domain of the primary, come first, since
+/// each write travels from the owner to the primary. If an instance fails, only the
+/// databases that it was first for move.
 #[must_use]
 pub fn rank(
     key: &str,
--- a/lib/tests/exploration/servers.rs
+++ b/lib/tests/exploration/servers.rs
@@ -1,4 +1,4 @@
-//! Database servers as the exploration models them: terms, logs and roles.
+//! Model of the database servers for the exploration: terms, logs and roles.
 
 use std::sync::Arc;
 
@@ -6,32 +6,34 @@
 use chervilwharf_lib::ownership_types::ServerState;
 use chervilwharf_lib::position::Position;
 
-/// Rules of the protocol that can be taken out, to show that the exploration
-/// notices.
+/// Rule of the protocol that a run leaves out, to show that the exploration detects
+/// the violation that follows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MissingRule {
-    /// All rules are in force.
+    /// All rules apply.
     None,
-    /// A write is acknowledged without waiting for a replica.
+    /// A write is acknowledged before a replica has received it.
     ConfirmWait,
-    /// Servers take work of lower terms.
+    /// Servers accept work of other terms than their own.
     TermCheck,
-    /// A replica's entries count whatever the term it holds them in.
+    /// Entries at a replica confirm a write in whatever term the replica has them.
     ConfirmInOwnTerm,
-    /// A promotion writes no entry of its own.
+    /// A promotion appends no log entry of the new term.
     FirstEntry,
-    /// Reads are answered without a recent confirmation of the term.
-    Currency,
+    /// Reads are answered and writes acknowledged without a recent confirmation of
+    /// the term.
+    RecentConfirmation,
 }
 
-/// One entry of a log: its term and the write it holds, if any.
+/// One entry of a log: its term and its write. The entry that a promotion appends
+/// has no write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Entry {
     pub term: u64,
     pub write: Option<u64>,
 }
 
-/// One server.
+/// Model of one server.
 #[derive(Clone, Debug, Default)]
 pub struct Server {
     pub term: u64,
@@ -39,10 +41,10 @@
     pub is_primary: bool,
     pub follows: Option<usize>,
     pub log: Vec<Entry>,
-    pub heard_ago_ms: u64,
+    pub since_primary_contact_ms: u64,
 }
 
-/// The name of a server.
+/// Returns the name of a server.
 pub fn server_name(index: usize) -> Arc<str> {
     format!("server-{index}").into()
 }
@@ -63,18 +65,18 @@
             applied: self.last(),
             since_primary_contact: self
                 .follows
-                .map(|_| std::time::Duration::from_millis(self.heard_ago_ms)),
+                .map(|_| std::time::Duration::from_millis(self.since_primary_contact_ms)),
         }
     }
 
-    fn held(&self) -> FenceFailure {
+    fn refusal(&self) -> FenceFailure {
         FenceFailure::HigherTerm { term: self.term, owner: self.owner.clone() }
     }
 
     pub fn fence(&mut self, term: u64, owner: &Arc<str>) -> Result<ServerState, FenceFailure> {
         let same = term == self.term && *owner == self.owner;
         if term < self.term || (term == self.term && !same) {
-            return Err(self.held());
+            return Err(self.refusal());
         }
         if !same {
             self.term = term;
@@ -92,7 +94,7 @@
         rule: MissingRule,
     ) -> Result<Position, FenceFailure> {
         if self.term != term || self.owner != *owner {
-            return Err(self.held());
+            return Err(self.refusal());
         }
         if !self.is_primary {
             self.is_primary = true;
@@ -109,7 +111,7 @@
     pub fn follow(&mut self, term: u64, owner: &Arc<str>, primary: usize) {
         if self.term == term && self.owner == *owner && !self.is_primary {
             self.follows = Some(primary);
-            self.heard_ago_ms = 0;
+            self.since_primary_contact_ms = 0;
         }
     }
 
@@ -122,13 +124,14 @@
         Some(Position::new(term, self.log.len() as u64))
     }
 
-    /// Takes over what `primary` has, cutting back what diverges.
+    /// Removes the entries that diverge from the log of `primary`, and copies up to
+    /// `limit` of the entries that follow.
     pub fn replicate(&mut self, primary: &Self, limit: usize, rule: MissingRule) {
         let in_term = primary.is_primary && primary.term == self.term;
         if !in_term && rule != MissingRule::TermCheck {
             return;
         }
-        self.heard_ago_ms = 0;
+        self.since_primary_contact_ms = 0;
         let pairs = self.log.iter().zip(&primary.log);
         let common = pairs.take_while(|(mine, theirs)| mine == theirs).count();
         self.log.truncate(common);
--- a/lib/tests/exploration/world.rs
+++ b/lib/tests/exploration/world.rs
@@ -1,5 +1,5 @@
-//! A world of instances and servers on a virtual clock, with messages that
-//! are late or lost, pauses and restarts, all drawn from one seed.
+//! Simulation of instances and servers on a virtual clock. Late and lost messages,
+//! pauses, restarts and network partitions are drawn from one seed.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -31,7 +31,7 @@
 /// Step of the virtual clock.
 const STEP_MS: u64 = 5;
 
-/// What travels between instances and servers.
+/// Message between instances, or between an instance and a server.
 #[derive(Clone, Debug)]
 enum Message {
     Control { instance: usize, server: usize, action: OwnershipAction },
@@ -53,9 +53,10 @@
 struct Read {
     instance: usize,
     term: u64,
-    /// Handovers begun when it started: each waits until no read is left.
+    /// Number of handovers that the instance had begun when the read started. A
+    /// handover starts only once no read is in progress.
     handovers: u32,
-    /// Writes that had been acknowledged before it started.
+    /// Writes that had been acknowledged before the read started.
     expected: BTreeSet<u64>,
     sent_at_ms: u64,
 }
@@ -63,14 +64,15 @@
 struct Node {
     instance: Instance,
     paused_until_ms: u64,
-    /// Writes that wait for their confirmation.
-    waiting: Vec<(u64, u64, Position)>,
+    /// Writes that a server has executed but no replica has confirmed yet, as term,
+    /// write and position.
+    unconfirmed: Vec<(u64, u64, Position)>,
     handovers: u32,
-    /// Grows with each restart; messages to an earlier life are lost.
-    life: u32,
+    /// Number of restarts. Messages to an earlier incarnation are lost.
+    incarnation: u32,
 }
 
-/// What was counted in a run, to show that something happened in it.
+/// Events counted in a run, so that a test can check that the run did work.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
     pub acknowledged: usize,
@@ -78,7 +80,7 @@
     pub reads: usize,
 }
 
-/// One run.
+/// Simulation of one run.
 pub struct World {
     seed: u64,
     base: Instant,
@@ -101,7 +103,7 @@
     format!("instance-{index}").into()
 }
 
-fn info(index: usize) -> PeerInfo {
+fn peer_info(index: usize) -> PeerInfo {
     PeerInfo {
         id: instance_name(index),
         address: "".into(),
@@ -129,14 +131,14 @@
     serde_json::from_value(value).expect("a valid configuration")
 }
 
-fn new_node(index: usize, now: Instant, life_name: u32) -> Node {
+fn new_node(index: usize, now: Instant, incarnation: u32) -> Node {
     let timing = MembershipTiming::default();
-    let life = life_name.to_string();
-    let instance = Instance::new(info(index), &life, timing, OwnershipTiming::default());
+    let life = incarnation.to_string();
+    let instance = Instance::new(peer_info(index), &life, timing, OwnershipTiming::default());
     instance.configure(&configuration(), 1);
-    let others = (0..INSTANCES).filter(|other| *other != index).map(info);
+    let others = (0..INSTANCES).filter(|other| *other != index).map(peer_info);
     instance.membership().learn(now, others);
-    Node { instance, paused_until_ms: 0, waiting: Vec::new(), handovers: 0, life: life_name }
+    Node { instance, paused_until_ms: 0, unconfirmed: Vec::new(), handovers: 0, incarnation }
 }
 
 impl World {
@@ -176,7 +178,7 @@
         self.base + Duration::from_millis(self.now_ms)
     }
 
-    /// Sends a message: usually at once, sometimes late, sometimes never.
+    /// Sends a message. Most arrive within 6 ms, some later, and 1 % are lost.
     fn send(&mut self, message: Message) {
         let delay_ms = match self.random(100) {
             0 => return,
@@ -186,20 +188,20 @@
         };
         let due = (self.now_ms + delay_ms, self.next_message);
         self.next_message += 1;
-        let lives = std::array::from_fn(|index| self.nodes[index].life);
-        self.queue.insert(due, (message, lives));
+        let incarnations = std::array::from_fn(|index| self.nodes[index].incarnation);
+        self.queue.insert(due, (message, incarnations));
     }
 
-    fn violate(&mut self, what: &str) {
+    fn record_violation(&mut self, what: &str) {
         self.violation.get_or_insert(format!("at {} ms: {what}", self.now_ms));
     }
 
-    /// Runs for a virtual time or until something is violated.
+    /// Runs for a virtual time, or until an invariant is violated.
     pub fn run(&mut self, duration: Duration) {
         let end_ms = u64::try_from(duration.as_millis()).expect("short");
         while self.now_ms < end_ms && self.violation.is_none() {
             self.now_ms += STEP_MS;
-            self.faults();
+            self.inject_fault();
             self.replicate();
             self.deliver();
             for index in 0..INSTANCES {
@@ -214,7 +216,7 @@
         self.nodes[index].paused_until_ms > self.now_ms
     }
 
-    fn faults(&mut self) {
+    fn inject_fault(&mut self) {
         match self.random(1200) {
             0 => {
                 let index = self.index(INSTANCES);
@@ -223,8 +225,8 @@
             }
             1 => {
                 let index = self.index(INSTANCES);
-                let life = self.nodes[index].life + 1;
-                self.nodes[index] = new_node(index, self.now(), life);
+                let incarnation = self.nodes[index].incarnation + 1;
+                self.nodes[index] = new_node(index, self.now(), incarnation);
             }
             2 => {
                 let index = self.index(SERVERS);
@@ -232,7 +234,7 @@
                 self.server_down_until_ms[index] = self.now_ms + down_ms;
             }
             3 => {
-                // Instances are numbered after the servers.
+                // Node numbers: the servers come first, then the instances.
                 let nodes = SERVERS + INSTANCES;
                 let (a, b) = (self.index(nodes), self.index(nodes));
                 self.cut.insert((a.min(b), a.max(b)));
@@ -252,7 +254,7 @@
 
     fn replicate(&mut self) {
         for index in 0..SERVERS {
-            self.servers[index].heard_ago_ms += STEP_MS;
+            self.servers[index].since_primary_contact_ms += STEP_MS;
             let Some(primary) = self.servers[index].follows else {
                 continue;
             };
@@ -271,15 +273,16 @@
             if entry.key().0 > self.now_ms || self.violation.is_some() {
                 break;
             }
-            let (message, lives) = entry.remove();
-            self.receive(&message, lives);
+            let (message, incarnations) = entry.remove();
+            self.receive(&message, incarnations);
         }
     }
 
-    /// Whether an instance is the one a message was meant for, and awake. A
-    /// paused one gets it later.
-    fn accepts(&mut self, index: usize, message: &Message, lives: [u32; INSTANCES]) -> bool {
-        if self.nodes[index].life != lives[index] {
+    /// Whether an instance processes a message now: it has not restarted since the
+    /// message was sent, and is not paused. A paused instance gets the message at
+    /// the end of its pause.
+    fn accepts(&mut self, index: usize, message: &Message, incarnations: [u32; INSTANCES]) -> bool {
+        if self.nodes[index].incarnation != incarnations[index] {
             return false;
         }
         if !self.is_paused(index) {
@@ -287,17 +290,17 @@
         }
         let due = (self.nodes[index].paused_until_ms, self.next_message);
         self.next_message += 1;
-        self.queue.insert(due, (message.clone(), lives));
+        self.queue.insert(due, (message.clone(), incarnations));
         false
     }
 
-    fn receive(&mut self, message: &Message, lives: [u32; INSTANCES]) {
+    fn receive(&mut self, message: &Message, incarnations: [u32; INSTANCES]) {
         match message.clone() {
             Message::Control { instance, server, action } => {
                 self.control(instance, server, action);
             }
             Message::Event { instance, event } => {
-                if self.accepts(instance, message, lives) {
+                if self.accepts(instance, message, incarnations) {
                     self.ownership(instance, event);
                 }
             }
@@ -305,28 +308,29 @@
                 if self.is_cut(SERVERS + from, SERVERS + to) {
                     return;
                 }
-                if self.accepts(to, message, lives) {
+                if self.accepts(to, message, incarnations) {
                     self.event(to, InstanceEvent::Heartbeat(body));
                     let body = self.nodes[to].instance.heartbeat_body();
                     self.send(Message::HeartbeatReply { to: from, sequence, body });
                 }
             }
             Message::HeartbeatReply { to, sequence, body } => {
-                if self.accepts(to, message, lives) {
+                if self.accepts(to, message, incarnations) {
                     self.event(to, InstanceEvent::HeartbeatAnswered { sequence, body });
                 }
             }
             Message::Handover { from, to, term } => {
-                if self.accepts(to, message, lives) {
+                if self.accepts(to, message, incarnations) {
                     let database = DATABASE.into();
                     self.event(to, InstanceEvent::HandoverOffered { database, term });
-                    // The answer is lost as often as not.
+                    // Half of the answers report a failure although the offer was
+                    // accepted.
                     let accepted = self.random(2) == 0;
                     self.send(Message::HandoverEnded { from, accepted });
                 }
             }
             Message::HandoverEnded { from, accepted } => {
-                if self.accepts(from, message, lives) {
+                if self.accepts(from, message, incarnations) {
                     let database = DATABASE.into();
                     self.event(from, InstanceEvent::HandoverEnded { database, accepted });
                 }
@@ -340,8 +344,8 @@
                 }
             }
             Message::Written { instance, term, write, position } => {
-                if self.accepts(instance, message, lives) {
-                    self.nodes[instance].waiting.push((term, write, position));
+                if self.accepts(instance, message, incarnations) {
+                    self.nodes[instance].unconfirmed.push((term, write, position));
                 }
             }
             Message::Read { read, server } => {
@@ -354,7 +358,7 @@
                 }
             }
             Message::ReadDone { read, server, applied, seen } => {
-                if self.accepts(read.instance, message, lives) {
+                if self.accepts(read.instance, message, incarnations) {
                     let sent_at = self.base + Duration::from_millis(read.sent_at_ms);
                     self.nodes[read.instance].instance.with_database(DATABASE, |state| {
                         let server = server_name(server);
@@ -371,7 +375,7 @@
                 }
             }
             Message::ReplicaIs { instance, server, term, received } => {
-                if self.accepts(instance, message, lives) {
+                if self.accepts(instance, message, incarnations) {
                     self.nodes[instance].instance.with_database(DATABASE, |state| {
                         state.ownership.received(&server_name(server), term, received);
                     });
@@ -416,11 +420,11 @@
         self.counts.promotions += 1;
         let first = *self.promoted_by.entry(term).or_insert(instance);
         if first != instance {
-            self.violate(&format!("two owners promoted in term {term}"));
+            self.record_violation(&format!("two owners promoted in term {term}"));
         }
         let lost = self.acknowledged.iter().find(|write| !self.servers[server].has(**write));
         if let Some(write) = lost.copied() {
-            self.violate(&format!("acknowledged write {write} is not at the new primary"));
+            self.record_violation(&format!("acknowledged write {write} is not at the new primary"));
         }
     }
 
@@ -461,20 +465,20 @@
                 let to = to.expect("a known instance");
                 self.begin_handover(index);
                 self.send(Message::Handover { from: index, to, term });
-                // An offer that gets no answer fails by its timeout, or by a
-                // broken link much sooner.
+                // The sender can also see the offer fail, by its timeout or, much
+                // sooner, by a broken connection.
                 self.send(Message::HandoverEnded { from: index, accepted: false });
             }
             _ => {}
         }
     }
 
-    /// As the daemon does: nothing new starts, and what was in progress has
-    /// ended before the offer goes out.
+    /// Stops the work of an instance before it offers a handover, as the daemon
+    /// does: no new work starts, and work in progress has ended.
     fn begin_handover(&mut self, index: usize) {
         let node = &mut self.nodes[index];
         node.handovers += 1;
-        node.waiting.clear();
+        node.unconfirmed.clear();
         node.instance.with_database(DATABASE, |state| state.gate = Gate::Closed);
     }
 
@@ -514,11 +518,11 @@
         }
     }
 
-    /// Acknowledges what may be acknowledged, as the daemon does.
+    /// Acknowledges the confirmed writes of an instance, as the daemon does.
     fn acknowledge(&mut self, index: usize) {
         let now = self.now();
-        let waiting = std::mem::take(&mut self.nodes[index].waiting);
-        for (term, write, position) in waiting {
+        let unconfirmed = std::mem::take(&mut self.nodes[index].unconfirmed);
+        for (term, write, position) in unconfirmed {
             let rule = self.rule;
             let servers = &self.servers;
             let verdict = self.nodes[index].instance.with_database(DATABASE, |state| {
@@ -529,7 +533,8 @@
                 let confirmed = match rule {
                     MissingRule::ConfirmWait => true,
                     MissingRule::ConfirmInOwnTerm => {
-                        // A replica's length alone, in whatever term.
+                        // Compares only the length of the replica logs, not the
+                        // term of their entries.
                         let longest = servers
                             .iter()
                             .filter(|server| !server.is_primary)
@@ -538,7 +543,8 @@
                     }
                     _ => state.ownership.confirmed() >= position,
                 };
-                let current = rule == MissingRule::Currency || state.ownership.is_current(now);
+                let current =
+                    rule == MissingRule::RecentConfirmation || state.ownership.is_current(now);
                 Some(confirmed && current)
             });
             match verdict.flatten() {
@@ -546,7 +552,7 @@
                     self.counts.acknowledged += 1;
                     self.acknowledged.insert(write);
                 }
-                Some(false) => self.nodes[index].waiting.push((term, write, position)),
+                Some(false) => self.nodes[index].unconfirmed.push((term, write, position)),
                 None => {}
             }
         }
@@ -561,14 +567,14 @@
         }
         let allowed = node.instance.with_database(DATABASE, |state| {
             let serving = state.ownership.serving().is_some_and(|(own, _)| own == read.term);
-            serving && (rule == MissingRule::Currency || state.ownership.is_current(now))
+            serving && (rule == MissingRule::RecentConfirmation || state.ownership.is_current(now))
         });
         if allowed != Some(true) {
             return;
         }
         self.counts.reads += 1;
         if let Some(write) = read.expected.difference(seen).next() {
-            self.violate(&format!("a fresh read missed the acknowledged write {write}"));
+            self.record_violation(&format!("a fresh read missed the acknowledged write {write}"));
         }
     }
 }
--- a/lib/tests/test_decisions.rs
+++ b/lib/tests/test_decisions.rs
@@ -1,4 +1,5 @@
-//! The smaller decisions: queues, pools, floors, routing, placement, limits.
+//! Unit tests of queues, pools, floors, routing, placement, limits and
+//! classification.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -58,7 +59,7 @@
     let now = Instant::now();
     let mut queue = SlotQueue::new(1);
     queue.request(now, 1, now + ms(10_000));
-    // Teach it that a statement takes about 100 ms.
+    // These releases make the queue estimate about 100 ms for a statement.
     for _ in 0..100 {
         queue.request(now, 1, now + ms(10_000));
         queue.release(now, ms(100));
@@ -76,7 +77,7 @@
 }
 
 #[test]
-fn test_full_queue_pushes_out_the_least_important() {
+fn test_full_queue_displaces_the_lowest_priority() {
     let now = Instant::now();
     let mut queue = SlotQueue::new(1);
     queue.request(now, 1, now + ms(60_000));
@@ -118,7 +119,7 @@
             if queue.in_use() != holders || holders > 3 {
                 return false;
             }
-            // Nobody waits while a slot is free.
+            // No request waits while a slot is free.
             if holders < 3 && queue.waiting() > 0 {
                 return false;
             }
@@ -190,7 +191,7 @@
 }
 
 #[test]
-fn test_promotion_lifts_all_floors_to_its_first_entry() {
+fn test_promotion_raises_all_floors_to_its_first_entry() {
     let mut floors = Floors::new(Position::new(1, 1));
     floors.raise(&"a".into(), Position::new(1, 99));
     floors.promoted(Position::new(2, 50));
@@ -251,7 +252,7 @@
 }
 
 #[test]
-fn test_account_over_its_rate_is_told_when_to_come_back() {
+fn test_account_over_its_rate_gets_time_until_next_request() {
     let now = Instant::now();
     let mut limits = AccountLimits::new(now, 10);
     (0..10).for_each(|_| limits.try_request(now, 10).unwrap());
@@ -333,7 +334,8 @@
     for _ in 0..200 {
         counts.record(now, Some((ErrorKind::NoPrimary, "db1")));
     }
-    // A refusal by the server is the caller's own and burns nothing.
+    // A refusal by the server is an error of the client and does not count against
+    // the error budget.
     counts.record(now, Some((ErrorKind::ServerRefused, "db1")));
     let burn = report("s", 0.999, &counts, now);
     assert_eq!(burn.alert, Alert::Page);
@@ -341,7 +343,8 @@
     assert_eq!(burn.windows[0].bad, 200);
 }
 
-/// The kept rankings are those one would get by ranking everything anew.
+/// Checks that the incrementally updated rankings equal those computed from all
+/// candidates.
 #[test]
 fn test_succession_matches_full_ranking_after_every_membership_change() {
     fn property(changes: Vec<(bool, u8)>) -> bool {
--- a/lib/tests/test_ownership.rs
+++ b/lib/tests/test_ownership.rs
@@ -1,4 +1,4 @@
-//! Single steps of the ownership state machine.
+//! Tests of single steps of the ownership state machine.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -47,10 +47,10 @@
     actions.iter().filter_map(term).collect()
 }
 
-/// Symptom: an acknowledged write is missing from fresh reads. Sequence: an
-/// owner is restarted under the same name, knows no term, and fences with the
-/// term it had before. Cause: servers took the name alone for the same
-/// holder, and two primaries stood in one term.
+/// Guards against two primaries in one term, after which fresh reads lack
+/// acknowledged writes. A restarted owner has lost its term and fences with the one
+/// that it had before. If servers identify the holder by the name of the instance
+/// alone, they grant that term again.
 #[test]
 fn test_restarted_owner_takes_a_new_term() {
     let now = Instant::now();
@@ -81,11 +81,11 @@
     promote.unwrap()
 }
 
-/// Symptom: acknowledged writes vanish with a failover. Sequence: an old
-/// primary has a long tail that was never confirmed, a replica a shorter log
-/// of a newer term. Cause: logs are compared by length alone.
+/// Guards against the loss of acknowledged writes by a failover that compares logs by
+/// length alone. An old primary can have a longer log whose last entries were never
+/// confirmed, and a replica a shorter log of a newer term.
 #[test]
-fn test_log_of_the_newer_term_wins_over_the_longer_one() {
+fn test_log_of_newer_term_is_preferred_to_longer_log() {
     let promoted = promoted_server([
         ("a", Position::new(1, 900)),
         ("b", Position::new(2, 20)),
@@ -94,12 +94,11 @@
     assert_eq!(promoted, "b");
 }
 
-/// Symptom: a healthy primary is replaced after the owner was paused.
-/// Sequence: the owner's process stands still for seconds; when it goes on,
-/// all its probes look unanswered. Cause: its own pause is taken for the
-/// silence of the server.
+/// Guards against the replacement of a healthy primary after the owner's process was
+/// paused for seconds. When the process continues, all its probes appear to be
+/// unanswered, which must not count as a failure of the server.
 #[test]
-fn test_own_pause_is_not_taken_for_a_silent_primary() {
+fn test_own_pause_does_not_replace_the_primary() {
     let start = Instant::now();
     let mut ownership = new_ownership("2");
     ownership.handle(start, OwnershipEvent::Take(TakeCause::Vacant));
@@ -120,16 +119,17 @@
     for at_ms in [20, 120, 220] {
         tick(&mut ownership, at_ms);
     }
-    // Five seconds of nothing, then all unanswered probes at once.
+    // After a pause of five seconds, all probes are overdue at once.
     let actions = tick(&mut ownership, 5220);
     assert!(ownership.serving().is_some());
     assert!(fence_terms(&actions).is_empty());
-    // Had it not been paused, the same silence is a fault: the replicas
-    // answer every probe, the primary none.
+    // Without a pause, a lack of answers is a fault: the replicas answer every
+    // probe and the primary none.
     let mut fenced = Vec::new();
     for at_ms in (5240..6000).step_by(20) {
         let now = start + Duration::from_millis(at_ms);
-        // In use, that is: an idle database is asked more seldom.
+        // The request keeps the database from being idle, in which case probes
+        // would be less frequent.
         ownership.requested(now);
         let actions = tick(&mut ownership, at_ms);
         fenced.extend(fence_terms(&actions));
--- a/lib/tests/test_peer_contact.rs
+++ b/lib/tests/test_peer_contact.rs
@@ -1,5 +1,6 @@
-//! Which instances are trusted with a statement, and what a partition costs
-//! entries that have to find out which holders are left.
+//! Tests of the reachability of instances and of the choice of a holder, and a
+//! simulation of what a network partition costs instances that have to detect which
+//! holders they still reach.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -30,35 +31,38 @@
 }
 
 #[test]
-fn test_instance_is_trusted_until_one_is_silent() {
+fn test_instance_is_presumed_reachable_until_another_is_unreachable() {
     let mut contacts = PeerContacts::default();
     assert_eq!(contacts.contact(at(0), &id("a")), Contact::Heard);
     contacts.heard(at(900), &id("b"));
     assert!(contacts.missed(at(1_100), at(1_000), &id("a")));
     assert_eq!(contacts.contact(at(1_100), &id("a")), Contact::Silent);
-    // It was heard before the other one fell silent, which shows nothing.
+    // Its last answer is older than the message that "a" did not answer, so it does
+    // not prove that "b" is still reachable.
     assert_eq!(contacts.contact(at(1_100), &id("b")), Contact::Unverified);
     contacts.heard(at(1_150), &id("b"));
     assert_eq!(contacts.contact(at(1_160), &id("b")), Contact::Heard);
-    // Long after, all are trusted again but the silent one.
+    // After the suspicion period, all but the unreachable instance are presumed
+    // reachable.
     assert_eq!(contacts.contact(at(9_000), &id("c")), Contact::Heard);
     assert_eq!(contacts.contact(at(9_000), &id("a")), Contact::Silent);
 }
 
 #[test]
-fn test_silent_instance_is_asked_now_and_then_until_it_answers() {
+fn test_unreachable_instance_is_checked_again_until_it_answers() {
     let mut contacts = PeerContacts::default();
     contacts.missed(at(1_000), at(900), &id("a"));
-    assert!(!contacts.take_due_liveness_check(at(1_100), &id("a")), "it was asked just now");
+    assert!(!contacts.take_due_liveness_check(at(1_100), &id("a")), "it was checked just now");
     assert!(contacts.take_due_liveness_check(at(1_500), &id("a")));
     assert!(!contacts.take_due_liveness_check(at(1_501), &id("a")));
     assert!(contacts.heard(at(1_502), &id("a")), "it was silent");
     assert!(!contacts.take_due_liveness_check(at(2_500), &id("a")));
 }
 
-/// A question that was lost before an answer to a later one says nothing.
+/// A message without an answer does not make an instance unreachable if it has
+/// answered a later one.
 #[test]
-fn test_instance_that_was_heard_since_is_not_silent() {
+fn test_instance_that_answered_since_is_not_unreachable() {
     let mut contacts = PeerContacts::default();
     contacts.heard(at(1_050), &id("a"));
     assert!(!contacts.missed(at(1_100), at(1_000), &id("a")));
@@ -77,7 +81,7 @@
 }
 
 #[test]
-fn test_far_holder_that_can_serve_goes_before_near_ones_that_cannot() {
+fn test_far_holder_that_can_serve_is_preferred_to_near_ones_that_cannot() {
     let candidates = [
         candidate("silent", Contact::Silent, false, true),
         candidate("unable", Contact::Heard, true, true),
@@ -92,21 +96,23 @@
     assert!(choose(&[], &Affinity::Session(0)).is_none());
 }
 
-/// Instances, groups and requests of the large deployment.
+/// Size of the simulated deployment.
 const INSTANCES: usize = 195;
 const DOMAINS: usize = 5;
 const GROUPS: usize = 20;
-/// Of ten instances, as many are on the larger side of the partition.
+/// Number of instances on the larger side of the partition, out of each ten.
 const LARGER_SIDE_OF_TEN: usize = 7;
-/// The way to another instance and back.
+/// Round-trip time to another instance.
 const ROUND_TRIP: Duration = Duration::from_millis(3);
-/// A statement's time at a holder.
+/// Time that a holder needs for a statement.
 const SERVICE: Duration = Duration::from_millis(20);
-/// Longest time for a statement.
+/// Time limit of a statement.
 const TIMEOUT: Duration = Duration::from_millis(800);
+/// Time within which a statement should be answered.
 const OBJECTIVE: Duration = Duration::from_millis(400);
+/// Duration of the partition.
 const PARTITION: Duration = Duration::from_secs(7);
-/// Without signs of life, a new connection is given up after this time.
+/// Time limit for a new connection if there are no liveness checks.
 const CONNECT_LIMIT: Duration = Duration::from_millis(300);
 
 fn fleet() -> Vec<InstanceRecord> {
@@ -125,38 +131,41 @@
     number % 10 < LARGER_SIDE_OF_TEN
 }
 
-/// How an entry finds out that a holder is silent.
+/// How an instance detects that a holder is unreachable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
-    /// Each statement by its own time, and for a second after it.
+enum DetectionMethod {
+    /// By the timeout of each statement. The result is kept for a second.
     ByStatement,
-    /// By signs of life, which tell of the instance.
-    BySigns,
+    /// By liveness checks. The result is kept for the instance.
+    ByLivenessCheck,
 }
 
-/// What became of the requests in a partition.
+/// Numbers of requests during the partition, by their result.
 #[derive(Clone, Copy, Debug, Default)]
 struct Outcome {
-    asked: usize,
-    /// Served in the objective.
+    /// All requests.
+    requests: usize,
+    /// Served within the objective.
     in_time: usize,
-    /// Served later, or given up after the objective.
+    /// Served or given up after the objective.
     late: usize,
-    /// Told within the objective that nobody here can serve it.
+    /// Refused within the objective, since no holder was reachable.
     refused: usize,
 }
 
-/// An entry that knows nothing of a partition that began at 0.
-struct Entry<'a> {
+/// An instance that sends statements to holders. It has no observations from before
+/// the partition, which begins at time 0.
+struct SendingInstance<'a> {
     record: &'a InstanceRecord,
     contacts: PeerContacts,
-    /// Without signs of life: silent holders, until they are forgotten.
+    /// Unreachable holders without liveness checks, each with the time until which
+    /// the result is kept.
     forgotten_at: HashMap<InstanceId, Moment>,
-    /// Where the present request's time has got to.
+    /// Virtual time of the current request.
     now: Moment,
 }
 
-impl<'a> Entry<'a> {
+impl<'a> SendingInstance<'a> {
     fn new(record: &'a InstanceRecord) -> Self {
         let (contacts, forgotten_at) = (PeerContacts::default(), HashMap::new());
         Self { record, contacts, forgotten_at, now: Moment::ZERO }
@@ -166,10 +175,10 @@
         is_on_larger_side(id) == is_on_larger_side(&self.record.id)
     }
 
-    fn contact(&self, way: Way, id: &InstanceId) -> Contact {
-        match way {
-            Way::BySigns => self.contacts.contact(self.now, id),
-            Way::ByStatement => match self.forgotten_at.get(id) {
+    fn contact(&self, method: DetectionMethod, id: &InstanceId) -> Contact {
+        match method {
+            DetectionMethod::ByLivenessCheck => self.contacts.contact(self.now, id),
+            DetectionMethod::ByStatement => match self.forgotten_at.get(id) {
                 Some(until) if *until > self.now => Contact::Silent,
                 _ => Contact::Heard,
             },
@@ -178,14 +187,14 @@
 
     fn candidates(
         &self,
-        way: Way,
+        method: DetectionMethod,
         holders: &[InstanceRecord],
         tried: &[InstanceId],
     ) -> Vec<Candidate> {
         let untried = holders.iter().filter(|record| !tried.contains(&record.id));
         let others = untried.filter(|record| record.id != self.record.id);
         let candidate = |record: &InstanceRecord| Candidate {
-            contact: self.contact(way, &record.id),
+            contact: self.contact(method, &record.id),
             recently_refused: false,
             near: record.failure_domain == self.record.failure_domain,
             record: record.clone(),
@@ -193,43 +202,44 @@
         others.map(candidate).collect()
     }
 
-    /// Asks instances for a sign of life; the first to answer ends the wait.
-    fn ask(&mut self, asked: &[InstanceId]) -> bool {
-        let reached = asked.iter().any(|id| self.reaches(id));
-        for id in asked {
+    /// Sends liveness checks to instances and waits for the first answer. Returns
+    /// whether there was one.
+    fn check_liveness(&mut self, checked: &[InstanceId]) -> bool {
+        let reached = checked.iter().any(|id| self.reaches(id));
+        for id in checked {
             if self.reaches(id) {
                 self.contacts.heard(self.now, id);
             } else {
                 self.contacts.missed(self.now + LIVENESS_TIMEOUT, self.now, id);
             }
         }
-        if !asked.is_empty() {
+        if !checked.is_empty() {
             self.now += if reached { ROUND_TRIP } else { LIVENESS_TIMEOUT };
         }
         reached
     }
 
-    /// One request at its arrival; returns whether it was served.
-    fn request(&mut self, way: Way, holders: &[InstanceRecord], key: u32) -> bool {
+    /// Processes a request that arrives at `now`. Returns whether it was served.
+    fn request(&mut self, method: DetectionMethod, holders: &[InstanceRecord], key: u32) -> bool {
         let give_up_at = self.now + TIMEOUT;
         let mut tried = Vec::new();
         while self.now < give_up_at {
-            let candidates = self.candidates(way, holders, &tried);
+            let candidates = self.candidates(method, holders, &tried);
             let Some(chosen) = choose(&candidates, &Affinity::Session(key)) else {
                 return false;
             };
             let id = chosen.record.id.clone();
-            match (way, chosen.contact) {
-                (Way::BySigns, Contact::Unverified) => {
+            match (method, chosen.contact) {
+                (DetectionMethod::ByLivenessCheck, Contact::Unverified) => {
                     let all: Vec<_> = candidates.iter().map(|c| c.record.id.clone()).collect();
-                    self.ask(&all);
+                    self.check_liveness(&all);
                 }
-                (Way::BySigns, Contact::Silent) => {
+                (DetectionMethod::ByLivenessCheck, Contact::Silent) => {
                     let now = self.now;
                     let ids = candidates.iter().map(|c| c.record.id.clone());
                     let due: Vec<_> =
                         ids.filter(|id| self.contacts.take_due_liveness_check(now, id)).collect();
-                    if !self.ask(&due) {
+                    if !self.check_liveness(&due) {
                         return false;
                     }
                 }
@@ -239,7 +249,7 @@
                     return true;
                 }
                 _ => {
-                    self.wait_in_vain(way, &id);
+                    self.wait_for_unreachable(method, &id);
                     tried.push(id);
                 }
             }
@@ -247,14 +257,14 @@
         false
     }
 
-    fn wait_in_vain(&mut self, way: Way, id: &InstanceId) {
+    fn wait_for_unreachable(&mut self, method: DetectionMethod, id: &InstanceId) {
         let sent_at = self.now;
-        match way {
-            Way::ByStatement => {
+        match method {
+            DetectionMethod::ByStatement => {
                 self.now += CONNECT_LIMIT;
                 self.forgotten_at.insert(id.clone(), self.now + Duration::from_secs(1));
             }
-            Way::BySigns => {
+            DetectionMethod::ByLivenessCheck => {
                 self.now += LIVENESS_CHECK_AFTER + LIVENESS_TIMEOUT;
                 self.contacts.missed(self.now, sent_at, id);
             }
@@ -262,24 +272,24 @@
     }
 }
 
-/// Plays a partition of seven seconds for all entries of the smaller side.
-fn play(way: Way, seed: u64) -> Outcome {
+/// Simulates the partition for all instances on the smaller side.
+fn simulate_partition(method: DetectionMethod, seed: u64) -> Outcome {
     let fleet = fleet();
     let mut rng = StdRng::seed_from_u64(seed);
     let list = |group| holders(&GroupId::from(format!("g{group}")), 88, GROUPS, &fleet);
     let lists: Vec<_> = (0..GROUPS).map(list).collect();
     let mut outcome = Outcome::default();
     for record in fleet.iter().filter(|record| !is_on_larger_side(&record.id)) {
-        let mut entry = Entry::new(record);
+        let mut sender = SendingInstance::new(record);
         let mut arrived_at = Moment::ZERO;
         while arrived_at < PARTITION {
-            // Ten requests a second.
+            // On average ten requests a second.
             arrived_at += at(rng.random_range(1..200));
-            entry.now = arrived_at;
+            sender.now = arrived_at;
             let holders = &lists[rng.random_range(0..GROUPS)];
-            let served = entry.request(way, holders, rng.random_range(0..1_000));
-            let in_time = entry.now <= arrived_at + OBJECTIVE;
-            outcome.asked += 1;
+            let served = sender.request(method, holders, rng.random_range(0..1_000));
+            let in_time = sender.now <= arrived_at + OBJECTIVE;
+            outcome.requests += 1;
             outcome.in_time += usize::from(served && in_time);
             outcome.refused += usize::from(!served && in_time);
             outcome.late += usize::from(!in_time);
@@ -288,25 +298,31 @@
     outcome
 }
 
-/// Load: 195 instances, 20 groups of eight holders, a partition of 70 to 30 for
-/// seven seconds, requests at instances of the smaller side. Symptom: most of
-/// them late, though nearly every group has a holder within reach. Cause: each
-/// statement waited for silent holders by its own time, and what it had learned
-/// was forgotten after a second.
+/// Guards against late requests on the smaller side of a partition, although nearly
+/// every group has a reachable holder: 195 instances and 20 groups of eight holders
+/// are split 70 to 30 for seven seconds. Most requests are late if each statement
+/// waits for unreachable holders by its own timeout and the result is discarded
+/// after a second.
 #[test]
-fn test_partition_costs_entries_only_what_is_behind_it() {
+fn test_partition_delays_only_requests_without_reachable_holder() {
     for seed in 0..5 {
-        let by_statement = play(Way::ByStatement, seed);
-        let by_signs = play(Way::BySigns, seed);
-        assert!(by_signs.late * 100 < by_signs.asked * 3, "seed {seed}: {by_signs:?}");
-        assert!(by_signs.in_time * 100 > by_signs.asked * 90, "seed {seed}: {by_signs:?}");
-        assert!(by_statement.late > by_signs.late * 5, "seed {seed}: {by_statement:?}");
+        let by_statement = simulate_partition(DetectionMethod::ByStatement, seed);
+        let by_liveness_check = simulate_partition(DetectionMethod::ByLivenessCheck, seed);
+        assert!(
+            by_liveness_check.late * 100 < by_liveness_check.requests * 3,
+            "seed {seed}: {by_liveness_check:?}"
+        );
+        assert!(
+            by_liveness_check.in_time * 100 > by_liveness_check.requests * 90,
+            "seed {seed}: {by_liveness_check:?}"
+        );
+        assert!(by_statement.late > by_liveness_check.late * 5, "seed {seed}: {by_statement:?}");
     }
 }
 
-/// Symptom: each account needed a connection at each of eight holders, and servers
-/// spent their slots on new connections. Cause: sessions of an account went to
-/// whichever holder was near.
+/// Guards against accounts that need a connection at each of eight holders, so that
+/// servers spend their slots on opening connections. That happens if the sessions of
+/// an account use any holder in their failure domain.
 #[test]
 fn test_account_has_one_home_that_moves_only_when_it_goes() {
     let holders: Vec<_> =
@@ -324,7 +340,7 @@
             holders.iter().filter(|other| *other.record.id != *"h3").cloned().collect();
         let moved = home(&without, &account);
         assert_eq!(moved != at_home, &*at_home == "h3", "{account}");
-        // A home that is silent, or just could not serve, is passed over.
+        // An unreachable home holder is not chosen.
         let mut silent = holders.clone();
         for candidate in silent.iter_mut().filter(|other| other.record.id == at_home) {
             candidate.contact = Contact::Silent;
