--- a/lib/src/fleet.rs
+++ b/lib/src/fleet.rs
@@ -171,8 +171,8 @@
     /// Removes instances whose records are missing since a restore of the store and
     /// were not written again in time.
     pub fn forget_unlisted(&mut self, now: Moment) {
-        let over = |since: Moment| since + REMOVE_AFTER <= now;
-        self.members.retain(|_, member| !member.unlisted_since.is_some_and(over));
+        let expired = |since: Moment| since + REMOVE_AFTER <= now;
+        self.members.retain(|_, member| !member.unlisted_since.is_some_and(expired));
     }
 
     /// Returns the records that this instance should write again after a restore of
@@ -183,8 +183,9 @@
     pub fn restorable(&self, now: Moment) -> Vec<InstanceRecord> {
         let unlisted = |record: &InstanceRecord| {
             let member = self.members.get(&record.id);
-            let heard = member.filter(|member| member.last_contact_at + UNREACHABLE_AFTER > now);
-            let since = heard.and_then(|member| member.unlisted_since);
+            let responsive =
+                member.filter(|member| member.last_contact_at + UNREACHABLE_AFTER > now);
+            let since = responsive.and_then(|member| member.unlisted_since);
             since.is_some_and(|since| since + RESTORE_AFTER <= now)
         };
         let mut records = self.watched();
@@ -281,11 +282,11 @@
         if self.members.len() < MIN_OTHERS_FOR_RELAYS {
             return true;
         }
-        let mine = relay_score(&self.me);
+        let own_score = relay_score(&self.me);
         let before = self.staying(now).into_iter().filter(|id| {
             let near = self.members.get(id);
             let near = near.is_some_and(|member| member.record.failure_domain == *failure_domain);
-            near && relay_score(id) > mine
+            near && relay_score(id) > own_score
         });
         before.count() < RELAYS_PER_DOMAIN
     }
--- a/lib/src/holder_choice.rs
+++ b/lib/src/holder_choice.rs
@@ -42,9 +42,9 @@
 #[must_use]
 pub fn choose<'a>(candidates: &'a [Candidate], affinity: &Affinity) -> Option<&'a Candidate> {
     let rank = |candidate: &Candidate| {
-        let silent = candidate.contact == Contact::Silent;
+        let unreachable = candidate.contact == Contact::Silent;
         let far = matches!(affinity, Affinity::Session(_)) && !candidate.near;
-        (silent, candidate.recently_refused, far)
+        (unreachable, candidate.recently_refused, far)
     };
     let best = candidates.iter().map(rank).min()?;
     let equal: Vec<_> = candidates.iter().filter(|candidate| rank(candidate) == best).collect();
--- a/lib/src/instance.rs
+++ b/lib/src/instance.rs
@@ -201,13 +201,13 @@
 
     fn view(&self) -> DatabaseView {
         let primary = self.ownership.serving().map(|(_, primary)| primary);
-        let near = self
+        let preferred_domain = self
             .ownership
             .servers()
             .find(|server| Some(&server.id) == primary.as_ref())
             .or_else(|| self.ownership.servers().next())
             .map(|server| server.failure_domain.clone());
-        DatabaseView { id: self.ownership.database().clone(), near }
+        DatabaseView { id: self.ownership.database().clone(), preferred_domain }
     }
 }
 
@@ -396,7 +396,7 @@
     fn heartbeat(&self, now: Instant, body: &HeartbeatBody) -> Vec<InstanceAction> {
         let own_version = {
             let mut membership = self.membership();
-            membership.heard(now, body);
+            membership.receive_heartbeat(now, body);
             membership.me().configuration_version
         };
         for (database, term) in &body.owned {
@@ -491,10 +491,10 @@
     }
 
     fn take_if_due(&self, now: Instant, database: &DatabaseId) -> Vec<InstanceAction> {
-        let Some(silent) = self.membership().should_take(now, database) else {
+        let Some(is_unresponsive) = self.membership().should_take(now, database) else {
             return Vec::new();
         };
-        let cause = if silent { TakeCause::OwnerSilent } else { TakeCause::Vacant };
+        let cause = if is_unresponsive { TakeCause::OwnerSilent } else { TakeCause::Vacant };
         self.ownership_event(now, database, OwnershipEvent::Take(cause))
     }
 
@@ -592,7 +592,10 @@
 /// primary, so the failure domain is that of the first configured server.
 fn configured_view((id, database): (&DatabaseId, &Database)) -> DatabaseView {
     let first = database.servers.first();
-    DatabaseView { id: id.clone(), near: first.map(|server| server.failure_domain.clone()) }
+    DatabaseView {
+        id: id.clone(),
+        preferred_domain: first.map(|server| server.failure_domain.clone()),
+    }
 }
 
 fn tick_database(now: Instant, id: &DatabaseId, state: &mut DatabaseState) -> Vec<InstanceAction> {
--- a/lib/src/membership.rs
+++ b/lib/src/membership.rs
@@ -265,13 +265,13 @@
     /// unresponsive as well.
     pub fn retain_listed(&mut self, listed: &BTreeSet<InstanceId>) {
         let limit = self.timing.misses_to_unresponsive;
-        let gone: Vec<_> = self
+        let removed: Vec<_> = self
             .peers
             .iter()
             .filter(|(id, peer)| !listed.contains(*id) && peer.detector.misses() >= limit)
             .map(|(id, _)| id.clone())
             .collect();
-        for id in gone {
+        for id in removed {
             self.peers.remove(&id);
             self.probing.remove(&id);
             self.sync_candidate(&id);
@@ -314,7 +314,7 @@
     }
 
     /// Processes a heartbeat or an answer to one.
-    pub fn heard(&mut self, now: Instant, body: &HeartbeatBody) {
+    pub fn receive_heartbeat(&mut self, now: Instant, body: &HeartbeatBody) {
         self.learn_one(now, body.sender.clone());
         let Some(peer) = self.peers.get_mut(&body.sender.id) else {
             return;
@@ -496,8 +496,8 @@
         };
         let since = *self.vacant_since.entry(database.clone()).or_insert(now);
         let owner = record.as_ref().map(|record| &record.owner);
-        let without = owner.filter(|owner| **owner != self.me.id);
-        let rank = self.succession.own_rank(database, without.map(|id| &**id))?;
+        let excluded = owner.filter(|owner| **owner != self.me.id);
+        let rank = self.succession.own_rank(database, excluded.map(|id| &**id))?;
         let grace =
             if fault == OwnerFault::Omitted { self.timing.omitted_grace } else { Duration::ZERO };
         let wait = grace + self.timing.stagger * u32::try_from(rank).unwrap_or(u32::MAX);
@@ -544,14 +544,14 @@
     /// owns, if another one is placed better.
     #[must_use]
     pub fn better_owner(&self, now: Instant, view: &DatabaseView) -> Option<InstanceId> {
-        let quiet = self
+        let is_stable = self
             .changed_at
             .or(self.started_at)
             .is_some_and(|at| now.saturating_duration_since(at) >= self.timing.rebalance_after);
-        if !quiet && !self.me.leaving {
+        if !is_stable && !self.me.leaving {
             return None;
         }
-        let best = self.succession.best(&view.id, view.near.as_ref())?;
+        let best = self.succession.best(&view.id, view.preferred_domain.as_ref())?;
         let reported = self.peers.get(&best).is_some_and(|peer| peer.has_reported);
         (best != self.me.id && reported).then_some(best)
     }
@@ -575,5 +575,5 @@
     pub id: DatabaseId,
     /// Failure domain of its primary, or of its first server. Instances in this
     /// domain are preferred as owners.
-    pub near: Option<FailureDomainId>,
+    pub preferred_domain: Option<FailureDomainId>,
 }
--- a/lib/src/ownership/watching.rs
+++ b/lib/src/ownership/watching.rs
@@ -58,11 +58,11 @@
     /// next probe is due at once.
     fn probe_pace(&self, now: Instant) -> (Duration, Duration) {
         let timing = &self.timing;
-        let quiet = self
+        let is_idle = self
             .last_request_at
             .is_none_or(|at| now.saturating_duration_since(at) >= timing.idle_after);
         let suspect = self.servers.values().any(|view| view.detector.misses() > 0);
-        if quiet && !suspect {
+        if is_idle && !suspect {
             return (timing.idle_interval, timing.idle_interval);
         }
         (timing.probe_interval, timing.state_interval)
@@ -115,21 +115,21 @@
     /// Such a primary still answers this instance, but none of its writes can be
     /// confirmed by a replica.
     pub(super) fn is_cut_off_from_replicas(&self, primary: &TargetId) -> bool {
-        let mut unheard = 0;
+        let mut cut_off = 0;
         for view in self.reachable_others(primary) {
             let Some(state) = &view.state else {
                 continue;
             };
             let follows = state.follows.as_ref() == Some(primary);
-            let Some(heard) = state.since_primary_contact else {
+            let Some(elapsed) = state.since_primary_contact else {
                 continue;
             };
-            if !follows || heard < self.timing.replication_timeout {
+            if !follows || elapsed < self.timing.replication_timeout {
                 return false;
             }
-            unheard += 1;
+            cut_off += 1;
         }
-        unheard >= self.majority()
+        cut_off >= self.majority()
     }
 
     /// Pauses the database and starts an attempt that avoids the present primary.
--- a/lib/src/succession.rs
+++ b/lib/src/succession.rs
@@ -34,7 +34,7 @@
 
 #[derive(Clone, Debug, Default)]
 struct Ranking {
-    near: Option<FailureDomainId>,
+    preferred_domain: Option<FailureDomainId>,
     /// Best first, at most [`RANKING_DEPTH`].
     top: Vec<Ranked>,
 }
@@ -52,12 +52,12 @@
 
 fn rank_one(
     database: &str,
-    near: Option<&FailureDomainId>,
+    preferred_domain: Option<&FailureDomainId>,
     id: &InstanceId,
     domain: &FailureDomainId,
 ) -> Ranked {
     Ranked {
-        near: near == Some(domain),
+        near: preferred_domain == Some(domain),
         score: placement::stable_hash(&[database, id]),
         id: id.clone(),
     }
@@ -82,19 +82,22 @@
         let mut old = std::mem::take(&mut self.rankings);
         self.ranked_databases.clear();
         for view in views {
-            let known = old.remove(&view.id).filter(|ranking| ranking.near == view.near);
-            let ranking = known.unwrap_or_else(|| self.rank_all(&view.id, view.near.clone()));
+            let known = old
+                .remove(&view.id)
+                .filter(|ranking| ranking.preferred_domain == view.preferred_domain);
+            let ranking =
+                known.unwrap_or_else(|| self.rank_all(&view.id, view.preferred_domain.clone()));
             self.update_ranked_databases(&view.id, &ranking);
             self.rankings.insert(view.id.clone(), ranking);
         }
     }
 
-    fn rank_all(&self, database: &str, near: Option<FailureDomainId>) -> Ranking {
+    fn rank_all(&self, database: &str, preferred_domain: Option<FailureDomainId>) -> Ranking {
         let mut top: Vec<Ranked> = Vec::with_capacity(RANKING_DEPTH + 1);
         for (id, domain) in &self.candidates {
-            insert(&mut top, rank_one(database, near.as_ref(), id, domain));
+            insert(&mut top, rank_one(database, preferred_domain.as_ref(), id, domain));
         }
-        Ranking { near, top }
+        Ranking { preferred_domain, top }
     }
 
     fn update_ranked_databases(&mut self, database: &DatabaseId, ranking: &Ranking) {
@@ -114,7 +117,7 @@
         self.candidates.insert(id.clone(), domain.clone());
         let mut changed = Vec::new();
         for (database, ranking) in &mut self.rankings {
-            let ranked = rank_one(database, ranking.near.as_ref(), id, domain);
+            let ranked = rank_one(database, ranking.preferred_domain.as_ref(), id, domain);
             if insert(&mut ranking.top, ranked) {
                 changed.push(database.clone());
             }
@@ -132,10 +135,10 @@
             .rankings
             .iter()
             .filter(|(_, ranking)| held(ranking))
-            .map(|(database, ranking)| (database.clone(), ranking.near.clone()))
+            .map(|(database, ranking)| (database.clone(), ranking.preferred_domain.clone()))
             .collect();
-        for (database, near) in &changed {
-            let ranking = self.rank_all(database, near.clone());
+        for (database, preferred_domain) in &changed {
+            let ranking = self.rank_all(database, preferred_domain.clone());
             self.rankings.insert(database.clone(), ranking);
         }
         let names: Vec<_> = changed.into_iter().map(|(database, _)| database).collect();
@@ -167,11 +170,17 @@
     }
 
     /// Returns the best of all candidates for a database if the failure domain
-    /// `near` is preferred.
+    /// `preferred_domain` is preferred.
     #[must_use]
-    pub fn best(&self, database: &str, near: Option<&FailureDomainId>) -> Option<InstanceId> {
-        let ranked =
-            self.candidates.iter().map(|(id, domain)| rank_one(database, near, id, domain));
+    pub fn best(
+        &self,
+        database: &str,
+        preferred_domain: Option<&FailureDomainId>,
+    ) -> Option<InstanceId> {
+        let ranked = self
+            .candidates
+            .iter()
+            .map(|(id, domain)| rank_one(database, preferred_domain, id, domain));
         ranked.max().map(|best| best.id)
     }
 }
--- a/lib/tests/test_decisions.rs
+++ b/lib/tests/test_decisions.rs
@@ -350,7 +350,8 @@
     fn property(changes: Vec<(bool, u8)>) -> bool {
         let me: InstanceId = "instance-0".into();
         let domain = |n: u8| -> Arc<str> { format!("domain-{}", n % 3).into() };
-        let view = |n: u8| DatabaseView { id: format!("db{n}").into(), near: Some(domain(n)) };
+        let view =
+            |n: u8| DatabaseView { id: format!("db{n}").into(), preferred_domain: Some(domain(n)) };
         let views: Vec<_> = (0..20).map(view).collect();
         let mut succession = Succession::new(me.clone());
         succession.set_databases(&views);
@@ -373,12 +374,13 @@
                 })
                 .collect();
             for view in &views {
-                let all = rank(&view.id, &candidates, view.near.as_ref());
+                let all = rank(&view.id, &candidates, view.preferred_domain.as_ref());
                 let place = all.iter().take(RANKING_DEPTH).position(|id| *id == me);
                 if succession.own_rank(&view.id, None) != place {
                     return false;
                 }
-                if succession.best(&view.id, view.near.as_ref()) != all.first().cloned() {
+                if succession.best(&view.id, view.preferred_domain.as_ref()) != all.first().cloned()
+                {
                     return false;
                 }
                 if succession.ranked_databases().any(|id| *id == view.id) != place.is_some() {
