--- a/lib/src/peer_contact.rs
+++ b/lib/src/peer_contact.rs
@@ -48,8 +48,9 @@
 pub enum Contact {
     /// The instance is presumed reachable and can get statements.
     Heard,
-    /// Another instance became unreachable and nothing arrived from this one since:
-    /// it must answer a liveness check before it gets a statement.
+    /// Another instance recently became unreachable, and this one has answered
+    /// nothing sent since then, or nothing sent within the last second. It must
+    /// answer a liveness check before it gets a statement.
     Unverified,
     /// The instance is unreachable: it did not answer the last request or liveness
     /// check in time.
