--- a/lib/src/fleet.rs
+++ b/lib/src/fleet.rs
@@ -73,7 +73,8 @@
 #[derive(Clone, Debug)]
 struct Member {
     record: InstanceRecord,
-    /// When the last message from it arrived, or its record was first listed.
+    /// When the last message from it arrived, or its record was listed for the
+    /// first time or with changes.
     last_contact_at: Moment,
     leaving: bool,
     /// Number of connections that it wants, by group.
