--- a/daemon/src/engine/contacts.rs
+++ b/daemon/src/engine/contacts.rs
@@ -79,7 +79,7 @@
 
 impl Engine {
     /// Asks another instance for a sign of life. Returns whether it gave one.
-    pub async fn ask_for_sign(&self, peer: &InstanceRecord) -> bool {
+    pub async fn check_liveness(&self, peer: &InstanceRecord) -> bool {
         self.ask_sign(peer, SignOfLife::default()).await.is_some()
     }
 
@@ -151,7 +151,7 @@
                 Contact::Unverified => {
                     // The others may be wanted next.
                     self.ask_in_background(&candidates);
-                    if self.ask_for_sign(&chosen.record).await {
+                    if self.check_liveness(&chosen.record).await {
                         return Some(chosen);
                     }
                 }
@@ -170,7 +170,7 @@
             |candidate: &&Candidate| self.contacts().take_due_liveness_check(&candidate.record.id);
         for candidate in candidates.iter().filter(wanted) {
             let (engine, record) = (self.clone(), candidate.record.clone());
-            tokio::spawn(async move { engine.ask_for_sign(&record).await });
+            tokio::spawn(async move { engine.check_liveness(&record).await });
         }
     }
 
@@ -180,7 +180,7 @@
         let due =
             candidates.iter().filter(|c| self.contacts().take_due_liveness_check(&c.record.id));
         let mut asking: FuturesUnordered<_> =
-            due.map(|candidate| self.ask_for_sign(&candidate.record)).collect();
+            due.map(|candidate| self.check_liveness(&candidate.record)).collect();
         while let Some(heard) = asking.next().await {
             if heard {
                 return true;
