--- a/lib/tests/test_decisions.rs
+++ b/lib/tests/test_decisions.rs
@@ -1,4 +1,5 @@
-//! The smaller decisions: queues, pools, floors, routing, placement, limits.
+//! Unit tests of queues, pools, floors, routing, placement, limits and
+//! classification.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -58,7 +59,7 @@
     let now = Instant::now();
     let mut queue = SlotQueue::new(1);
     queue.request(now, 1, now + ms(10_000));
-    // Teach it that a statement takes about 100 ms.
+    // These releases make the queue estimate about 100 ms for a statement.
     for _ in 0..100 {
         queue.request(now, 1, now + ms(10_000));
         queue.release(now, ms(100));
@@ -118,7 +119,7 @@
             if queue.in_use() != holders || holders > 3 {
                 return false;
             }
-            // Nobody waits while a slot is free.
+            // No request waits while a slot is free.
             if holders < 3 && queue.waiting() > 0 {
                 return false;
             }
@@ -333,7 +334,8 @@
     for _ in 0..200 {
         counts.record(now, Some((ErrorKind::NoPrimary, "db1")));
     }
-    // A refusal by the server is the caller's own and burns nothing.
+    // A refusal by the server is an error of the client and does not count against
+    // the error budget.
     counts.record(now, Some((ErrorKind::ServerRefused, "db1")));
     let burn = report("s", 0.999, &counts, now);
     assert_eq!(burn.alert, Alert::Page);
@@ -341,13 +343,15 @@
     assert_eq!(burn.windows[0].bad, 200);
 }
 
-/// The kept rankings are those one would get by ranking everything anew.
+/// Checks that the incrementally updated rankings equal those computed from all
+/// candidates.
 #[test]
 fn test_succession_matches_full_ranking_after_every_membership_change() {
     fn property(changes: Vec<(bool, u8)>) -> bool {
         let me: InstanceId = "instance-0".into();
         let domain = |n: u8| -> Arc<str> { format!("domain-{}", n % 3).into() };
-        let view = |n: u8| DatabaseView { id: format!("db{n}").into(), near: Some(domain(n)) };
+        let view =
+            |n: u8| DatabaseView { id: format!("db{n}").into(), preferred_domain: Some(domain(n)) };
         let views: Vec<_> = (0..20).map(view).collect();
         let mut succession = Succession::new(me.clone());
         succession.set_databases(&views);
@@ -370,15 +374,16 @@
                 })
                 .collect();
             for view in &views {
-                let all = rank(&view.id, &candidates, view.near.as_ref());
+                let all = rank(&view.id, &candidates, view.preferred_domain.as_ref());
                 let place = all.iter().take(RANKING_DEPTH).position(|id| *id == me);
                 if succession.own_rank(&view.id, None) != place {
                     return false;
                 }
-                if succession.best(&view.id, view.near.as_ref()) != all.first().cloned() {
+                if succession.best(&view.id, view.preferred_domain.as_ref()) != all.first().cloned()
+                {
                     return false;
                 }
-                if succession.mine().any(|id| *id == view.id) != place.is_some() {
+                if succession.ranked_databases().any(|id| *id == view.id) != place.is_some() {
                     return false;
                 }
             }
