--- a/daemon/src/engine/duty_control.rs
+++ b/daemon/src/engine/duty_control.rs
@@ -22,7 +22,7 @@
 use chervilwharf_lib::id::GroupId;
 use chervilwharf_lib::id::InstanceId;
 use chervilwharf_lib::moment::Moment;
-use chervilwharf_lib::primary_right::Ending;
+use chervilwharf_lib::primary_lease::Ending;
 use chervilwharf_lib::revision::Era;
 
 use crate::engine::clock::now;
@@ -348,6 +348,6 @@
     if !engine.with_duties(|duties| duties.may_lack_order(&next.group, era)) {
         return Some(next);
     }
-    let retired = engine.retired_by_most(&next.group)?;
+    let retired = engine.retired_by_majority(&next.group)?;
     Some(DutyRecord { retired: next.retired.max(retired), ..next })
 }
--- a/daemon/src/engine/leader_control.rs
+++ b/daemon/src/engine/leader_control.rs
@@ -20,7 +20,7 @@
 use chervilwharf_lib::id::GroupId;
 use chervilwharf_lib::id::TargetId;
 use chervilwharf_lib::leader_watch::LeaderWatch;
-use chervilwharf_lib::leader_watch::Opinions;
+use chervilwharf_lib::leader_watch::PeerReports;
 use chervilwharf_lib::leader_watch::WatchAction;
 use chervilwharf_lib::moment::Moment;
 use futures::future::join_all;
@@ -225,7 +225,7 @@
         let query = Body::LeaderQuery(query.clone());
         engine.peers().ask(peer.peer_address, query)
     });
-    let mut opinions = Opinions::default();
+    let mut opinions = PeerReports::default();
     let mut helpers = Vec::new();
     let answers = join_all(requests).await;
     for (peer, answer) in others.iter().zip(answers) {
@@ -270,7 +270,7 @@
         return;
     }
     let id: TargetId = reply.leader.as_str().into();
-    let changed = shard.with_group(|group| group.hear_of_leader(now(), &id, reply.term));
+    let changed = shard.with_group(|group| group.observe_reported_leader(now(), &id, reply.term));
     if changed {
         let event = Event::new(EventKind::LeaderFound).with("group", shard.id());
         event_log::emit(&event.with("server", &id).with("term", reply.term).with("source", "peer"));
@@ -306,7 +306,7 @@
             // retired terms. And a duty taken in this era shows other instances that all
             // running instances are listed in the store again.
             let settled = self.store_era().is_known_for(now(), CLAIM_AFTER_RESTORE);
-            return settled && self.retired_by_most(group).is_some();
+            return settled && self.retired_by_majority(group).is_some();
         }
         let record = self.with_duties(|duties| duties.record(group).cloned());
         let Some(record) = record else {
--- a/daemon/src/engine/primary_lease_control.rs
+++ b/daemon/src/engine/primary_lease_control.rs
@@ -5,7 +5,7 @@
 //! the voters of the group grant a lease in their answers to heartbeats; a read of the
 //! platform's store that shows no order to replace the primary grants a shorter one. To
 //! retire a term is to promise that it is neither used nor granted any more, which a
-//! replacement of the primary requires. [`PrimaryRight`] has the rules.
+//! replacement of the primary requires. [`PrimaryLease`] has the rules.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -26,11 +26,11 @@
 use chervilwharf_lib::id::InstanceId;
 use chervilwharf_lib::id::Term;
 use chervilwharf_lib::moment::Moment;
-use chervilwharf_lib::primary_right::Ending;
-use chervilwharf_lib::primary_right::FORGETFUL;
-use chervilwharf_lib::primary_right::Objection;
-use chervilwharf_lib::primary_right::PrimaryRight;
-use chervilwharf_lib::primary_right::Promise;
+use chervilwharf_lib::primary_lease::Ending;
+use chervilwharf_lib::primary_lease::Objection;
+use chervilwharf_lib::primary_lease::PrimaryLease;
+use chervilwharf_lib::primary_lease::Promise;
+use chervilwharf_lib::primary_lease::RESTART_PROMISE_WINDOW;
 use chervilwharf_lib::revision::Era;
 
 use crate::engine::clock::now;
@@ -144,10 +144,10 @@
     let latest = engine.store_era().latest();
     for shard in engine.shards() {
         let term = ended.get(shard.id()).copied().unwrap_or_default();
-        shard.change_lease(|right| {
-            right.note_era(latest);
-            right.take_ended(term);
-            right.granted_by_store(asked_at, term, era);
+        shard.change_lease(|primary_lease| {
+            primary_lease.note_era(latest);
+            primary_lease.adopt_ended_term(term);
+            primary_lease.record_store_grant(asked_at, term, era);
         });
     }
     Ok(())
@@ -163,8 +163,9 @@
             let Some(term) = group.confirmed_leader().map(|leader| leader.term) else {
                 return false;
             };
-            let end = group.right().lease_end(term);
-            group.right().retired() < term && end.is_none_or(|end| end < at + RENEWAL_MARGIN)
+            let end = group.primary_lease().lease_end(term);
+            group.primary_lease().retired() < term
+                && end.is_none_or(|end| end < at + RENEWAL_MARGIN)
         })
     };
     if !engine.used_shards().iter().any(ends_soon) {
@@ -180,7 +181,7 @@
     fn start_voting(&self) {
         self.set_knows_orders();
         for shard in self.shards() {
-            shard.change_lease(PrimaryRight::knows_orders);
+            shard.change_lease(PrimaryLease::orders_known);
         }
         self.renewal().notify_one();
     }
@@ -191,10 +192,10 @@
     /// A store that was restored from a backup can lack an order for which an earlier
     /// incarnation of this instance promised. It reflects that order once an instance has
     /// taken the duty with the retired terms of a majority of the voters. The order does not
-    /// matter any more when this instance has run for [`FORGETFUL`].
+    /// matter any more when this instance has run for [`RESTART_PROMISE_WINDOW`].
     fn start_voting_where_orders_are_known(&self) -> bool {
         let era = self.store_era().latest();
-        if era == 0 || self.runs_for(FORGETFUL) {
+        if era == 0 || self.runs_for(RESTART_PROMISE_WINDOW) {
             return true;
         }
         let shards = self.shards();
@@ -203,7 +204,7 @@
         };
         let known: Vec<_> = shards.iter().filter(is_known).collect();
         for shard in &known {
-            shard.change_lease(PrimaryRight::knows_orders);
+            shard.change_lease(PrimaryLease::orders_known);
         }
         known.len() == shards.len() && self.catalog().version > 0
     }
@@ -212,14 +213,14 @@
     /// they know the latest era of the store. Once `RESTORE_SETTLED_AFTER` has passed since
     /// this instance learned that era, its own value suffices. `None` before that.
     #[must_use]
-    pub fn retired_by_most(&self, group: &GroupId) -> Option<Term> {
+    pub fn retired_by_majority(&self, group: &GroupId) -> Option<Term> {
         let shard = self.shard(group);
         let settled = self.store_era().is_known_for(now(), RESTORE_SETTLED_AFTER);
         let latest = self.store_era().latest();
         shard.with_group(|group| {
-            let right = group.right_mut();
-            right.note_era(latest);
-            right.retired_by_most().or_else(|| settled.then(|| right.retired()))
+            let primary_lease = group.primary_lease_mut();
+            primary_lease.note_era(latest);
+            primary_lease.retired_by_majority().or_else(|| settled.then(|| primary_lease.retired()))
         })
     }
 
@@ -265,8 +266,9 @@
         self.discard_outdated_voter_lists();
         for shard in self.used_shards() {
             let voters = self.voters(shard.id());
-            if !shard.with_group(|group| group.right().has_voters(&self.me().id, &voters)) {
-                shard.change_lease(|right| right.set_voters(&self.me().id, &voters));
+            if !shard.with_group(|group| group.primary_lease().has_voters(&self.me().id, &voters)) {
+                shard
+                    .change_lease(|primary_lease| primary_lease.set_voters(&self.me().id, &voters));
             }
         }
     }
@@ -281,8 +283,8 @@
         known
             .filter_map(|demand| {
                 let shard = self.shard(&demand.group.as_str().into());
-                let retired_term =
-                    shard.with_group(|group| group.right_mut().grant(at, &to, demand.term))?;
+                let retired_term = shard
+                    .with_group(|group| group.primary_lease_mut().grant(at, &to, demand.term))?;
                 Some(TermGrant { group: demand.group.clone(), retired_term })
             })
             .collect()
@@ -300,7 +302,8 @@
         for grant in grants {
             let shard = self.shard(&grant.group.as_str().into());
             let retired = grant.retired_term;
-            shard.change_lease(|right| right.granted(voter, asked_at, retired, era));
+            shard
+                .change_lease(|primary_lease| primary_lease.granted(voter, asked_at, retired, era));
         }
     }
 
@@ -319,7 +322,7 @@
             ..TermEndReply::default()
         };
         if end.only_pause {
-            shard.with_group(|group| group.right_mut().pause(at + PAUSE));
+            shard.with_group(|group| group.primary_lease_mut().pause(at + PAUSE));
             return reply;
         }
         if !end.planned && shard.reaches(at, &end.server) {
@@ -335,8 +338,8 @@
         self.note_store_era(end.written_era.unwrap_or_default(), "a replacement");
         let latest = self.store_era().latest();
         let result = shard.with_group(|group| {
-            group.right_mut().note_era(latest);
-            group.right_mut().see_token(token);
+            group.primary_lease_mut().note_era(latest);
+            group.primary_lease_mut().observe_token(token);
             group.retire(at, &ending)
         });
         self.watches().expect_replacement(&group_id, at);
@@ -364,8 +367,8 @@
             self.with_duties(|duties| duties.discard_promised(shard.id(), news.token));
         }
         let changed = shard.with_group(|group| {
-            group.right_mut().settle(news.token);
-            group.hear_of_leader(now(), &id, news.term)
+            group.primary_lease_mut().settle(news.token);
+            group.observe_reported_leader(now(), &id, news.term)
         });
         if changed {
             let event = Event::new(EventKind::LeaderFound).with("group", shard.id());
@@ -380,10 +383,10 @@
 impl Shard {
     /// Changes the leases on the primary, and resumes waiting requests if the primary
     /// becomes usable by that.
-    fn change_lease(self: &Arc<Self>, change: impl FnOnce(&mut PrimaryRight)) {
+    fn change_lease(self: &Arc<Self>, change: impl FnOnce(&mut PrimaryLease)) {
         let regained = self.with_group(|group| {
             let had = group.usable_leader(now()).is_some();
-            change(group.right_mut());
+            change(group.primary_lease_mut());
             !had && group.usable_leader(now()).is_some()
         });
         if regained {
--- a/daemon/src/engine/replacement.rs
+++ b/daemon/src/engine/replacement.rs
@@ -35,9 +35,9 @@
 use chervilwharf_lib::leader_watch::REPLACEMENT_TIME;
 use chervilwharf_lib::leader_watch::ReplaceReason;
 use chervilwharf_lib::moment::Moment;
-use chervilwharf_lib::primary_right::Agreement;
-use chervilwharf_lib::primary_right::Readiness;
-use chervilwharf_lib::primary_right::STORE_LEASE;
+use chervilwharf_lib::primary_lease::PromiseTally;
+use chervilwharf_lib::primary_lease::Readiness;
+use chervilwharf_lib::primary_lease::STORE_LEASE;
 use chervilwharf_lib::revision::Era;
 use futures::future::join_all;
 
@@ -373,7 +373,7 @@
         let participants = self.participants();
         let ids: Vec<_> = participants.iter().map(|record| record.id.clone()).collect();
         let voters = engine.voters(self.shard.id()).to_vec();
-        let mut agreement = Agreement::new(voters, ids, self.written_at);
+        let mut agreement = PromiseTally::new(voters, ids, self.written_at);
         let last_resort = self.reason == ReplaceReason::LastResort;
         let until = now() + PROMISE_LIMIT;
         loop {
@@ -392,7 +392,7 @@
                 }
                 Readiness::From(_) => "unreachable instances may still use the old primary",
                 Readiness::TooFewVotes => "too few voters have promised",
-                Readiness::SomeSilent => {
+                Readiness::SomeUnreachable => {
                     "some instances do not answer and the store does not have the order"
                 }
             };
@@ -405,7 +405,7 @@
 
     fn apply_reply(
         &self,
-        agreement: &mut Agreement,
+        agreement: &mut PromiseTally,
         id: &InstanceId,
         reply: &TermEndReply,
     ) -> Result<(), Abandoned> {
@@ -434,7 +434,7 @@
         Ok(())
     }
 
-    fn report_agreement(&self, agreement: &Agreement) {
+    fn report_agreement(&self, agreement: &PromiseTally) {
         let silent = agreement.missing().count();
         let event = Event::new(EventKind::ReplacementAgreed).with("group", self.shard.id());
         let event = event.with("term", self.term).with("token", self.duty.token);
--- a/daemon/src/engine/store_liveness.rs
+++ b/daemon/src/engine/store_liveness.rs
@@ -10,8 +10,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use chervilwharf_lib::silence::ASKED_AGAIN_AFTER;
-use chervilwharf_lib::silence::SilenceLimits;
+use chervilwharf_lib::silence::STORE_RETRY_INTERVAL;
+use chervilwharf_lib::silence::StoreTimeouts;
 use futures::StreamExt;
 use futures::stream::FuturesUnordered;
 use tokio::time::Instant;
@@ -67,7 +67,7 @@
 struct StoreMonitor {
     directory: Arc<dyn Directory>,
     state: StoreState,
-    limits: SilenceLimits,
+    limits: StoreTimeouts,
     /// The newest change that a liveness reply contained.
     newest_change: Option<Revision>,
 }
@@ -77,13 +77,13 @@
     async fn check(&mut self, watched: Revision) {
         let checked_at = Instant::now();
         let after = self.newest_change.map_or(watched, |newest| newest.max(watched));
-        let check = self.directory.check_liveness(KIND, after, self.limits.sign_wait);
-        let answer = tokio::time::timeout(self.limits.noticed_after(), check).await;
+        let check = self.directory.check_liveness(KIND, after, self.limits.liveness_wait);
+        let answer = tokio::time::timeout(self.limits.detected_after(), check).await;
         match answer.unwrap_or(Err(DirectoryError::Silent)) {
             Ok(reply) => self.apply(reply),
             // Data that is seconds old does not contain the revision yet.
             Err(DirectoryError::HistoryGone) => {
-                tokio::time::sleep_until(checked_at + self.limits.sign_wait).await;
+                tokio::time::sleep_until(checked_at + self.limits.liveness_wait).await;
             }
             Err(error) => {
                 event_log::emit(&unanswered_event(KIND, "sign", checked_at.elapsed(), error));
@@ -129,7 +129,7 @@
                     if checks.len() < CONCURRENT_CHECKS =>
                 {
                     checks.push(self.directory.check_liveness(KIND, after, Duration::ZERO));
-                    next_check_at += ASKED_AGAIN_AFTER;
+                    next_check_at += STORE_RETRY_INTERVAL;
                 }
             }
         }
