--- a/daemon/src/engine/duty_control.rs
+++ b/daemon/src/engine/duty_control.rs
@@ -14,7 +14,7 @@
 use chervilwharf_lib::id::GroupId;
 use chervilwharf_lib::id::InstanceId;
 use chervilwharf_lib::moment::Moment;
-use chervilwharf_lib::primary_right::Ending;
+use chervilwharf_lib::primary_lease::Ending;
 use chervilwharf_lib::revision::Era;
 
 use crate::engine::clock::now;
@@ -329,6 +329,6 @@
     if !engine.with_duties(|duties| duties.may_lack_order(&next.group, era)) {
         return Some(next);
     }
-    let told = engine.retired_by_most(&next.group)?;
+    let told = engine.retired_by_majority(&next.group)?;
     Some(DutyRecord { retired: next.retired.max(told), ..next })
 }
--- a/daemon/src/engine/fleet_control.rs
+++ b/daemon/src/engine/fleet_control.rs
@@ -208,7 +208,7 @@
             };
             let position = Position::new(sample.term, sample.index);
             let shard = self.shard(&sample.group.as_str().into());
-            shard.with_group(|group| group.hear_of_position(sampled_at, position));
+            shard.with_group(|group| group.observe_reported_position(sampled_at, position));
         }
     }
 
--- a/daemon/src/engine/shared.rs
+++ b/daemon/src/engine/shared.rs
@@ -26,7 +26,7 @@
 use chervilwharf_lib::group::ServerInfo;
 use chervilwharf_lib::id::GroupId;
 use chervilwharf_lib::moment::Moment;
-use chervilwharf_lib::primary_right::PrimaryRight;
+use chervilwharf_lib::primary_lease::PrimaryLease;
 use chervilwharf_lib::quota::QuotaTolerance;
 use chervilwharf_lib::server_list::ServerList;
 use chervilwharf_lib::silence::SilenceLimits;
@@ -98,7 +98,7 @@
     /// When it last told the configuration.
     store_answered_at: Mutex<Option<Moment>>,
     /// Whether this instance knows which orders there were when it started.
-    knows_orders: AtomicBool,
+    orders_known: AtomicBool,
     /// Woken when the record of this instance has to be written.
     wants_record: Notify,
     /// Revision of the record of an earlier life, if one was listed.
@@ -151,7 +151,7 @@
             registered: AtomicBool::new(false),
             store_answered: Notify::new(),
             store_answered_at: Mutex::default(),
-            knows_orders: AtomicBool::new(false),
+            orders_known: AtomicBool::new(false),
             wants_record: Notify::new(),
             earlier_record: Mutex::default(),
             stopping: watch::Sender::new(None),
@@ -285,7 +285,7 @@
 
     /// From now on this instance votes on groups that it gets to know.
     pub fn set_knows_orders(&self) {
-        self.knows_orders.store(true, Ordering::Relaxed);
+        self.orders_known.store(true, Ordering::Relaxed);
     }
 
     /// Reads or updates what is known of the instances.
@@ -371,9 +371,9 @@
             let shard = Shard::new(group.clone(), home, connector, peers, self.doubt.clone());
             let shard = shard.with_renewal(self.renewal.clone());
             shard.with_group(|group| {
-                *group.right_mut() = PrimaryRight::unknown().with_start(self.started_at);
-                if self.knows_orders.load(Ordering::Relaxed) {
-                    group.right_mut().knows_orders();
+                *group.primary_lease_mut() = PrimaryLease::unknown().with_start(self.started_at);
+                if self.orders_known.load(Ordering::Relaxed) {
+                    group.primary_lease_mut().orders_known();
                 }
             });
             Arc::new(shard)
--- a/daemon/src/engine/store_signs.rs
+++ b/daemon/src/engine/store_signs.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use chervilwharf_lib::silence::ASKED_AGAIN_AFTER;
+use chervilwharf_lib::silence::STORE_RETRY_INTERVAL;
 use chervilwharf_lib::silence::SilenceLimits;
 use futures::StreamExt;
 use futures::stream::FuturesUnordered;
@@ -70,13 +70,13 @@
     async fn ask(&mut self, followed: Revision) {
         let asked_at = Instant::now();
         let after = self.seen.map_or(followed, |seen| seen.max(followed));
-        let question = self.directory.ask_for_sign(KIND, after, self.limits.sign_wait);
-        let answer = tokio::time::timeout(self.limits.noticed_after(), question).await;
+        let question = self.directory.ask_for_sign(KIND, after, self.limits.liveness_wait);
+        let answer = tokio::time::timeout(self.limits.detected_after(), question).await;
         match answer.unwrap_or(Err(DirectoryError::Silent)) {
             Ok(sign) => self.take(sign),
             // An answer that is seconds old does not know the revision yet.
             Err(DirectoryError::HistoryGone) => {
-                tokio::time::sleep_until(asked_at + self.limits.sign_wait).await;
+                tokio::time::sleep_until(asked_at + self.limits.liveness_wait).await;
             }
             Err(error) => {
                 event_log::emit(&unanswered(KIND, "sign", asked_at.elapsed(), error));
@@ -119,7 +119,7 @@
                     if questions.len() < QUESTIONS_AT_ONCE =>
                 {
                     questions.push(self.directory.ask_for_sign(KIND, after, Duration::ZERO));
-                    asked_again_at += ASKED_AGAIN_AFTER;
+                    asked_again_at += STORE_RETRY_INTERVAL;
                 }
             }
         }
--- a/daemon/tests/test_duty.rs
+++ b/daemon/tests/test_duty.rs
@@ -26,7 +26,7 @@
 use chervilwharf_lib::duty::first_token;
 use chervilwharf_lib::duty::is_token_of_era;
 use chervilwharf_lib::engine_protos::TermEnd;
-use chervilwharf_lib::primary_right::Ending;
+use chervilwharf_lib::primary_lease::Ending;
 use stubs::NoServer;
 use stubs::instance;
 
@@ -167,8 +167,8 @@
     let shard = engine.shard(&"db".into());
     if votes {
         shard.with_group(|group| {
-            group.right_mut().set_voters(&"me".into(), &["me".into()]);
-            group.right_mut().knows_orders();
+            group.primary_lease_mut().set_voters(&"me".into(), &["me".into()]);
+            group.primary_lease_mut().orders_known();
         });
     }
     engine
