--- a/lib/src/primary_lease.rs
+++ b/lib/src/primary_lease.rs
@@ -1,14 +1,20 @@
-//! The right of an instance to use the primary of a group: a lease on a term.
+//! The lease that allows an instance to use the primary of a group.
 //!
-//! The platform's servers do not step down when another one is promoted: an old
-//! primary goes on, answers reads with old data and acknowledges writes that
-//! are lost. So instances must not use it, by themselves. Each uses a primary
-//! only while it holds a lease on its term, granted by half of the instances that
-//! vote, or by the platform's store; and whoever replaces the primary first has
-//! the promise of more than half that they grant it no more.
+//! The servers of a group are replicas of one database. One of them is the
+//! primary, and each promotion begins a new, higher term. A primary does not
+//! step down when another server is promoted: it continues to answer reads with
+//! stale data and to acknowledge writes that are then lost. The instances
+//! therefore have to stop using it on their own.
 //!
-//! All times are [`Moment`]s, on a clock that counts suspensions: an instance
-//! that was frozen finds its lease over when it wakes up.
+//! An instance uses a primary only while it holds a lease on the primary's term.
+//! The lease is granted either by half of the voters, which are instances, or by
+//! a read of the platform's store that shows no order to replace the primary. An
+//! instance that replaces a primary first collects promises from more than half
+//! of the voters. A voter that promises retires the term: it neither uses nor
+//! grants it any more.
+//!
+//! All times are [`Moment`]s on a clock that counts suspensions, so the lease of
+//! an instance that was suspended has expired when it resumes.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -20,106 +26,113 @@
 use crate::moment::Moment;
 use crate::revision::Era;
 
-/// How long a grant of another instance lasts, from when it was asked for.
+/// How long a grant of a voter lasts, counted from the request.
 ///
-/// Three heartbeats (500 ms): two in a row may be lost. Whoever replaces a
-/// primary waits at most this long for an instance that does not answer.
-pub const LEASE: Duration = Duration::from_millis(1_500);
-
-/// How long a read of the store, which showed no order to replace the primary,
-/// counts as a lease. Longer than two readings (500 ms) with the answer of a
-/// slow store (250 ms).
+/// This is three heartbeat intervals of 500 ms, so that two heartbeats in a row
+/// may be lost. An instance that replaces a primary waits at most this long for
+/// an instance that does not answer.
+pub const VOTER_LEASE: Duration = Duration::from_millis(1_500);
+
+/// How long a read of the store that shows no order to replace the primary counts
+/// as a lease, counted from the request. This is longer than the interval between
+/// two reads (500 ms) plus the response time of a slow store (250 ms).
 pub const STORE_LEASE: Duration = Duration::from_millis(800);
 
-/// A right that was wanted and missing for this long is not expected back soon:
-/// requests are refused at once, since another instance can serve them. Long
-/// enough for a round of heartbeats and a read of a slow store.
+/// After the instance has needed the lease and lacked it for this long, it refuses
+/// requests at once, since another instance can serve them. The time suffices for
+/// a round of heartbeats and a read of a slow store.
 const CUT_OFF_AFTER: Duration = Duration::from_millis(350);
 
-/// An answer: every term above `retired` is granted.
+/// A grant of every term above `retired`, by a voter or by the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Grant {
+    /// When the grant was requested.
     asked_at: Moment,
     retired: Term,
-    /// The latest era that a voter knew when it answered, or the store's own.
+    /// The store's era at the read, or the latest era that the voter had seen when
+    /// it answered.
     era: Era,
 }
 
-/// The right to use the primary of one group, as held by this instance and as
-/// granted by it to others.
+/// The lease on the primary of one group: what this instance holds, and what it
+/// granted to other instances as a voter.
 #[derive(Clone, Debug)]
 pub struct PrimaryLease {
     /// Whether this instance is one of the voters.
     votes: bool,
     /// The other voters.
     others: Vec<InstanceId>,
-    /// Terms up to this one are neither used nor granted any more.
+    /// The instance neither uses nor grants terms up to this one.
     retired: Term,
-    /// Highest term that somebody used under a grant of this instance.
+    /// Highest term that an instance requested and this instance granted.
     used: Term,
-    /// Whether orders that an earlier life of this instance may have voted for
-    /// are known.
+    /// Whether this instance has the orders that an earlier run of it may have
+    /// voted for. Until then it does not vote.
     orders_known: bool,
-    /// No new work before this time: the primary is about to be replaced.
+    /// The instance begins no new work before this time, because the primary is
+    /// about to be replaced.
     paused_until: Moment,
+    /// The latest grant of each other voter.
     grants: BTreeMap<InstanceId, Grant>,
     store_grant: Option<Grant>,
-    /// Latest era of the store that this instance knows.
+    /// Latest era of the store that this instance has seen.
     era: Era,
-    /// Readings of the store before this time grant nothing.
-    store_from: Moment,
-    /// Until when a lease can last that this instance helped to grant.
-    given: BTreeMap<InstanceId, Moment>,
-    /// Since when the right was wanted and missing.
+    /// Reads of the store that were requested before this time grant nothing.
+    store_grants_from: Moment,
+    /// When the last grant of this instance to each other instance expires.
+    granted_until: BTreeMap<InstanceId, Moment>,
+    /// Since when the instance has needed the lease and lacked it.
     missing_since: Option<Moment>,
-    /// Highest token of the group's duty that this instance knows.
+    /// Highest token of the group's duty that this instance has seen.
     highest_token: DutyToken,
-    /// Orders that it voted for, until they are settled or outdated.
+    /// Orders that this instance voted for, until they are settled or too old to
+    /// be carried out.
     voted: Vec<VotedOrder>,
 }
 
-/// How long after a start it matters what an earlier life may have promised: a
-/// replacement that collected the promise has sent its order by then, or never
-/// will, and the new term can be seen.
+/// How long after a start the promises of an earlier run of this instance can
+/// matter. By then a replacement that collected such a promise has either sent its
+/// order, so that the new term is visible, or never will.
 pub const RESTART_PROMISE_WINDOW: Duration = Duration::from_secs(4);
 
-/// How long an order that got no answer may still be carried out. The platform
-/// does so within seconds; until then only the server that it names may be
-/// promoted.
+/// How long the platform may take to carry out an order that it did not answer.
+/// During this time only the server that the order names may be promoted.
 const ORDER_OUTSTANDING: Duration = Duration::from_secs(7);
 
-/// What is asked of a voter before a server is promoted.
+/// A request to a voter to retire a term, sent before a server is promoted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ending {
-    /// The term that ends.
+    /// The term to retire, with all terms below it.
     pub term: Term,
-    /// Token under which the order will go out.
+    /// Token under which the promotion will be ordered.
     pub token: DutyToken,
-    /// The server that is to lead.
+    /// The server to promote.
     pub successor: TargetId,
-    /// Token of an order by the same instance that was not given, and never
-    /// will be; 0 if there is none.
+    /// Token of an order that the same instance prepared but will never send; 0 if
+    /// there is none.
     pub withdrawn: DutyToken,
-    /// Era of the store that holds the order; `None` if it is not written there.
+    /// Era of the store in which the order was written; `None` if it is not in the
+    /// store.
     pub written_era: Option<Era>,
 }
 
-/// Why a voter does not promise.
+/// Why a voter refuses to promise.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Objection {
-    /// A later term is in use: whoever asks does not know the present primary.
+    /// This later term is in use, so the requester does not have the current
+    /// primary.
     LaterTerm(Term),
-    /// Somebody else replaces the primary under a higher token. The platform
-    /// may not check tokens, so that the orders could cross.
+    /// Another replacement runs under this higher token. The platform may not check
+    /// tokens, so the two orders could take effect in the wrong order.
     HigherToken(DutyToken),
-    /// An order for this server may still be carried out.
+    /// An earlier order to promote this other server may still be carried out.
     OtherSuccessor(TargetId),
-    /// The store came back from a copy since the order was written there, and may not
-    /// have it.
+    /// The store was restored from a backup after the order was written there, and
+    /// may have lost the order. The value is the store's present era.
     LaterEra(Era),
 }
 
-/// An order that this instance voted for.
+/// A promotion order that this instance voted for.
 #[derive(Clone, Debug)]
 struct VotedOrder {
     token: DutyToken,
@@ -127,23 +140,24 @@
     voted_at: Moment,
 }
 
-/// A voter's promise to use and grant a term no more.
+/// A voter's promise to neither use nor grant a term any more.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Promise {
-    /// How long leases can last that it helped to grant before.
+    /// Instances that hold an earlier grant of the voter, with the time until the
+    /// grant expires.
     pub given: Vec<(InstanceId, Duration)>,
 }
 
 impl Default for PrimaryLease {
-    /// The right of an instance that has no others.
+    /// The lease of an instance that is the only voter.
     fn default() -> Self {
         Self { votes: true, orders_known: true, ..Self::unknown() }
     }
 }
 
 impl PrimaryLease {
-    /// The right of an instance that knows neither who votes nor what was
-    /// ordered: it has none, and grants nothing.
+    /// The state of an instance that has neither the list of voters nor the orders
+    /// in the store: it holds no lease and grants none.
     #[must_use]
     pub fn unknown() -> Self {
         Self {
@@ -156,23 +170,25 @@
             grants: BTreeMap::new(),
             store_grant: None,
             era: 0,
-            store_from: Moment::ZERO,
-            given: BTreeMap::new(),
+            store_grants_from: Moment::ZERO,
+            granted_until: BTreeMap::new(),
             missing_since: None,
             highest_token: 0,
             voted: Vec::new(),
         }
     }
 
-    /// The right of an instance that started at `started_at`. For a while the
-    /// store alone grants it nothing: an earlier life may have promised to use a
-    /// term no more, to somebody who could not write to the store.
+    /// Sets the time at which the instance started.
+    ///
+    /// For [`RESTART_PROMISE_WINDOW`] after it, reads of the store grant no lease.
+    /// An earlier run of the instance may have promised to retire a term to an
+    /// instance that could not write its order to the store.
     #[must_use]
     pub fn with_start(self, started_at: Moment) -> Self {
-        Self { store_from: started_at + RESTART_PROMISE_WINDOW, ..self }
+        Self { store_grants_from: started_at + RESTART_PROMISE_WINDOW, ..self }
     }
 
-    /// Sets who votes. Grants of all others count no more.
+    /// Sets the voters, and drops the grants of instances that are not among them.
     pub fn set_voters(&mut self, me: &InstanceId, voters: &[InstanceId]) {
         self.votes = voters.contains(me);
         self.others = voters.iter().filter(|voter| *voter != me).cloned().collect();
@@ -180,34 +196,37 @@
         self.grants.retain(|voter, _| others.contains(voter));
     }
 
-    /// Whether these are the voters already.
+    /// Whether the voters are the same as those set before.
     #[must_use]
     pub fn has_voters(&self, me: &InstanceId, voters: &[InstanceId]) -> bool {
         let others = voters.iter().filter(|voter| *voter != me);
         self.votes == voters.contains(me) && self.others.iter().eq(others)
     }
 
-    /// The orders in the store are known now: this instance votes. It does so
-    /// too when most voters have told it what they grant.
+    /// Records that this instance has the orders in the store, and lets it vote.
     ///
-    /// Without this an instance that promised something, and was restarted,
-    /// would grant an old term again. Time alone does not help: an old primary
-    /// that is cut off from its successor goes on for as long.
+    /// Grants from a majority of the voters have the same effect. Without this rule
+    /// an instance that promised to retire a term and restarted would grant that
+    /// term again. Waiting does not suffice, because an old primary that is
+    /// partitioned from its successor continues to serve for as long as the
+    /// partition lasts.
     pub fn orders_known(&mut self) {
         self.orders_known = true;
     }
 
-    /// The store holds an order that ends `term`, or tells that it is retired. An
-    /// instance that has just started takes it for a promise of its own.
+    /// Records that the store holds an order that ends `term`, or lists the term as
+    /// retired. An instance that does not vote yet retires the term as if it had
+    /// promised to, since an earlier run of it may have.
     pub fn adopt_ended_term(&mut self, term: Term) {
         if !self.orders_known {
             self.retired = self.retired.max(term);
         }
     }
 
-    /// Another instance asks for a lease on a term, 0 if it knows none. Returns
-    /// up to which term nothing is granted; `None` while this instance does
-    /// not vote.
+    /// Grants the instance `to` every term that is not retired here.
+    ///
+    /// `term` is the term that it requested; 0 if it has seen no primary. Returns
+    /// the highest retired term, or `None` while this instance does not vote.
     pub fn grant(&mut self, now: Moment, to: &InstanceId, term: Term) -> Option<Term> {
         if !self.orders_known {
             return None;
@@ -215,18 +234,19 @@
         if term > self.retired {
             self.used = self.used.max(term);
         }
-        self.given.retain(|_, until| *until > now);
-        self.given.insert(to.clone(), now + LEASE);
+        self.granted_until.retain(|_, until| *until > now);
+        self.granted_until.insert(to.clone(), now + VOTER_LEASE);
         Some(self.retired)
     }
 
-    /// The store came back from a copy, for the `era`th time.
+    /// Records that the store has reached `era`: it was restored from a backup for
+    /// the `era`th time.
     pub fn note_era(&mut self, era: Era) {
         self.era = self.era.max(era);
     }
 
-    /// A voter answered a question of `asked_at`, when the latest era that it knew was
-    /// `era`: it grants all terms above `retired`.
+    /// Records a voter's grant of all terms above `retired`, requested at `asked_at`.
+    /// `era` is the latest era of the store that the voter had seen.
     pub fn granted(&mut self, voter: &InstanceId, asked_at: Moment, retired: Term, era: Era) {
         if !self.others.contains(voter) {
             return;
@@ -234,85 +254,91 @@
         self.note_era(era);
         self.grants.insert(voter.clone(), Grant { asked_at, retired, era });
         if !self.orders_known && self.grants.len() >= self.majority() {
-            // One of them promised whatever an earlier life of this instance
-            // helped to end.
+            // An earlier run of this instance may have promised to retire a term.
+            // The majority that retired it shares a voter with this one.
             let retired = self.grants.values().map(|grant| grant.retired).max();
             self.retired = self.retired.max(retired.unwrap_or_default());
             self.orders_known = true;
         }
     }
 
-    /// The store was read at `asked_at`, in an era, and held no order beyond `retired`
-    /// + 1.
+    /// Records a read of the store that was requested at `asked_at` and answered in
+    /// `era`. The store held no order to end a term above `retired`.
     pub fn record_store_grant(&mut self, asked_at: Moment, retired: Term, era: Era) {
         self.note_era(era);
         self.store_grant = Some(Grant { asked_at, retired, era });
     }
 
-    /// Until when a term may be used; `None` if it may not.
+    /// When the lease on a term expires; `None` if there is none.
     #[must_use]
     pub fn lease_end(&self, term: Term) -> Option<Moment> {
         if term <= self.retired || term == 0 {
             return None;
         }
-        self.end_by_voters(term).max(self.end_by_store(term))
+        self.voter_lease_end(term).max(self.store_lease_end(term))
     }
 
-    /// Only voters get anything from the store: whoever replaces a primary asks
-    /// all of them, and not every instance there is.
-    fn end_by_store(&self, term: Term) -> Option<Moment> {
+    /// When the lease that the store granted expires.
+    ///
+    /// The store grants leases to voters only, because an instance that replaces a
+    /// primary contacts all voters but not every instance.
+    fn store_lease_end(&self, term: Term) -> Option<Moment> {
         let grant = self.store_grant.filter(|grant| self.votes && grant.retired < term);
-        let grant = grant.filter(|grant| grant.asked_at >= self.store_from);
-        let grant = grant.filter(|grant| self.store_tells_all_orders(grant, term));
+        let grant = grant.filter(|grant| grant.asked_at >= self.store_grants_from);
+        let grant = grant.filter(|grant| self.store_has_all_orders(grant, term));
         grant.map(|grant| grant.asked_at + STORE_LEASE)
     }
 
-    /// Whether the store has each order to end a term that a majority promised.
+    /// Whether a read of the store shows every order to end `term` for which a
+    /// majority of the voters can promise.
     ///
-    /// One that came back from a copy may have lost an order that was written before.
-    /// Half of the voters granted the term since they know of its return: whoever
-    /// collects the promises of a majority for such an order finds one of them, which
-    /// objects.
-    fn store_tells_all_orders(&self, reading: &Grant, term: Term) -> bool {
+    /// A store that was restored from a backup may have lost an order that was written
+    /// before. The read then counts only if half of the voters have granted the term
+    /// since they saw the new era. Any majority includes one of these voters, and that
+    /// voter refuses to promise for an order of an earlier era.
+    fn store_has_all_orders(&self, reading: &Grant, term: Term) -> bool {
         if self.era == 0 {
             return true;
         }
-        let in_era = self.retired_by(self.half());
-        reading.era == self.era && in_era.is_some_and(|retired| retired < term)
+        let retired_in_era = self.retired_by(self.half());
+        reading.era == self.era && retired_in_era.is_some_and(|retired| retired < term)
     }
 
-    /// The highest term that voters have retired, as at least `count` of them told
-    /// since they know the latest era of the store; `None` if fewer did.
+    /// The highest term that any voter reported as retired after it saw the latest
+    /// era of the store; `None` if fewer than `count` voters have reported since.
     fn retired_by(&self, count: usize) -> Option<Term> {
         let others = self.grants.values().filter(|grant| grant.era == self.era);
         let mine = (self.votes && self.orders_known).then_some(self.retired);
-        let told: Vec<_> = others.map(|grant| grant.retired).chain(mine).collect();
-        (told.len() >= count).then(|| told.into_iter().max().unwrap_or_default())
+        let reported: Vec<_> = others.map(|grant| grant.retired).chain(mine).collect();
+        (reported.len() >= count).then(|| reported.into_iter().max().unwrap_or_default())
     }
 
-    /// The highest term that is retired, as most voters told since they know the
-    /// latest era of the store; `None` if fewer did.
+    /// The highest term that any voter reported as retired after it saw the latest
+    /// era of the store; `None` unless a majority of the voters has reported since.
     #[must_use]
     pub fn retired_by_majority(&self) -> Option<Term> {
         self.retired_by(self.majority())
     }
 
-    fn end_by_voters(&self, term: Term) -> Option<Moment> {
+    /// When the lease that the voters granted expires.
+    fn voter_lease_end(&self, term: Term) -> Option<Moment> {
         let valid = self.grants.values().filter(|grant| grant.retired < term);
-        let mut ends: Vec<_> = valid.map(|grant| grant.asked_at + LEASE).collect();
+        let mut ends: Vec<_> = valid.map(|grant| grant.asked_at + VOTER_LEASE).collect();
         if self.votes && self.orders_known {
             ends.push(Moment::MAX);
         }
         ends.sort_unstable_by(|a, b| b.cmp(a));
-        // The lease ends when less than half is left.
+        // The lease expires when fewer than half of the voters have a valid grant.
         ends.get(self.half() - 1).copied()
     }
 
-    /// Grants that make a lease: half of the voters, rounded up. Whoever replaces
-    /// a primary needs the promises of more than half, so that one that grants is
-    /// among them. With more than half here too, three of six instances that were
-    /// cut off together with a primary served nothing for seven seconds, and the
-    /// other three could not replace it.
+    /// The number of grants that make a lease: half of the voters, rounded up.
+    ///
+    /// Half suffices because a replacement needs promises from more than half of the
+    /// voters, so any two such sets share a voter. If a lease needed more than half,
+    /// an even split would stop both sides: three of six instances that were
+    /// partitioned together with the primary served nothing for seven seconds, while
+    /// the other three could not replace it.
     fn half(&self) -> usize {
         let voters = self.others.len() + usize::from(self.votes);
         voters.div_ceil(2).max(1)
@@ -323,40 +349,43 @@
         voters / 2 + 1
     }
 
-    /// Whether a term may be used now.
+    /// Whether the instance holds a lease on `term` now.
     #[must_use]
     pub fn holds(&self, now: Moment, term: Term) -> bool {
         self.lease_end(term).is_some_and(|end| end > now)
     }
 
-    /// Whether new work may begin in a term.
+    /// Whether new work may begin in `term`: the instance holds the lease, and work
+    /// is not paused.
     #[must_use]
     pub fn may_begin(&self, now: Moment, term: Term) -> bool {
         self.holds(now, term) && self.paused_until <= now
     }
 
-    /// Begins no new work for a while, so that what runs can end before the
-    /// primary is replaced. No promise: the lease stays.
+    /// Starts no new work before `until`, so that running work can finish before the
+    /// primary is replaced. The instance keeps its lease.
     pub fn pause(&mut self, until: Moment) {
         self.paused_until = self.paused_until.max(until);
     }
 
-    /// Terms up to this one are not used any more.
+    /// The highest retired term: the instance neither uses nor grants terms up to it.
     #[must_use]
     pub fn retired(&self) -> Term {
         self.retired
     }
 
-    /// A token of the group's duty was seen.
+    /// Records a token of the group's duty.
     pub fn observe_token(&mut self, token: DutyToken) {
         self.highest_token = self.highest_token.max(token);
     }
 
-    /// Uses and grants a term no more, so that its successor can be promoted.
+    /// Promises to neither use nor grant the term of `ending` and those before it, so
+    /// that the successor can be promoted.
     ///
     /// # Errors
     ///
-    /// When another change may be under way, or be over.
+    /// Returns an [`Objection`] if another replacement may be in progress or has
+    /// completed, or if the store may have lost the order.
     pub fn promise(&mut self, now: Moment, ending: &Ending) -> Result<Promise, Objection> {
         self.note_era(ending.written_era.unwrap_or_default());
         if self.used > ending.term {
@@ -371,7 +400,8 @@
         self.voted.retain(|voted| {
             voted.voted_at + ORDER_OUTSTANDING > now && voted.token != ending.withdrawn
         });
-        // Seconds later it would undo what is ordered now.
+        // If the platform carried out that earlier order later, it would undo the
+        // promotion that is being prepared.
         if let Some(other) = self.voted.iter().find(|voted| voted.successor != ending.successor) {
             return Err(Objection::OtherSuccessor(other.successor.clone()));
         }
@@ -380,17 +410,18 @@
         self.voted.retain(|voted| voted.token != ending.token);
         let (token, successor) = (ending.token, ending.successor.clone());
         self.voted.push(VotedOrder { token, successor, voted_at: now });
-        let lasting = self.given.iter().filter(|(_, until)| **until > now);
-        let given = lasting.map(|(id, until)| (id.clone(), until.saturating_sub(now)));
+        let unexpired = self.granted_until.iter().filter(|(_, until)| **until > now);
+        let given = unexpired.map(|(id, until)| (id.clone(), until.saturating_sub(now)));
         Ok(Promise { given: given.collect() })
     }
 
-    /// The order under a token was carried out, or never will be.
+    /// Records that the order under `token` was carried out or never will be.
     pub fn settle(&mut self, token: DutyToken) {
         self.voted.retain(|voted| voted.token != token);
     }
 
-    /// The right to use `term` is wanted now. Returns whether it is there.
+    /// Records that the instance needs the lease on `term` now. Returns whether it
+    /// holds it.
     pub fn want(&mut self, now: Moment, term: Term) -> bool {
         if self.holds(now, term) {
             self.missing_since = None;
@@ -400,8 +431,8 @@
         false
     }
 
-    /// Whether the right has been missing for so long that another instance
-    /// should serve.
+    /// Whether the instance has lacked the lease for so long that another instance
+    /// should serve its requests.
     #[must_use]
     pub fn is_cut_off(&self, now: Moment, term: Term) -> bool {
         let missing = self.missing_since.is_some_and(|since| since + CUT_OFF_AFTER <= now);
@@ -409,75 +440,82 @@
     }
 }
 
-/// The promises that a replacement of a primary collects, and when its order may
-/// go out.
+/// Counts the promises that a replacement of a primary collects, and decides when
+/// the promotion may be ordered.
 #[derive(Clone, Debug)]
 pub struct PromiseTally {
     voters: Vec<InstanceId>,
+    /// Instances that are asked for a promise.
     asked: Vec<InstanceId>,
-    /// When the order was written into the store; `None` if it could not be.
+    /// When the order was written to the store; `None` if it could not be.
     written_at: Option<Moment>,
     promised: Vec<InstanceId>,
-    given: BTreeMap<InstanceId, Moment>,
+    /// When the latest grant to each instance expires, as the voters that promised
+    /// reported it.
+    granted_until: BTreeMap<InstanceId, Moment>,
 }
 
-/// Whether an order may go out.
+/// Whether the promotion may be ordered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Readiness {
-    /// From this moment on.
+    /// It may be ordered from this time on.
     From(Moment),
     /// Too few voters have promised.
     TooFewVotes,
-    /// Some are silent, and the store does not hold the order that they could
-    /// read there.
+    /// Some voters do not answer, and they cannot find the order in the store either,
+    /// because it is not written there.
     SomeUnreachable,
 }
 
 impl PromiseTally {
-    /// Nobody has promised yet.
+    /// A tally without promises. `asked` are the instances that are asked to promise,
+    /// and `written_at` is when the order was written to the store, if it was.
     #[must_use]
     pub fn new(
         voters: Vec<InstanceId>,
         asked: Vec<InstanceId>,
         written_at: Option<Moment>,
     ) -> Self {
-        Self { voters, asked, written_at, promised: Vec::new(), given: BTreeMap::new() }
+        Self { voters, asked, written_at, promised: Vec::new(), granted_until: BTreeMap::new() }
     }
 
-    /// An instance promised, in an answer that came at `now`.
+    /// Records a promise of the instance `id` that arrived at `now`.
     pub fn promised(&mut self, now: Moment, id: &InstanceId, promise: Promise) {
         if !self.promised.contains(id) {
             self.promised.push(id.clone());
         }
         for (to, lasting) in promise.given {
-            let until = self.given.entry(to).or_default();
+            let until = self.granted_until.entry(to).or_default();
             *until = (*until).max(now + lasting);
         }
     }
 
-    /// Instances that were asked and have not promised.
+    /// Instances that were asked to promise and have not.
     pub fn missing(&self) -> impl Iterator<Item = &InstanceId> {
         self.asked.iter().filter(|id| !self.promised.contains(id))
     }
 
-    /// Whether, and from when on, nobody uses the old term any more.
+    /// Whether the promotion may be ordered, and from when on no instance uses the old
+    /// term any more.
     ///
-    /// A silent instance needs half of the grants, one of which must come
-    /// from a voter that promised; so its lease ends with the last grant of
-    /// these. Or it is a voter and read the store before the order was there.
+    /// An instance that does not answer may still hold a lease. One that the voters
+    /// granted includes a grant of a voter that has promised since, so it expires
+    /// with the last such grant at the latest. One that the store granted belongs to
+    /// a voter that read the store before the order was written. With `last_resort`,
+    /// a majority of promises is not required.
     #[must_use]
     pub fn readiness(&self, last_resort: bool) -> Readiness {
         let votes = self.voters.iter().filter(|voter| self.promised.contains(voter)).count();
         if votes * 2 <= self.voters.len() && !last_resort {
             return Readiness::TooFewVotes;
         }
-        let silent = self.given.iter().filter(|(id, _)| !self.promised.contains(id));
-        let by_voters = silent.map(|(_, until)| *until).max().unwrap_or_default();
+        let unreachable = self.granted_until.iter().filter(|(id, _)| !self.promised.contains(id));
+        let voter_leases_end = unreachable.map(|(_, until)| *until).max().unwrap_or_default();
         if votes == self.voters.len() {
-            return Readiness::From(by_voters);
+            return Readiness::From(voter_leases_end);
         }
         match self.written_at {
-            Some(written_at) => Readiness::From(by_voters.max(written_at + STORE_LEASE)),
+            Some(written_at) => Readiness::From(voter_leases_end.max(written_at + STORE_LEASE)),
             None => Readiness::SomeUnreachable,
         }
     }
