--- a/lib/src/duty.rs
+++ b/lib/src/duty.rs
@@ -1,4 +1,9 @@
-//! The duty of replacing the primary of a group, and the token that fences it.
+//! The duty of replacing the primary of a group, and the fencing token of that duty.
+//!
+//! One instance at a time holds the duty for a group, as recorded in the platform's
+//! store. It orders promotions under the token of the record, and each claim of the
+//! duty raises the token. An era counts how often the store was restored from a
+//! backup.
 
 use crate::fleet::InstanceRecord;
 use crate::id::GroupId;
@@ -8,50 +13,54 @@
 use crate::placement::stable_hash;
 use crate::revision::Era;
 
-/// Fencing token of a duty: the platform refuses a lower one than it has seen.
+/// Fencing token of a duty. The platform refuses an order whose token is lower than
+/// one that it has seen.
 pub type DutyToken = u64;
 
-/// Tokens of one era of the store; far more than duties are taken in it.
+/// Number of tokens reserved for one era of the store, far more than are issued in
+/// one.
 const TOKENS_PER_ERA: DutyToken = 1 << 20;
 
 /// The first token of an era of the store.
 ///
-/// A copy of the store does not have the tokens that were given out after it was
-/// taken, and nobody may know them any more: counted on from the copy, two instances
-/// would order under the same one.
+/// A backup of the store lacks the tokens that were issued after it was taken, and
+/// possibly no instance has them any more. If tokens continued from the restored
+/// value, two instances could order promotions under the same token.
 #[must_use]
 pub fn first_token(era: Era) -> DutyToken {
     era.saturating_mul(TOKENS_PER_ERA).saturating_add(1)
 }
 
-/// Whether a token was given out since the store came back from a copy for the `era`th
-/// time.
+/// Whether a token was issued in `era` or a later one, that is, after the store was
+/// restored from a backup for the `era`th time.
 #[must_use]
 pub fn is_token_of_era(token: DutyToken, era: Era) -> bool {
     token >= first_token(era)
 }
 
-/// Who holds a duty, as kept in the platform's store.
+/// The holder of a duty and its last order, as stored in the platform's store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DutyRecord {
-    /// The group whose primary it is about.
+    /// The group whose primary the holder may replace.
     pub group: GroupId,
     /// The instance that holds the duty.
     pub holder: InstanceId,
-    /// Its life: a restarted instance does not go on with a token of which it
-    /// cannot know what was done with it.
+    /// Identifies the run of the holder. After a restart an instance has no record of
+    /// what it ordered under its former token, so it does not continue with it.
     pub life: u64,
-    /// The token.
+    /// The fencing token.
     pub token: DutyToken,
-    /// What was last ordered, by this holder or an earlier one.
+    /// The last promotion ordered, by this holder or an earlier one.
     pub order: Option<DutyOrder>,
-    /// Terms up to this one are not used any more, whatever the order says: most
-    /// voters told so when the store had come back from a copy.
+    /// No instance uses terms up to this one any more, whatever the order says. The
+    /// value comes from a majority of the voters, after the store was restored from a
+    /// backup.
     pub retired: Term,
 }
 
 impl DutyRecord {
-    /// Terms up to this one are not used any more.
+    /// The highest term that may no longer be used: the term before that of the order,
+    /// or `retired` if that is higher.
     #[must_use]
     pub fn ended_term(&self) -> Term {
         let ordered = self.order.as_ref().map_or(0, |order| order.term.saturating_sub(1));
@@ -59,28 +68,28 @@
     }
 }
 
-/// An order to promote.
+/// An order to promote a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DutyOrder {
-    /// The server that was to take over.
+    /// The server to promote.
     pub server: TargetId,
-    /// The term in which it would lead.
+    /// The term that its promotion begins.
     pub term: Term,
 }
 
-/// Whether a server may be promoted in view of the last order.
+/// Whether the last order permits the promotion of a server.
 ///
-/// An order of which this instance has not seen the outcome may have made
-/// another server primary, behind a partition, and commits may have been
-/// acknowledged there. Until that term was seen somewhere, only the server of
-/// the order itself may take over.
+/// If the outcome of the last order is unknown, its server may have become primary
+/// on the other side of a partition and may have acknowledged commits. Until some
+/// server was seen in the term of the order (`highest_term`), only the server that
+/// the order names may be promoted.
 #[must_use]
 pub fn order_permits(order: Option<&DutyOrder>, server: &TargetId, highest_term: Term) -> bool {
     order.is_none_or(|order| order.term <= highest_term || order.server == *server)
 }
 
-/// The order in which instances take the duty for a group: its holder first,
-/// then by rendezvous hashing, so that the groups are spread.
+/// The order in which instances take the duty for a group: the present holder first,
+/// then by rendezvous hashing, which distributes the groups over the instances.
 #[must_use]
 pub fn succession(
     group: &GroupId,
@@ -95,9 +104,8 @@
     ranked.into_iter().map(|(_, _, id)| id).collect()
 }
 
-/// The record that follows on `last` when an instance takes the duty, or goes
-/// on with it under a new token of an era. Without an order of its own it keeps the
-/// last.
+/// The record that replaces `last` when an instance takes the duty or renews it under
+/// a new token of an era. Without a new `order` the record keeps that of `last`.
 #[must_use]
 pub fn next_record(
     group: &GroupId,
--- a/lib/src/leader_watch.rs
+++ b/lib/src/leader_watch.rs
@@ -1,8 +1,9 @@
-//! When an instance doubts the primary of a group, and when it replaces it.
+//! Failure detection for the primary of a group: decides when to suspect the
+//! primary and when to replace it.
 //!
-//! Nobody else reports that a primary is dead, and replacing one that lives
-//! costs a second without writes. So several signs have to come together: it
-//! does not answer on new connections, and other instances do not reach it
+//! The platform does not report a failed primary, and replacing a working one
+//! costs a second without writes. An instance therefore replaces a primary only
+//! when it fails probes on new connections and the other instances cannot reach it
 //! either.
 
 use std::collections::BTreeMap;
@@ -12,21 +13,22 @@
 use crate::id::TargetId;
 use crate::moment::Moment;
 
-/// What the watch wants done.
+/// An action that the caller of [`LeaderWatch`] has to perform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WatchAction {
-    /// Ask a server for its state on a new connection.
+    /// Query a server for its state on a new connection.
     Probe(TargetId),
-    /// Ask a server for its state on a connection of the pool, to learn the
-    /// position of the log.
+    /// Query a server for its state on a connection of the pool, to get the position
+    /// of its log.
     Sample(TargetId),
-    /// Ask the other instances whether they reach this primary.
+    /// Ask the other instances whether they reach this primary, or which server leads
+    /// if it is `None`.
     AskPeers(Option<TargetId>),
-    /// Replace the primary, which is `from`, if any.
+    /// Replace the primary.
     Replace {
-        /// The primary that is given up.
+        /// The primary to replace; `None` if no server leads.
         from: Option<TargetId>,
-        /// Why.
+        /// Why the primary is replaced.
         reason: ReplaceReason,
     },
 }
@@ -34,123 +36,129 @@
 /// Why a primary is replaced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplaceReason {
-    /// It is about to leave.
+    /// The primary is draining.
     Leaving,
     /// No instance reaches it.
     Unreachable,
     /// No server leads.
     Absent,
-    /// No server has been reached that leads for so long that one which missed
-    /// a change of primary has to do.
+    /// No primary has been reached for so long that even a server which missed a
+    /// change of primary may be promoted.
     LastResort,
 }
 
-/// What other instances say about a primary.
+/// Counts of the other instances by what they report about a primary.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PeerReports {
-    /// Those that it answers.
+    /// Instances that the primary answers.
     pub reached: usize,
-    /// Those that it does not answer.
+    /// Instances that the primary does not answer.
     pub failed: usize,
-    /// Those that have not tried.
+    /// Instances that have not tried to reach the primary.
     pub unknown: usize,
-    /// Those that did not answer the question: dead, or behind a partition.
+    /// Instances that did not answer the request for a report, because they are down
+    /// or partitioned.
     pub silent: usize,
-    /// Whether one of them is replacing it.
+    /// Whether one of the instances is replacing the primary.
     pub replacing: bool,
 }
 
-/// A doubt about the primary.
+/// A suspicion that the primary has failed, or that no server leads.
 #[derive(Clone, Debug)]
-struct Doubt {
+struct Suspicion {
+    /// The suspected primary; `None` if no server leads.
     leader: Option<TargetId>,
     since: Moment,
     probed_at: Option<Moment>,
     failed_probes: u32,
     asked_at: Option<Moment>,
+    /// Rounds of reports from the other instances.
     rounds: u32,
-    /// Whether nobody who answers reaches it, and those who do not answer could
-    /// outvote the others.
+    /// Whether none of the answering instances reaches the primary, and too few
+    /// instances answer to replace it.
     out_of_reach: bool,
-    /// When it became certain enough to act.
+    /// When the reports confirmed that the primary should be replaced.
     confirmed_at: Option<Moment>,
 }
 
-/// Watches the primary of one group.
+/// Monitors the primary of one group.
 #[derive(Clone, Debug, Default)]
 pub struct LeaderWatch {
-    doubt: Option<Doubt>,
-    /// Since when the primary is seen to be leaving.
+    suspicion: Option<Suspicion>,
+    /// The draining primary, and since when it drains.
     leaving_since: Option<(TargetId, Moment)>,
-    /// Somebody replaces the primary; nobody else should before this time.
-    quiet_until: Moment,
-    /// Others should replace the primary until then.
+    /// An instance is replacing the primary; this one starts no replacement before
+    /// this time.
+    replacement_until: Moment,
+    /// This instance leaves the replacement to others before this time.
     stepped_back_until: Moment,
     sampled_at: Option<Moment>,
-    /// When replicas that had failed were last asked.
+    /// When each failed replica was last probed.
     replicas_probed_at: BTreeMap<TargetId, Moment>,
     suspected_at: Option<Moment>,
 }
 
-/// A primary that is slow and alive is asked whether it is alive no more often
-/// than this: each question opens a connection.
+/// Shortest time between two probes of a primary that takes long to answer a
+/// statement. Each probe opens a connection.
 const SUSPICION_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Time between two probes. A probe on a new connection takes 12 to 27 ms at
 /// a server that works.
 const PROBE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time between two probes while somebody replaces the primary: that tells who
-/// leads when it is over. Each probe takes a slot of a server for 12 ms or more,
-/// and all instances ask.
-const PROBE_INTERVAL_QUIET: Duration = Duration::from_millis(500);
+/// Time between two probes while an instance replaces the primary. That instance
+/// reports the new primary when the replacement completes. Each probe occupies a
+/// slot of a server for 12 ms or more, and all instances send probes.
+const PROBE_INTERVAL_DURING_REPLACEMENT: Duration = Duration::from_millis(500);
 
-/// Failed probes before other instances are asked. One may be lost to a full
-/// queue of connections.
+/// Failed probes before the other instances are asked. One probe may fail because
+/// the server's connection queue is full.
 const PROBES_BEFORE_ASKING: u32 = 2;
 
-/// Time between two rounds of questions to other instances: those that had
-/// not tried can probe meanwhile.
+/// Time between two rounds of requests to the other instances. In between,
+/// instances that had not tried to reach the primary can probe it.
 const ASK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Rounds after which instances that know nothing do not count any more.
+/// Rounds to wait for instances that have not tried to reach the primary. From this
+/// round on they count as instances that do not reach it.
 const ROUNDS_FOR_UNKNOWN: u32 = 3;
 
-/// Rounds after which a primary that nobody here reaches is given up for as long
-/// as that lasts: one may be lost to instances that are slow to answer.
+/// Rounds before a primary counts as out of reach. One round may fail because
+/// instances are slow to answer.
 const ROUNDS_OUT_OF_REACH: u32 = 2;
 
-/// Without any leader, this long is left for one to appear: a promotion that
-/// another instance ordered takes up to a second.
+/// How long a group may have no primary before the other instances are asked. A
+/// promotion that another instance ordered takes up to a second.
 const ABSENCE_LIMIT: Duration = Duration::from_millis(1_200);
 
-/// A doubt that lasts longer than partitions usually do. Then silent instances
-/// are taken for dead, and a server that missed a change of primary may lead.
+/// Duration of a suspicion after which replacement is a last resort. This is longer
+/// than most partitions. Unresponsive instances then count as failed, and a server
+/// that missed a change of primary may be promoted.
 const LAST_RESORT_AFTER: Duration = Duration::from_secs(10);
 
-/// Each further instance in the succession waits this much longer, so that
-/// the first can act alone.
+/// Additional delay for each further rank in the succession, so that the first
+/// instance can act alone.
 const STAGGER: Duration = Duration::from_millis(700);
 
-/// After somebody began to replace the primary, others leave it this long:
-/// longer than the longest promotion (1 s) and a retry.
+/// How long the other instances wait after one began to replace the primary. This
+/// is longer than the longest promotion (1 s) and a retry.
 pub const REPLACEMENT_TIME: Duration = Duration::from_millis(2_500);
 
-/// Time between two questions to a replica that failed; with each failure it is
-/// also avoided for longer, up to 3 s.
+/// Time between two probes of a replica that failed. Reads also avoid such a replica
+/// for longer with each failure, up to 3 s.
 const FAILED_REPLICA_CHECK: Duration = Duration::from_millis(500);
 
-/// A sample of the primary's position older than this is renewed. A fraction
-/// of the smallest staleness that clients allow (1.5 s), so that a replica
-/// behind by a second still qualifies.
-const SAMPLE_AGE: Duration = Duration::from_millis(400);
+/// Age at which a sample of the primary's position is renewed. This is a fraction of
+/// the smallest staleness that clients allow (1.5 s), so that a replica that is a
+/// second behind still qualifies.
+const MAX_SAMPLE_AGE: Duration = Duration::from_millis(400);
 
-/// Samples are not asked for more often than this.
+/// Shortest time between two requests for a sample.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(200);
 
 impl LeaderWatch {
-    /// Decides what to do now. `rank` is this instance's place in the
-    /// succession, `None` if it takes no duties.
+    /// Returns the actions that are due. `rank` is this instance's place in the
+    /// succession; `None` if it takes no duties.
     pub fn tick(&mut self, now: Moment, group: &Group, rank: Option<usize>) -> Vec<WatchAction> {
         let mut actions = Vec::new();
         self.sample(now, group, &mut actions);
@@ -162,11 +170,12 @@
         actions
     }
 
-    /// Asks replicas that failed whether they are back.
+    /// Probes replicas that failed, to detect that they are back.
     ///
-    /// Reads find that out by themselves, but none goes to a replica that was also
-    /// far behind when it was last heard: one that had failed while it lagged was
-    /// asked by nobody any more, and the primary had its reads.
+    /// A read would detect it too, but no read goes to a replica that was also far
+    /// behind when it last answered. Without these probes, a replica that failed
+    /// while it lagged would never be contacted again, and the primary would serve
+    /// its reads.
     fn probe_failed_replicas(
         &mut self,
         now: Moment,
@@ -186,10 +195,10 @@
         let Some(leader) = group.leader() else {
             return;
         };
-        // Others tell its position and not its term, without which there is no
-        // right to use it.
+        // Other instances report the primary's position but not its term, and the
+        // lease needs the term.
         let known = leader.term > 0;
-        if known && group.sample_age(now).is_some_and(|age| age < SAMPLE_AGE) {
+        if known && group.sample_age(now).is_some_and(|age| age < MAX_SAMPLE_AGE) {
             return;
         }
         if self.sampled_at.is_some_and(|at| at + SAMPLE_INTERVAL > now) {
@@ -206,8 +215,8 @@
         rank: Option<usize>,
         actions: &mut Vec<WatchAction>,
     ) {
-        // One that was succeeded already would be replaced in the place of its
-        // successor.
+        // Only a primary that reported its term counts. A listed primary may have a
+        // successor already, which would then be replaced instead.
         let leaving = group
             .confirmed_leader()
             .filter(|leader| group.server(&leader.id).is_some_and(|view| view.info.draining));
@@ -232,7 +241,7 @@
         let Some(rank) = rank.and_then(|rank| u32::try_from(rank).ok()) else {
             return false;
         };
-        let free = now >= self.quiet_until && now >= self.stepped_back_until;
+        let free = now >= self.replacement_until && now >= self.stepped_back_until;
         now >= confirmed_at + STAGGER * rank && free
     }
 
@@ -248,22 +257,22 @@
             let failed = group.server(id).is_some_and(|view| view.failures > 0);
             failed || self.is_suspected(group, id)
         });
-        // A group without any server has nobody to lead it.
+        // A group without servers has no candidate for a promotion.
         if !failing || group.servers().next().is_none() {
-            self.doubt = None;
+            self.suspicion = None;
             return;
         }
-        let same = self.doubt.as_ref().is_some_and(|doubt| doubt.leader == leader);
+        let same = self.suspicion.as_ref().is_some_and(|suspicion| suspicion.leader == leader);
         if !same {
-            self.doubt = Some(Doubt::new(leader.clone(), now));
+            self.suspicion = Some(Suspicion::new(leader.clone(), now));
         }
-        let Some(doubt) = &mut self.doubt else {
+        let Some(suspicion) = &mut self.suspicion else {
             return;
         };
-        let quiet = now < self.quiet_until;
-        doubt.probe(now, group, quiet, actions);
-        doubt.ask(now, actions);
-        let (since, confirmed_at) = (doubt.since, doubt.confirmed_at);
+        let under_replacement = now < self.replacement_until;
+        suspicion.probe(now, group, under_replacement, actions);
+        suspicion.ask(now, actions);
+        let (since, confirmed_at) = (suspicion.since, suspicion.confirmed_at);
         let Some(confirmed_at) = confirmed_at else {
             return;
         };
@@ -277,124 +286,135 @@
         }
     }
 
-    /// Whether a primary is doubted and has not answered anything since.
+    /// Whether a primary is under suspicion and has not answered anything since.
     fn is_suspected(&self, group: &Group, leader: &TargetId) -> bool {
-        let doubt = self.doubt.as_ref().filter(|doubt| doubt.leader.as_ref() == Some(leader));
-        doubt.is_some_and(|doubt| !group.has_answered_since(leader, doubt.since))
+        let suspicion =
+            self.suspicion.as_ref().filter(|suspicion| suspicion.leader.as_ref() == Some(leader));
+        suspicion.is_some_and(|suspicion| !group.has_answered_since(leader, suspicion.since))
     }
 
-    /// The primary takes long to answer a statement.
+    /// Records that the primary takes long to answer a statement, and returns the
+    /// probe to send, if one is due.
     ///
-    /// It is probed as one that fails from the start: a primary that went dark
-    /// was found dead 770 ms after its last answer (median of ten) when the
-    /// first probe only raised the doubt in which the others were counted.
+    /// A failure of this first probe counts towards the probes that have to fail.
+    /// When it did not count, an unresponsive primary was detected 770 ms after its
+    /// last answer (median of ten).
     pub fn suspected(&mut self, now: Moment, group: &Group) -> Option<WatchAction> {
         if self.suspected_at.is_some_and(|at| at + SUSPICION_INTERVAL > now) {
             return None;
         }
         self.suspected_at = Some(now);
         let leader = group.leader().map(|leader| leader.id.clone())?;
-        if self.doubt.as_ref().is_none_or(|doubt| doubt.leader.as_ref() != Some(&leader)) {
-            self.doubt = Some(Doubt::new(Some(leader.clone()), now));
+        if self
+            .suspicion
+            .as_ref()
+            .is_none_or(|suspicion| suspicion.leader.as_ref() != Some(&leader))
+        {
+            self.suspicion = Some(Suspicion::new(Some(leader.clone()), now));
         }
-        if let Some(doubt) = &mut self.doubt {
-            doubt.probed_at = Some(now);
+        if let Some(suspicion) = &mut self.suspicion {
+            suspicion.probed_at = Some(now);
         }
         Some(WatchAction::Probe(leader))
     }
 
-    /// A probe of the primary on a new connection failed.
+    /// Records that a probe of the server `id` on a new connection failed.
     pub fn probe_failed(&mut self, id: &TargetId) {
-        if let Some(doubt) = &mut self.doubt {
-            if doubt.leader.as_ref() == Some(id) {
-                doubt.failed_probes += 1;
+        if let Some(suspicion) = &mut self.suspicion {
+            if suspicion.leader.as_ref() == Some(id) {
+                suspicion.failed_probes += 1;
             }
         }
     }
 
-    /// Other instances answered.
-    pub fn heard(&mut self, now: Moment, about: Option<&TargetId>, opinions: PeerReports) {
-        if opinions.replacing {
+    /// Records a round of reports from the other instances about the primary `about`.
+    pub fn heard(&mut self, now: Moment, about: Option<&TargetId>, reports: PeerReports) {
+        if reports.replacing {
             self.replacing(now);
         }
-        let Some(doubt) = &mut self.doubt else {
+        let Some(suspicion) = &mut self.suspicion else {
             return;
         };
-        if doubt.leader.as_ref() != about {
+        if suspicion.leader.as_ref() != about {
             return;
         }
-        doubt.rounds += 1;
-        let lasting = doubt.since + LAST_RESORT_AFTER <= now;
-        doubt.out_of_reach = doubt.rounds >= ROUNDS_OUT_OF_REACH && is_out_of_reach(opinions);
-        if should_replace(opinions, doubt.rounds, lasting) {
-            doubt.confirmed_at.get_or_insert(now);
+        suspicion.rounds += 1;
+        let lasting = suspicion.since + LAST_RESORT_AFTER <= now;
+        suspicion.out_of_reach =
+            suspicion.rounds >= ROUNDS_OUT_OF_REACH && is_out_of_reach(reports);
+        if should_replace(reports, suspicion.rounds, lasting) {
+            suspicion.confirmed_at.get_or_insert(now);
         } else {
-            doubt.confirmed_at = None;
+            suspicion.confirmed_at = None;
         }
     }
 
     /// The primary that can neither be reached nor replaced from this side of a
     /// partition, if there is one.
     ///
-    /// Requests for it waited for their whole time, 760 ms and more, and were told
-    /// that there was no primary; refused at once, their clients reach an
-    /// instance on the other side.
+    /// Requests that need it should be refused at once, so that their clients turn to
+    /// an instance on the other side. Otherwise they wait for their whole time limit,
+    /// 760 ms or more, before they fail for lack of a primary.
     #[must_use]
     pub fn out_of_reach(&self) -> Option<&TargetId> {
-        let doubt = self.doubt.as_ref().filter(|doubt| doubt.out_of_reach);
-        doubt.and_then(|doubt| doubt.leader.as_ref())
+        let suspicion = self.suspicion.as_ref().filter(|suspicion| suspicion.out_of_reach);
+        suspicion.and_then(|suspicion| suspicion.leader.as_ref())
     }
 
-    /// Somebody, maybe this instance, replaces the primary now.
+    /// Records that an instance, possibly this one, is replacing the primary.
     pub fn replacing(&mut self, now: Moment) {
-        self.quiet_until = now + REPLACEMENT_TIME;
+        self.replacement_until = now + REPLACEMENT_TIME;
     }
 
-    /// This instance cannot replace the primary now, and others may: it leaves
-    /// it to them for the time of two in the succession and a replacement.
+    /// Leaves the replacement to other instances, because this one cannot perform it
+    /// now. The time suffices for the next two ranks in the succession and a
+    /// replacement.
     pub fn step_back(&mut self, now: Moment) {
         self.stepped_back_until = now + STAGGER * 2 + REPLACEMENT_TIME;
     }
 
-    /// A replacement ended without a new primary; it may be tried again.
+    /// Records that a replacement ended without a new primary, so that it may be
+    /// tried again at once.
     pub fn replacement_failed(&mut self, now: Moment) {
-        self.quiet_until = now;
+        self.replacement_until = now;
     }
 }
 
-/// Whether a primary that does not answer this instance should be replaced.
+/// Whether a primary that does not answer this instance should be replaced, after
+/// this many rounds of reports.
 ///
-/// Never while another instance reaches it: it may have acknowledged commits
-/// that no replica has received, and they would be lost. Its clients are
-/// served through that other instance meanwhile.
+/// The primary is kept while another instance reaches it: it may have acknowledged
+/// commits that no replica has received, and these would be lost. Meanwhile the
+/// other instance can serve the clients.
 ///
-/// And only with the votes of more than half of all instances, since those
-/// that are silent may be on the other side of a partition together with the
-/// primary. Without that, three of eight instances replaced a primary on which
-/// the other five went on writing, and 45 acknowledged commits were lost. When
-/// the doubt is `lasting`, the silent ones are taken for dead.
+/// More than half of all instances have to report that they do not reach the
+/// primary, because the unresponsive instances may be on the other side of a
+/// partition together with it. Without this rule, three of eight instances replaced
+/// a primary to which the other five continued to write, and 45 acknowledged commits
+/// were lost. When the suspicion is `lasting`, unresponsive instances count as failed
+/// and do not take part in the vote.
 #[must_use]
-pub fn should_replace(opinions: PeerReports, rounds: u32, lasting: bool) -> bool {
-    if opinions.reached > 0 {
+pub fn should_replace(reports: PeerReports, rounds: u32, lasting: bool) -> bool {
+    if reports.reached > 0 {
         return false;
     }
-    if opinions.unknown > 0 && rounds < ROUNDS_FOR_UNKNOWN {
+    if reports.unknown > 0 && rounds < ROUNDS_FOR_UNKNOWN {
         return false;
     }
-    let votes = opinions.failed + opinions.unknown + 1;
-    let all = if lasting { votes } else { votes + opinions.silent };
+    let votes = reports.failed + reports.unknown + 1;
+    let all = if lasting { votes } else { votes + reports.silent };
     votes * 2 > all
 }
 
-/// Whether nobody who answers reaches a primary, and too few answer to replace
-/// it.
-fn is_out_of_reach(opinions: PeerReports) -> bool {
-    let nobody = opinions.reached == 0 && opinions.unknown == 0 && !opinions.replacing;
-    let answering = opinions.failed + 1;
-    nobody && answering <= opinions.silent
+/// Whether none of the answering instances reaches a primary, and too few instances
+/// answer to replace it.
+fn is_out_of_reach(reports: PeerReports) -> bool {
+    let none_reaches = reports.reached == 0 && reports.unknown == 0 && !reports.replacing;
+    let answering = reports.failed + 1;
+    none_reaches && answering <= reports.silent
 }
 
-impl Doubt {
+impl Suspicion {
     fn new(leader: Option<TargetId>, now: Moment) -> Self {
         Self {
             leader,
@@ -408,16 +428,25 @@
         }
     }
 
-    /// The primary may have come back, and without one any server may lead.
-    fn probe(&mut self, now: Moment, group: &Group, quiet: bool, actions: &mut Vec<WatchAction>) {
-        let interval = if quiet { PROBE_INTERVAL_QUIET } else { PROBE_INTERVAL };
+    /// Probes the primary, which may be back. The other servers are probed too if there
+    /// is no primary, or once enough probes of it have failed, since one of them may
+    /// lead.
+    fn probe(
+        &mut self,
+        now: Moment,
+        group: &Group,
+        under_replacement: bool,
+        actions: &mut Vec<WatchAction>,
+    ) {
+        let interval =
+            if under_replacement { PROBE_INTERVAL_DURING_REPLACEMENT } else { PROBE_INTERVAL };
         if self.probed_at.is_some_and(|at| at + interval > now) {
             return;
         }
         self.probed_at = Some(now);
         if let Some(leader) = &self.leader {
             actions.push(WatchAction::Probe(leader.clone()));
-            // Another instance may have replaced it already.
+            // After that, another instance may have replaced the primary already.
             if self.failed_probes < PROBES_BEFORE_ASKING {
                 return;
             }
@@ -426,12 +455,14 @@
         actions.extend(others.map(|view| WatchAction::Probe(view.info.id.clone())));
     }
 
+    /// Asks the other instances about the primary, once enough probes have failed or
+    /// there has been no primary for long enough.
     fn ask(&mut self, now: Moment, actions: &mut Vec<WatchAction>) {
-        let certain = match self.leader {
+        let due = match self.leader {
             Some(_) => self.failed_probes >= PROBES_BEFORE_ASKING,
             None => self.since + ABSENCE_LIMIT <= now,
         };
-        if !certain || self.asked_at.is_some_and(|at| at + ASK_INTERVAL > now) {
+        if !due || self.asked_at.is_some_and(|at| at + ASK_INTERVAL > now) {
             return;
         }
         self.asked_at = Some(now);
