--- a/lib/src/duty.rs
+++ b/lib/src/duty.rs
@@ -45,8 +45,9 @@
     pub group: GroupId,
     /// The instance that holds the duty.
     pub holder: InstanceId,
-    /// Identifies the run of the holder. After a restart an instance has no record of
-    /// what it ordered under its former token, so it does not continue with it.
+    /// Identifies the incarnation of the holder, one run from start to exit. After a
+    /// restart an instance has no record of what it ordered under its former token, so
+    /// it does not continue with it.
     pub life: u64,
     /// The fencing token.
     pub token: DutyToken,
--- a/lib/src/floors.rs
+++ b/lib/src/floors.rs
@@ -1,4 +1,5 @@
-//! How current a read must be, as a position in the log.
+//! Floors of reads: the lowest log position that a server must have applied to answer a
+//! read as currently as the client asks.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -9,28 +10,30 @@
 use crate::id::Term;
 use crate::position::Position;
 
-/// How current the caller wants its read.
+/// How current a read must be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
-    /// The account sees all its own writes, and never goes back in time.
+    /// The read sees all writes of its own account, and nothing older than the account's
+    /// earlier reads.
     OwnWrites,
-    /// Every write acknowledged to anyone before the read is seen.
+    /// The read sees every write that was acknowledged to any account before it.
     Fresh,
-    /// As `OwnWrites`, and no older than this.
+    /// As `OwnWrites`, and the data is no older than this.
     MaxAge(Duration),
 }
 
-/// Samples of the primary's position kept for reads of a stated age.
+/// Shortest time between two samples of the primary's position that are kept for reads
+/// with a maximum age.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Longest age that can be asked for with effect. Older requests are served
-/// as if they had asked for this.
+/// Longest effective maximum age of a read. A read that allows a higher age is served as
+/// if it had asked for this one.
 pub const LONGEST_MAX_AGE: Duration = Duration::from_secs(60);
 
-/// Positions an owner must remember to answer reads correctly.
+/// The positions that the owner of a database keeps to compute the floors of reads.
 #[derive(Clone, Debug)]
 pub struct Floors {
-    /// Floor of accounts without an entry of their own.
+    /// Floor of accounts that have no entry in `accounts`.
     base: Position,
     accounts: HashMap<AccountId, Position>,
     last_acknowledged: Position,
@@ -38,22 +41,22 @@
 }
 
 impl Floors {
-    /// Floors of a database that was promoted at `base`.
+    /// Floors of a database whose primary was promoted at `base`.
     ///
-    /// What each account wrote under an earlier owner is not known here. All
-    /// of it lies at or before the promotion, which therefore serves as the
-    /// floor of every account: never too low, only briefly too high.
+    /// The positions that accounts wrote under an earlier owner are unknown here. All
+    /// of them are at or before the promotion, which therefore serves as the floor of
+    /// every account: it is never too low, and too high only for a short time.
     #[must_use]
     pub fn new(base: Position) -> Self {
         Self { base, accounts: HashMap::new(), last_acknowledged: base, samples: VecDeque::new() }
     }
 
-    /// The primary was replaced in a new term whose first entry is `first`.
+    /// Resets the floors after a promotion that began a new term with the entry `first`.
     ///
-    /// Positions of earlier terms beyond the promotion point may have been
-    /// cut off. Left as they were they would compare lower than any position
-    /// of the new term and so be harmless, but an account that had read an
-    /// entry before the cut must still see it: `first` covers all survivors.
+    /// Entries of earlier terms beyond the promotion may have been rolled back. Their
+    /// positions would be harmless, since they compare lower than any position of the
+    /// new term. But an account that has read an entry before that point must still see
+    /// it, and `first` comes after all entries that survived.
     pub fn promoted(&mut self, first: Position) {
         self.base = first;
         self.accounts.clear();
@@ -61,7 +64,7 @@
         self.samples.clear();
     }
 
-    /// An account's write was acknowledged, or the account read, at `position`.
+    /// Raises the floor of an account that wrote or read at `position`.
     pub fn raise(&mut self, account: &AccountId, position: Position) {
         if position <= self.base {
             return;
@@ -70,12 +73,12 @@
         *floor = (*floor).max(position);
     }
 
-    /// A write was acknowledged at `position`.
+    /// Records that a write was acknowledged at `position`.
     pub fn acknowledged(&mut self, position: Position) {
         self.last_acknowledged = self.last_acknowledged.max(position);
     }
 
-    /// The primary had committed up to `position` at the time `at`.
+    /// Records that the primary had committed up to `position` at the time `at`.
     pub fn sample(&mut self, at: Instant, position: Position) {
         if let Some((last, _)) = self.samples.back() {
             if at.saturating_duration_since(*last) < SAMPLE_INTERVAL {
@@ -91,8 +94,8 @@
         }
     }
 
-    /// The lowest position a server must have applied to answer the read.
-    /// `None` when only the primary can tell.
+    /// The lowest position that a server must have applied to answer the read. `None` if
+    /// no sample is young enough, so that only the primary can answer.
     #[must_use]
     pub fn floor(
         &self,
@@ -111,21 +114,23 @@
         }
     }
 
-    /// First sample not older than `age`. Whoever has applied it lacks only
-    /// writes made after it, and so is no older than `age` itself.
+    /// The oldest sample that is not older than `age`. A server that has applied it lacks
+    /// only later writes, so its data is no older than `age`.
     fn oldest_within(&self, now: Instant, age: Duration) -> Option<Position> {
         let index =
             self.samples.partition_point(|(at, _)| now.saturating_duration_since(*at) > age);
         self.samples.get(index).map(|(_, position)| *position)
     }
 
-    /// Accounts with a floor of their own, for the capacity figures.
+    /// Number of accounts with a floor of their own, reported by the admin interface.
     #[must_use]
     pub fn account_count(&self) -> usize {
         self.accounts.len()
     }
 
-    /// Forgets floors that every server has passed, to bound the memory.
+    /// Drops the floors that every server has reached, to bound the memory. `everywhere`
+    /// is the position that all servers have applied; it counts only if its entry is of
+    /// the current `term`.
     pub fn forget_below(&mut self, everywhere: Position, term: Term) {
         if everywhere.term != term {
             return;
--- a/lib/src/group.rs
+++ b/lib/src/group.rs
@@ -1,5 +1,9 @@
-//! What an instance knows of the servers of one group, and where it sends
-//! reads and writes.
+//! An instance's view of the servers of one group: their state, which of them is the
+//! primary, and whether the instance may use it.
+//!
+//! A group is one replicated database. Its servers are a primary and replicas, and
+//! each promotion of a server begins a new term. The submodule `reading` selects the
+//! servers for reads.
 
 mod reading;
 
@@ -22,115 +26,119 @@
 /// A server as the platform lists it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerInfo {
-    /// Its id, which no other server of the group has.
+    /// The id of the server, unique within the group.
     pub id: TargetId,
-    /// Where it listens. Addresses are used again by other servers.
+    /// The address that the server listens on. The platform reuses addresses for other
+    /// servers.
     pub address: SocketAddr,
-    /// Where it runs.
+    /// The failure domain that the server runs in.
     pub failure_domain: FailureDomainId,
-    /// Statements it runs at the same time.
+    /// How many statements the server runs at the same time.
     pub slots: usize,
-    /// Whether it is about to leave.
+    /// Whether the server is about to leave the group.
     pub draining: bool,
-    /// Whether it sees itself as the primary.
+    /// Whether the server reports itself as the primary.
     pub leads: bool,
-    /// Tells this start of the server from earlier ones under the same id, as
-    /// far as the platform does; else empty.
+    /// Distinguishes this start of the server from earlier ones under the same id.
+    /// Empty if the platform does not report it.
     pub start: Arc<str>,
 }
 
-/// A server's answer to a question for its state.
+/// A server's answer to a query for its state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerStatus {
-    /// Whether it is the primary.
+    /// Whether the server reports itself as the primary.
     pub leads: bool,
-    /// Term it knows.
+    /// The latest term that the server has seen.
     pub term: Term,
-    /// Last position it received.
+    /// Last position that the server received.
     pub received: Position,
-    /// Last position it applied.
+    /// Last position that the server applied.
     pub applied: Position,
-    /// How long it lets changes wait before it applies them, as it says.
+    /// How long the server delays changes before it applies them, as it reports.
     pub lag: Duration,
 }
 
-/// A server as the instance sees it.
+/// The state of a server, as far as the instance knows it.
 #[derive(Clone, Debug)]
 pub struct ServerView {
-    /// What the platform lists.
+    /// The platform's entry for the server.
     pub info: ServerInfo,
-    /// Last position known to be applied.
+    /// Last position that the server is known to have applied.
     pub applied: Position,
     /// How far the server was behind the primary when it last answered.
     behind: Duration,
-    /// Exchanges that failed since the last one that succeeded.
+    /// Number of failed exchanges since the last successful one.
     pub failures: u32,
-    /// When it last answered.
+    /// When the server last answered.
     pub answered_at: Moment,
-    /// No reads are sent there before this time, if others can serve them.
+    /// Until then the server gets no reads that other servers can serve.
     avoided_until: Moment,
-    /// Statements of this instance that are at the server now.
+    /// Number of statements of this instance that run at the server now.
     pub running: usize,
-    /// Smoothed time of a read.
+    /// Smoothed duration of a read.
     read_time: Duration,
 }
 
-/// The server that an instance believes to be the primary.
+/// The server that an instance takes for the primary.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Leader {
-    /// Its id.
+    /// The id of the server.
     pub id: TargetId,
-    /// Its term; 0 while only the platform's list names it.
+    /// The term in which the server leads; 0 while only the platform's list names it.
     pub term: Term,
-    /// When this was learned.
+    /// When the instance began to take the server for the primary.
     pub since: Moment,
 }
 
-/// A server that answered a statement within this time is alive, whatever
-/// other statements take: as long as a statement may take undoubted.
-const PROOF_OF_LIFE: Duration = Duration::from_millis(100);
+/// A server that answered any statement within this time is not suspected, however
+/// long other statements take. It equals the time that a statement may take before
+/// it raises a suspicion.
+const RECENT_ANSWER: Duration = Duration::from_millis(100);
 
-/// One group of servers.
+/// The servers of one group, as seen by this instance.
 #[derive(Clone, Debug, Default)]
 pub struct Group {
-    /// Where this instance runs.
+    /// The failure domain that this instance runs in.
     home: FailureDomainId,
     servers: BTreeMap<TargetId, ServerView>,
     leader: Option<Leader>,
-    /// Highest term that there must be: seen, or concluded from a lost lead.
+    /// Highest term that must exist: one that was seen, or one that follows from a
+    /// primary's loss of the lead.
     highest_term: Term,
     /// Highest term that any server was seen in.
     seen_term: Term,
-    /// The right to use the primary.
+    /// The lease on the primary's term.
     primary_lease: PrimaryLease,
+    /// Samples of the primary's position.
     samples: Samples,
-    /// Last position before each term, where it is known: what lies beyond it
-    /// in earlier terms was rolled back.
+    /// Last position before the beginning of each term, where it is known. Entries of
+    /// earlier terms beyond it were rolled back.
     term_bases: BTreeMap<Term, Position>,
-    /// Servers that began to call themselves primary in the platform's list.
+    /// Servers that newly appear as primary in the platform's list.
     claimants: Vec<TargetId>,
     /// Whether the primary takes long to answer a statement.
     leader_suspected: bool,
-    /// The primary, while it can neither be reached nor replaced from here.
+    /// The primary, while it can neither be reached nor replaced from this side of a
+    /// partition.
     out_of_reach: Option<TargetId>,
 }
 
 impl Group {
-    /// A group of which nothing is known yet, at an instance in a failure
-    /// domain.
+    /// An empty group, for an instance in the failure domain `home`.
     #[must_use]
     pub fn with_home(home: FailureDomainId) -> Self {
         Self { home, ..Self::default() }
     }
 
-    /// Takes the platform's list of servers over. Returns whether it changed
-    /// which server is taken for the primary.
+    /// Adopts the platform's list of servers. Returns whether the primary that this
+    /// instance knows changed.
     pub fn set_servers(&mut self, now: Moment, listed: Vec<ServerInfo>) -> bool {
         let before = self.leader.clone();
         let mut servers = BTreeMap::new();
         for info in listed {
-            // Under its old id a server that was started again is another one:
-            // it may have nothing of what was known.
+            // A server that restarted under its old id counts as a new server, because
+            // it may have lost its data.
             let known = self.servers.remove(&info.id);
             let known = known.filter(|view| view.info.start == info.start);
             if known.is_none() {
@@ -155,23 +163,24 @@
         if gone {
             self.leader = None;
         }
-        self.follow_list(now);
+        self.adopt_listed_leader(now);
         self.leader != before
     }
 
-    /// Takes the servers that began to call themselves primary: they have to
-    /// be asked for their term.
+    /// Takes the servers that newly appear as primary in the platform's list. They have
+    /// to be queried for their term.
     pub fn take_claimants(&mut self) -> Vec<TargetId> {
         std::mem::take(&mut self.claimants)
     }
 
-    /// A server takes long to answer a statement. Returns whether that is to be
-    /// looked into.
+    /// Records that a server takes long to answer a statement. Returns whether this
+    /// raises a new suspicion of the primary.
     ///
-    /// Not while it answers others: it has a queue then, and each question
-    /// takes a slot for as long as one or two of the statements that wait.
+    /// There is no suspicion while the server answers other statements. It has a queue
+    /// then, and each probe would occupy a slot for as long as one or two of the
+    /// waiting statements.
     pub fn suspect(&mut self, now: Moment, id: &TargetId) -> bool {
-        if self.has_answered_since(id, now.checked_sub(PROOF_OF_LIFE).unwrap_or_default()) {
+        if self.has_answered_since(id, now.checked_sub(RECENT_ANSWER).unwrap_or_default()) {
             return false;
         }
         let news = self.leads(id) && !self.leader_suspected;
@@ -179,7 +188,7 @@
         news
     }
 
-    /// Whether a server answered anything at `since` or later.
+    /// Whether a server answered anything after `since`.
     #[must_use]
     pub fn has_answered_since(&self, id: &str, since: Moment) -> bool {
         self.servers.get(id).is_some_and(|view| view.answered_at > since)
@@ -198,8 +207,8 @@
         leader.is_some_and(|view| view.failures == 0)
     }
 
-    /// Without a leader of our own knowledge, the platform's list names it.
-    fn follow_list(&mut self, now: Moment) {
+    /// Adopts the primary that the platform's list names, if no primary is known yet.
+    fn adopt_listed_leader(&mut self, now: Moment) {
         let mut leading = self.servers.values().filter(|view| view.info.leads);
         let (first, second) = (leading.next(), leading.next());
         let (Some(view), None) = (first, second) else {
@@ -208,16 +217,16 @@
         if self.leader.as_ref().is_some_and(|leader| leader.id == view.info.id) {
             return;
         }
-        // The entry has no term, so it cannot be compared with what servers
-        // said themselves: an old primary that goes on calls itself one. It
-        // only fills the gap of an instance that has just started.
+        // The entry has no term, so it cannot be compared with what servers reported,
+        // and a primary that was replaced may still be listed as one. The list is used
+        // only by an instance that has just started and has seen no term yet.
         if self.leader.is_none() && self.seen_term == 0 && self.primary_lease.retired() == 0 {
             self.leader = Some(Leader { id: view.info.id.clone(), term: 0, since: now });
         }
     }
 
-    /// A server answered a question for its state that was sent at `asked_at`.
-    /// Returns whether another server is the leader now.
+    /// Records a server's answer to a query for its state that was sent at `asked_at`.
+    /// Returns whether the primary that this instance knows changed.
     pub fn observe_status(
         &mut self,
         asked_at: Moment,
@@ -227,20 +236,20 @@
     ) -> bool {
         self.observe_answer(now, id, Some(status.applied));
         self.highest_term = self.highest_term.max(status.term);
-        let outdated = self.see_term(status.term);
+        let outdated = self.observe_term(status.term);
         if !status.leads {
             return self.observe_not_leading(id, status.term) || outdated;
         }
-        // An old primary goes on after another one was promoted.
+        // A primary that was replaced may still report that it leads.
         if status.term < self.seen_term || status.term <= self.primary_lease.retired() {
             return false;
         }
-        // Started again without its log, it lacks what it acknowledged: it is
-        // replaced by a replica that has more, not followed.
-        let lacking = |(sampled_at, position): (Moment, Position)| {
+        // A primary that restarted without its log lacks commits that it acknowledged.
+        // It is dropped, so that a replica with a longer log can replace it.
+        let lacks_sample = |(sampled_at, position): (Moment, Position)| {
             sampled_at < asked_at && position.term == status.term && status.received < position
         };
-        if self.samples.newest().is_some_and(lacking) {
+        if self.samples.newest().is_some_and(lacks_sample) {
             self.leader.take_if(|leader| leader.id == *id);
             return false;
         }
@@ -252,8 +261,9 @@
         changed
     }
 
-    /// Another instance knows a leader in a term. Returns whether this one
-    /// takes it for its own leader now, since it knew none in such a late term.
+    /// Records the primary and the term that another instance reported. Returns whether
+    /// this instance adopted the primary, which it does if the term is later than that
+    /// of the primary it knew.
     pub fn observe_reported_leader(&mut self, now: Moment, id: &TargetId, term: Term) -> bool {
         let outdated = term < self.highest_term || term <= self.primary_lease.retired();
         if !self.servers.contains_key(id) || outdated {
@@ -264,34 +274,37 @@
             return false;
         }
         self.highest_term = term;
-        self.see_term(term);
+        self.observe_term(term);
         self.set_leader(now, id, term)
     }
 
-    /// A server is in a term. Returns whether the primary known so far was
-    /// succeeded in it: it goes on, and must not be taken for the one to replace.
-    fn see_term(&mut self, term: Term) -> bool {
+    /// Records that a server is in `term`. Returns whether the term is later than that
+    /// of the known primary, which is then dropped: it has a successor, and a
+    /// replacement must not start from it.
+    fn observe_term(&mut self, term: Term) -> bool {
         self.seen_term = self.seen_term.max(term);
         let seen_term = self.seen_term;
         self.leader.take_if(|leader| leader.term > 0 && leader.term < seen_term).is_some()
     }
 
-    /// The right to use the primary.
+    /// The lease on the primary's term.
     #[must_use]
     pub fn primary_lease(&self) -> &PrimaryLease {
         &self.primary_lease
     }
 
-    /// The right to use the primary, to change it.
+    /// The lease on the primary's term, to change it.
     pub fn primary_lease_mut(&mut self) -> &mut PrimaryLease {
         &mut self.primary_lease
     }
 
-    /// Uses and grants a term no more.
+    /// Promises to neither use nor grant the term of `ending` any more, and drops a
+    /// primary of that term or an earlier one.
     ///
     /// # Errors
     ///
-    /// When another change may be under way, or be over.
+    /// Returns an [`Objection`] if a server was seen in a later term, or for the reasons
+    /// given at [`PrimaryLease::promise`].
     pub fn retire(&mut self, now: Moment, ending: &Ending) -> Result<Promise, Objection> {
         if self.seen_term > ending.term {
             return Err(Objection::LaterTerm(self.seen_term));
@@ -301,8 +314,8 @@
         Ok(promise)
     }
 
-    /// The primary, if it told its term itself: one that only the platform's
-    /// list names may have been succeeded already.
+    /// The primary, if its term is known. A primary that only the platform's list names
+    /// may have a successor already.
     #[must_use]
     pub fn confirmed_leader(&self) -> Option<&Leader> {
         self.leader.as_ref().filter(|leader| leader.term > 0)
@@ -321,21 +334,22 @@
         self.primary_lease.holds(now, leader.term).then_some(leader.term)
     }
 
-    /// The primary is wanted. Returns whether it may be used, as far as the
-    /// right to do so goes.
+    /// Records that the instance needs the primary. Returns false if the primary's term
+    /// is known and the lease on it is missing.
     pub fn want_leader(&mut self, now: Moment) -> bool {
         let term = self.confirmed_leader().map(|leader| leader.term);
         term.is_none_or(|term| self.primary_lease.want(now, term))
     }
 
-    /// Whether there is a primary that only the right to use it is missing for.
+    /// Whether the primary's term is known but the lease on it is missing.
     #[must_use]
     pub fn lacks_right(&self, now: Moment) -> bool {
         self.confirmed_leader().is_some_and(|leader| !self.primary_lease.holds(now, leader.term))
     }
 
-    /// Whether another instance should serve what needs the primary: the right
-    /// to use it is missing, or nobody on this side of a partition reaches it.
+    /// Whether another instance should serve requests that need the primary: the lease
+    /// has been missing for too long, or the primary can neither be reached nor
+    /// replaced from this side of a partition.
     #[must_use]
     pub fn is_cut_off(&self, now: Moment) -> bool {
         let lacks_right = self
@@ -349,8 +363,9 @@
         leader.is_some() && leader == self.out_of_reach.as_ref()
     }
 
-    /// A server can neither be reached nor replaced from here, until it answers.
-    /// Returns whether that is news.
+    /// Sets the primary that can neither be reached nor replaced from this side of a
+    /// partition. The mark is removed when the server answers. Returns whether the
+    /// primary became out of reach by this call.
     pub fn set_out_of_reach(&mut self, id: Option<&TargetId>) -> bool {
         let before = self.is_out_of_reach();
         self.out_of_reach = id.cloned();
@@ -363,9 +378,9 @@
         self.seen_term
     }
 
-    /// A position of the primary counts only if this instance had the right to
-    /// use it when it asked: an old primary that goes on lacks what was
-    /// committed since, and floors taken from it would let reads miss that.
+    /// Records a position of the primary, if this instance held the lease when it sent
+    /// the query. A primary that was replaced lacks the commits made since, and a floor
+    /// computed from its position would let reads miss them.
     fn record_sample(&mut self, asked_at: Moment, term: Term, position: Position) {
         if self.primary_lease.holds(asked_at, term) {
             self.samples.record(asked_at, position);
@@ -376,8 +391,8 @@
         let same = self.leader.as_ref().is_some_and(|leader| leader.id == *id);
         if same {
             if let Some(leader) = &mut self.leader {
-                // A primary that was replaced and promoted again: positions
-                // of its earlier term may have been cut off.
+                // The primary was replaced and promoted again, so entries of its
+                // earlier term may have been rolled back.
                 if leader.term != 0 && term > leader.term {
                     self.samples.clear();
                 }
@@ -393,14 +408,15 @@
         true
     }
 
-    /// A server is not the primary. Returns whether it was taken for it.
+    /// Records that a server is not the primary. Returns whether this instance took it
+    /// for the primary.
     pub fn observe_not_leading(&mut self, id: &TargetId, term: Term) -> bool {
         self.highest_term = self.highest_term.max(term);
         let lost = self.leader.take_if(|leader| leader.id == *id);
         if let Some(leader) = &lost {
-            // Only a promotion in a later term takes the lead from a server.
-            // Without this an instance that is cut off from the new primary
-            // would put the old one back, and lose what was written since.
+            // A server loses the lead only through a promotion in a later term. Without
+            // this conclusion, an instance that is partitioned from the new primary
+            // would promote the old one again and lose the commits made since.
             if leader.term > 0 {
                 self.highest_term = self.highest_term.max(leader.term + 1);
             }
@@ -408,64 +424,65 @@
         lost.is_some()
     }
 
-    /// Whether a server may take over the lead without losing commits that
-    /// the last primary acknowledged and replicas received.
+    /// Whether a server may be promoted without the loss of commits that the last
+    /// primary acknowledged and that replicas received.
     #[must_use]
     pub fn may_lead(&self, status: &ServerStatus) -> bool {
         if status.term < self.highest_term {
             return false;
         }
-        // A log that goes on beyond the place where a later term began holds
-        // commits that were rolled back, and lacks those of the later term.
+        // A log of an earlier term that extends beyond the beginning of a later term
+        // holds commits that were rolled back, and lacks those of the later term.
         self.surviving(status.received) == status.received
     }
 
-    /// Whether connections to a server are kept: it is listed and not leaving,
-    /// or it is the primary, which serves until it is replaced.
+    /// Whether a server gets work, so that connections to it are kept. That holds for a
+    /// listed server that is not draining, and for the primary until it is replaced.
     #[must_use]
     pub fn takes_work(&self, id: &TargetId) -> bool {
         self.servers.get(id).is_some_and(|view| !view.info.draining || self.leads(id))
     }
 
-    /// Whether a server is taken for the primary.
+    /// Whether this instance takes a server for the primary.
     #[must_use]
     pub fn leads(&self, id: &TargetId) -> bool {
         self.leader.as_ref().is_some_and(|leader| leader.id == *id)
     }
 
-    /// The server taken for the primary.
+    /// The server that this instance takes for the primary.
     #[must_use]
     pub fn leader(&self) -> Option<&Leader> {
         self.leader.as_ref()
     }
 
-    /// Highest term seen.
+    /// Highest term that must exist: one that was seen, or one that follows from a
+    /// primary's loss of the lead.
     #[must_use]
     pub fn highest_term(&self) -> Term {
         self.highest_term
     }
 
-    /// A server.
+    /// The state of the server `id`; `None` if it is not listed.
     #[must_use]
     pub fn server(&self, id: &str) -> Option<&ServerView> {
         self.servers.get(id)
     }
 
-    /// A statement goes to a server.
+    /// Counts a statement that is sent to a server.
     pub fn begin_running(&mut self, id: &str) {
         if let Some(view) = self.servers.get_mut(id) {
             view.running += 1;
         }
     }
 
-    /// A statement at a server is over.
+    /// Counts a statement that ended at a server.
     pub fn end_running(&mut self, id: &str) {
         if let Some(view) = self.servers.get_mut(id) {
             view.running = view.running.saturating_sub(1);
         }
     }
 
-    /// All servers.
+    /// All listed servers.
     pub fn servers(&self) -> impl Iterator<Item = &ServerView> {
         self.servers.values()
     }
--- a/lib/src/group/reading.rs
+++ b/lib/src/group/reading.rs
@@ -1,4 +1,5 @@
-//! Where reads go, and what they have to see.
+//! Routing of reads within a group: the lowest log position that a read must see
+//! (its floor), and the servers that can be expected to have it.
 
 use std::time::Duration;
 
@@ -9,33 +10,36 @@
 use crate::moment::Moment;
 use crate::position::Position;
 
-/// A server is asked for a position this much before it is expected to have
-/// it: about the time that a statement takes to get there and begin.
-const ASKED_EARLY: Duration = Duration::from_millis(4);
+/// How long before a server is expected to reach a position a read for it may be
+/// sent. This is about the time that a statement takes to arrive there and begin.
+const READ_LEAD_TIME: Duration = Duration::from_millis(4);
 
-/// A replica further behind than this is asked for its state now and then.
-const LAGGARD_BEHIND: Duration = Duration::from_millis(300);
+/// A replica that is further behind than this counts as lagging and is queried for its
+/// state from time to time.
+const LAGGING_THRESHOLD: Duration = Duration::from_millis(300);
 
-/// Time between two questions to a replica that is far behind.
-const LAGGARD_CHECK: Duration = Duration::from_millis(500);
+/// Time without an answer after which a lagging replica is queried.
+const LAGGING_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How far a server is taken to be behind when it lacks a position of which
-/// it is not known when the primary reached it. A few times less than the
-/// usual replication delay of 60 ms, so that it is soon asked again.
-const BEHIND_AT_LEAST: Duration = Duration::from_millis(20);
+/// Smallest assumed delay of a server that lacks a requested position. It is added to
+/// the time since the primary is known to have reached the position, if that is known.
+/// A few times less than the usual replication delay of 60 ms, so that the server soon
+/// gets reads again.
+const MIN_ASSUMED_DELAY: Duration = Duration::from_millis(20);
 
-/// A server whose exchange failed gets no reads for this long per failure, so
-/// that a dead one costs each instance few requests.
+/// How long a server is avoided for each consecutive failed exchange. This way an
+/// unreachable server fails only few requests of each instance.
 const AVOID_STEP: Duration = Duration::from_millis(500);
 
-/// Longest time that a server is avoided.
+/// Longest time for which a server is avoided.
 const AVOID_LIMIT: Duration = Duration::from_secs(3);
 
-/// Weight of the newest sample in the smoothed read time, as one over this.
+/// Reciprocal of the weight of the newest sample in the smoothed read time.
 const READ_TIME_SMOOTHING: u32 = 8;
 
 impl Group {
-    /// A server answered, with the position that its log had reached.
+    /// Records an answer of a server, with the last position that it had applied, if the
+    /// answer contains it.
     pub fn observe_answer(&mut self, now: Moment, id: &TargetId, applied: Option<Position>) {
         let Some(view) = self.servers.get_mut(id) else {
             return;
@@ -51,8 +55,8 @@
         }
     }
 
-    /// A server answered something sent at `asked_at` that only the primary
-    /// answers so: a write, or a statement in a transaction that may write.
+    /// Records an answer that only a primary gives, to a request sent at `asked_at`: a
+    /// write, or a statement in a transaction that may write.
     pub fn observe_leading(
         &mut self,
         asked_at: Moment,
@@ -67,11 +71,11 @@
         }
     }
 
-    /// A server lacks `floor`; its log reached `applied`.
+    /// Records that a server lacks `floor` and has applied `applied`.
     ///
-    /// Returns whether this proves that `floor` was rolled back: the server's
-    /// log has entries of a later term, and so everything of the earlier term
-    /// that survived.
+    /// Returns whether this proves that `floor` was rolled back. That is so if the
+    /// server's log has entries of a later term, since it then contains every entry of
+    /// the earlier term that survived.
     pub fn observe_lagging(
         &mut self,
         now: Moment,
@@ -83,7 +87,7 @@
         let reached_at = self.samples.reached_at(floor);
         if let Some(view) = self.servers.get_mut(id) {
             let known = reached_at.map_or(Duration::ZERO, |at| now.saturating_sub(at));
-            view.behind = view.behind.max(known + BEHIND_AT_LEAST);
+            view.behind = view.behind.max(known + MIN_ASSUMED_DELAY);
         }
         let leader_term = match &self.leader {
             Some(leader) if leader.id == *id => leader.term,
@@ -97,7 +101,7 @@
         rolled_back
     }
 
-    /// An exchange with a server failed: no connection, or no answer.
+    /// Records a failed exchange with a server: no connection, or no answer.
     pub fn observe_failure(&mut self, now: Moment, id: &TargetId) {
         let Some(view) = self.servers.get_mut(id) else {
             return;
@@ -107,13 +111,13 @@
         view.avoided_until = now + avoided_for;
     }
 
-    /// How long reads take at a server now.
+    /// Smoothed duration of reads at a server; zero if there is none yet.
     #[must_use]
     pub fn read_time(&self, id: &str) -> Duration {
         self.servers.get(id).map_or(Duration::ZERO, |view| view.read_time)
     }
 
-    /// A read took this long at a server.
+    /// Records the duration of a read at a server.
     pub fn observe_read_time(&mut self, id: &TargetId, took: Duration) {
         if let Some(view) = self.servers.get_mut(id) {
             let kept = view.read_time * (READ_TIME_SMOOTHING - 1);
@@ -121,8 +125,9 @@
         }
     }
 
-    /// Lowest position that a read which arrived at `arrived_at` has to see.
-    /// `None` while it is not known: only the primary can answer then.
+    /// Lowest position that a read which arrived at `arrived_at` has to see. `None` if
+    /// only the primary can answer the read, because it must see the latest commits or
+    /// because no sample of the primary's position is young enough.
     #[must_use]
     pub fn floor(
         &self,
@@ -141,18 +146,20 @@
         }
     }
 
-    /// What is left of a position after the changes of primary since.
+    /// The last position at or before `position` that survived later promotions. Entries
+    /// beyond it were rolled back.
     #[must_use]
     pub fn surviving(&self, position: Position) -> Position {
         let later = self.term_bases.range(position.term + 1..).next();
         match later {
-            // The numbers of a log go on over terms, so the index compares.
+            // The index continues across terms, so indexes of two terms can be compared.
             Some((_, base)) if position.index > base.index => *base,
             _ => position,
         }
     }
 
-    /// Whether a server can be expected to answer a read with this floor now.
+    /// Whether a read with this floor can be sent to a server now: the server has applied
+    /// the floor or is expected to have applied it by the time the read begins.
     #[must_use]
     pub fn can_read(&self, now: Moment, id: &TargetId, floor: Position) -> bool {
         let Some(view) = self.servers.get(id) else {
@@ -164,16 +171,16 @@
         if view.applied >= floor {
             return true;
         }
-        // Delays of replication change slowly: what the primary reached this
-        // long ago has been applied by now.
+        // The replication delay changes slowly, so the server has applied what the
+        // primary had reached one such delay ago.
         match self.samples.reached_at(floor) {
-            Some(reached_at) => reached_at + view.behind <= now + ASKED_EARLY,
+            Some(reached_at) => reached_at + view.behind <= now + READ_LEAD_TIME,
             None => view.behind.is_zero(),
         }
     }
 
-    /// Servers for a read with this floor, best first: replicas before the
-    /// primary, whose slots are needed for writes.
+    /// Servers for a read with this floor, best first. Replicas come before the primary,
+    /// whose slots are needed for writes.
     #[must_use]
     pub fn readers(&self, now: Moment, floor: Position) -> Vec<TargetId> {
         let mut able: Vec<_> = self
@@ -184,28 +191,28 @@
                 let avoided = view.avoided_until > now;
                 let leads = self.leads(&view.info.id);
                 let far = view.info.failure_domain != self.home;
-                let surely = view.applied >= floor;
-                (avoided, leads, view.running, far, !surely, view.read_time, &view.info.id)
+                let confirmed = view.applied >= floor;
+                (avoided, leads, view.running, far, !confirmed, view.read_time, &view.info.id)
             })
             .collect();
         able.sort_unstable();
         able.into_iter().map(|(.., id)| id.clone()).collect()
     }
 
-    /// Replicas whose last exchange failed, and that reads need not avoid for that
-    /// any more.
+    /// Replicas whose last exchange failed and that reads no longer avoid because of the
+    /// failure.
     pub fn failed_replicas(&self, now: Moment) -> impl Iterator<Item = &ServerView> {
         self.servers.values().filter(move |view| {
             view.failures > 0 && !view.is_avoided(now) && !self.leads(&view.info.id)
         })
     }
 
-    /// Replicas that are too far behind to get reads, and so do not tell by
-    /// themselves when they have caught up.
+    /// Replicas that are too far behind to get reads. They have to be queried, because no
+    /// read detects when they have caught up.
     pub fn lagging_replicas(&self, now: Moment) -> impl Iterator<Item = &ServerView> {
         self.servers.values().filter(move |view| {
-            let silent = view.answered_at + LAGGARD_CHECK <= now;
-            silent && view.behind > LAGGARD_BEHIND && !self.leads(&view.info.id)
+            let query_due = view.answered_at + LAGGING_CHECK_INTERVAL <= now;
+            query_due && view.behind > LAGGING_THRESHOLD && !self.leads(&view.info.id)
         })
     }
 
@@ -221,14 +228,15 @@
         self.samples.newest()
     }
 
-    /// Another instance asked the primary at `asked_at` or later, and the
-    /// primary had reached `position`.
+    /// Records a position of the primary that another instance reported: it queried the
+    /// primary at `asked_at` or later, and the primary had reached `position`.
     ///
-    /// Without these an instance whose own questions a busy primary refuses
-    /// knows no floor, and sends all its reads to that primary as well.
+    /// Without these samples, an instance whose own queries a busy primary refuses has no
+    /// floor and sends all its reads to that primary as well.
     pub fn observe_reported_position(&mut self, asked_at: Moment, position: Position) {
         let leader_term = self.leader.as_ref().map_or(0, |leader| leader.term);
-        // The log may have been cut back since.
+        // Entries of an earlier term may have been rolled back, so such a position is
+        // usable only if the beginning of the primary's term is known.
         if position.term >= leader_term || self.term_bases.contains_key(&leader_term) {
             self.samples.record(asked_at, self.surviving(position));
         }
--- a/lib/src/position.rs
+++ b/lib/src/position.rs
@@ -9,9 +9,9 @@
 
 /// A place in a group's log: the term of an entry and its index.
 ///
-/// The order compares the term first. Two logs that diverged can hold the
-/// same index; the one whose last entry has the higher term is the one that
-/// can hold acknowledged writes (the rule of Raft, section 5.4.2).
+/// Positions are ordered by term first. Two logs that diverged can hold the same
+/// index; only the log whose last entry has the higher term can hold all acknowledged
+/// writes (the rule of Raft, section 5.4.2).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Position {
@@ -22,10 +22,10 @@
 }
 
 impl Position {
-    /// Before the first entry of any log.
+    /// The position before the first entry of any log.
     pub const ZERO: Self = Self { term: 0, index: 0 };
 
-    /// Names the entry `index` written in `term`.
+    /// The position of the entry `index` that was written in `term`.
     #[must_use]
     pub fn new(term: Term, index: u64) -> Self {
         Self { term, index }
--- a/lib/src/primary_lease.rs
+++ b/lib/src/primary_lease.rs
@@ -66,7 +66,7 @@
     retired: Term,
     /// Highest term that an instance requested and this instance granted.
     used: Term,
-    /// Whether this instance has the orders that an earlier run of it may have
+    /// Whether this instance has the orders that an earlier incarnation of it may have
     /// voted for. Until then it does not vote.
     orders_known: bool,
     /// The instance begins no new work before this time, because the primary is
@@ -90,7 +90,7 @@
     voted: Vec<VotedOrder>,
 }
 
-/// How long after a start the promises of an earlier run of this instance can
+/// How long after a start the promises of an earlier incarnation of this instance can
 /// matter. By then a replacement that collected such a promise has either sent its
 /// order, so that the new term is visible, or never will.
 pub const RESTART_PROMISE_WINDOW: Duration = Duration::from_secs(4);
@@ -181,7 +181,7 @@
     /// Sets the time at which the instance started.
     ///
     /// For [`RESTART_PROMISE_WINDOW`] after it, reads of the store grant no lease.
-    /// An earlier run of the instance may have promised to retire a term to an
+    /// An earlier incarnation of the instance may have promised to retire a term to an
     /// instance that could not write its order to the store.
     #[must_use]
     pub fn with_start(self, started_at: Moment) -> Self {
@@ -216,7 +216,7 @@
 
     /// Records that the store holds an order that ends `term`, or lists the term as
     /// retired. An instance that does not vote yet retires the term as if it had
-    /// promised to, since an earlier run of it may have.
+    /// promised to, since an earlier incarnation of it may have.
     pub fn adopt_ended_term(&mut self, term: Term) {
         if !self.orders_known {
             self.retired = self.retired.max(term);
@@ -254,7 +254,7 @@
         self.note_era(era);
         self.grants.insert(voter.clone(), Grant { asked_at, retired, era });
         if !self.orders_known && self.grants.len() >= self.majority() {
-            // An earlier run of this instance may have promised to retire a term.
+            // An earlier incarnation of this instance may have promised to retire a term.
             // The majority that retired it shares a voter with this one.
             let retired = self.grants.values().map(|grant| grant.retired).max();
             self.retired = self.retired.max(retired.unwrap_or_default());
--- a/lib/src/routing.rs
+++ b/lib/src/routing.rs
@@ -1,40 +1,42 @@
-//! Which server of a group answers a read.
+//! Choice of the server that answers a read, by the instance that owns the database.
 
 use crate::id::FailureDomainId;
 use crate::id::TargetId;
 use crate::position::Position;
 
-/// What the owner knows of a server when it routes.
+/// A server as the owner sees it when it routes a read.
 #[derive(Clone, Debug)]
 pub struct ReadTarget {
-    /// The server.
+    /// The id of the server.
     pub id: TargetId,
-    /// Where it runs.
+    /// The failure domain that the server runs in.
     pub failure_domain: FailureDomainId,
-    /// Position it had applied when last heard from.
+    /// Last position that the server reported as applied.
     pub applied: Position,
-    /// Whether it answers and may get new work.
+    /// Whether the server answers and may get new work.
     pub usable: bool,
-    /// Statements it is working on or that wait for it.
+    /// Number of statements that run at the server or wait for it.
     pub in_flight: usize,
-    /// Statements it runs at once.
+    /// How many statements the server runs at the same time.
     pub slots: usize,
 }
 
-/// Where a read goes.
+/// The server that a read is sent to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Route {
-    /// A replica known to have applied the floor.
+    /// A replica that has applied the floor.
     Replica(TargetId),
     /// The primary.
     Primary,
 }
 
-/// Chooses among replicas that have applied `floor`: fewest in flight first,
-/// then the owner's own failure domain.
+/// Chooses among the usable replicas that have applied `floor` and are not `excluded`.
 ///
-/// What is known of a replica can only be too old, never too new, so the
-/// server itself checks the floor again before it runs the statement.
+/// The replica with the fewest statements in flight per slot comes first, in whole
+/// rounds of its slots, then replicas in the failure domain `near`. Without a floor or
+/// a suitable replica the primary is chosen. The known position of a replica can be
+/// outdated, but it is never beyond the actual one. The server checks the floor again
+/// before it runs the statement.
 #[must_use]
 pub fn choose(
     replicas: &[ReadTarget],
@@ -50,9 +52,9 @@
         .filter(|replica| replica.usable && replica.applied >= floor)
         .filter(|replica| !excluded.contains(&replica.id))
         .min_by_key(|replica| {
-            let waves = replica.in_flight / replica.slots.max(1);
+            let rounds = replica.in_flight / replica.slots.max(1);
             let far = replica.failure_domain != *near;
-            (waves, far, replica.in_flight, replica.id.clone())
+            (rounds, far, replica.in_flight, replica.id.clone())
         })
         .map_or(Route::Primary, |replica| Route::Replica(replica.id.clone()))
 }
--- a/lib/src/samples.rs
+++ b/lib/src/samples.rs
@@ -1,5 +1,5 @@
-//! Positions that a primary is known to have reached, with the time at which
-//! it was asked.
+//! Samples of a primary's log position over time, from which the floors of reads with
+//! bounded staleness are computed.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -7,12 +7,13 @@
 use crate::moment::Moment;
 use crate::position::Position;
 
-/// Spacing of samples: finer ones would not let a replica qualify earlier by
-/// an amount that matters against a replication delay of 60 ms and more.
-const SPACING: Duration = Duration::from_millis(20);
+/// Shortest time between two samples that are kept. With a finer spacing a replica would
+/// not qualify for a read noticeably earlier, since the replication delay is 60 ms or
+/// more.
+const MIN_SPACING: Duration = Duration::from_millis(20);
 
-/// Longest staleness that samples are kept for; far above any configured one.
-const KEPT_FOR: Duration = Duration::from_secs(30);
+/// How long samples are kept, which is far above any configured staleness.
+const RETENTION: Duration = Duration::from_secs(30);
 
 /// A sample: every commit acknowledged before `asked_at` is at or before
 /// `position`.
@@ -29,16 +30,16 @@
 }
 
 impl Samples {
-    /// A server answered with `position` to something sent at `asked_at`, and
-    /// proved that it was the primary.
+    /// Records `position` from the answer to a request that was sent at `asked_at`. The
+    /// answer must prove that the server was the primary.
     pub fn record(&mut self, asked_at: Moment, position: Position) {
         if let Some(last) = self.samples.back() {
-            if asked_at < last.asked_at + SPACING || position < last.position {
+            if asked_at < last.asked_at + MIN_SPACING || position < last.position {
                 return;
             }
         }
         self.samples.push_back(Sample { asked_at, position });
-        while self.samples.front().is_some_and(|first| first.asked_at + KEPT_FOR < asked_at) {
+        while self.samples.front().is_some_and(|first| first.asked_at + RETENTION < asked_at) {
             self.samples.pop_front();
         }
     }
@@ -46,42 +47,42 @@
     /// The lowest position that satisfies a read which may miss commits
     /// acknowledged in the last `max_staleness`.
     ///
-    /// The oldest sample that is young enough, not the newest: it is the one
-    /// that most replicas have applied.
+    /// This is the position of the oldest sample that is young enough, because more
+    /// replicas have applied it than a newer one. `None` if no sample is young enough.
     #[must_use]
     pub fn floor(&self, now: Moment, max_staleness: Duration) -> Option<Position> {
         let index = self.samples.partition_point(|sample| sample.asked_at + max_staleness < now);
         self.samples.get(index).map(|sample| sample.position)
     }
 
-    /// When the primary is known to have reached a position: at the latest
-    /// when it was asked and had it. `None` if no sample goes that far.
+    /// Time of the first sample that had reached a position, by which the primary had
+    /// reached it too. `None` if no sample has reached it.
     #[must_use]
     pub fn reached_at(&self, position: Position) -> Option<Moment> {
         let index = self.samples.partition_point(|sample| sample.position < position);
         self.samples.get(index).map(|sample| sample.asked_at)
     }
 
-    /// When the primary is first known to have gone beyond a position.
+    /// Time of the first sample that is beyond a position. `None` if there is none.
     #[must_use]
     pub fn passed_at(&self, position: Position) -> Option<Moment> {
         let index = self.samples.partition_point(|sample| sample.position <= position);
         self.samples.get(index).map(|sample| sample.asked_at)
     }
 
-    /// The newest sample: when the primary was asked, and what it had reached.
+    /// The newest sample: when its request was sent, and the position.
     #[must_use]
     pub fn newest(&self) -> Option<(Moment, Position)> {
         self.samples.back().map(|sample| (sample.asked_at, sample.position))
     }
 
-    /// Age of the newest sample.
+    /// Age of the newest sample; `None` if there are no samples.
     #[must_use]
     pub fn newest_age(&self, now: Moment) -> Option<Duration> {
         self.samples.back().map(|sample| now.saturating_sub(sample.asked_at))
     }
 
-    /// Forgets all samples, when the log they belong to was cut back.
+    /// Drops all samples, when entries of their log may have been rolled back.
     pub fn clear(&mut self) {
         self.samples.clear();
     }
--- a/lib/src/server_list.rs
+++ b/lib/src/server_list.rs
@@ -1,4 +1,5 @@
-//! The servers that the platform lists, kept through gaps of its list.
+//! The platform's list of servers. A server that disappears from the list is kept for a
+//! short time, because entries can expire while the platform's store is unavailable.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -15,16 +16,17 @@
 struct ListedServer {
     group: GroupId,
     info: ServerInfo,
-    /// Since when the list lacks it.
+    /// Since when the server is missing from the list.
     missing_since: Option<Moment>,
 }
 
-/// A server that the list lacks is still used for this long: entries expire
-/// while the store is down, and living servers are back two seconds after.
-/// Far below the time after which a server that left may get no request.
+/// How long a server that is missing from the list is still used. Entries expire while
+/// the store is down, and running servers are listed again within two seconds after it
+/// is back. The time is far below the limit after which a server that left must get no
+/// more requests.
 const MISSING_GRACE: Duration = Duration::from_millis(3_500);
 
-/// Servers of all groups.
+/// The listed servers of all groups.
 #[derive(Clone, Debug, Default)]
 pub struct ServerList {
     servers: HashMap<TargetId, ListedServer>,
@@ -33,10 +35,10 @@
     /// Revision at which the list last changed. The store's revision counts
     /// changes of everything it keeps.
     changed_at: Revision,
-    /// Groups whose servers changed since they were last taken.
+    /// Groups whose servers changed since the last [`ServerList::take_changed`].
     changed: HashSet<GroupId>,
-    /// Whether something changed since the revision was last advanced.
-    has_news: bool,
+    /// Whether the list changed since the revision was last advanced.
+    has_changes: bool,
 }
 
 impl ServerList {
@@ -52,34 +54,34 @@
         self.changed_at
     }
 
-    /// The list is known up to this revision.
+    /// Records that the list is known up to this revision.
     pub fn advance(&mut self, revision: Revision) {
         self.revision = self.revision.max(revision);
-        if std::mem::take(&mut self.has_news) {
+        if std::mem::take(&mut self.has_changes) {
             self.changed_at = self.revision;
         }
     }
 
-    /// A server is listed.
+    /// Adds or updates a server that is listed in `group`.
     pub fn present(&mut self, group: GroupId, info: ServerInfo) {
         let id = info.id.clone();
         let known = self.servers.get(&id);
         let before = known.map(|known| known.group.clone()).filter(|before| *before != group);
         if known.is_none_or(|known| known.info != info || known.group != group) {
-            self.note(&group);
+            self.mark_changed(&group);
         }
         if let Some(before) = before {
-            self.note(&before);
+            self.mark_changed(&before);
         }
         self.servers.insert(id, ListedServer { group, info, missing_since: None });
     }
 
-    fn note(&mut self, group: &GroupId) {
+    fn mark_changed(&mut self, group: &GroupId) {
         self.changed.insert(group.clone());
-        self.has_news = true;
+        self.has_changes = true;
     }
 
-    /// A server is not listed any more.
+    /// Records that a server is no longer listed. A draining server is dropped at once.
     pub fn missing(&mut self, now: Moment, id: &str) {
         let Some(listed) = self.servers.get_mut(id) else {
             return;
@@ -88,12 +90,12 @@
         if listed.info.draining {
             let group = listed.group.clone();
             self.servers.remove(id);
-            self.note(&group);
+            self.mark_changed(&group);
         }
     }
 
-    /// These are all servers that are listed at a revision. An answer that is older
-    /// than what is known changes nothing.
+    /// Replaces the list by the full list of a revision. A list that is older than the
+    /// known revision changes nothing.
     pub fn replace(
         &mut self,
         now: Moment,
@@ -105,15 +107,17 @@
         }
         if revision.era > self.revision.era {
             self.keep_draining(&mut listed);
-            // Others may know servers that only the lost history had.
-            self.has_news = true;
+            // Other instances may have servers that only the lost history listed, so this
+            // list counts as changed.
+            self.has_changes = true;
         }
         self.replace_all(now, listed);
         self.advance(revision);
     }
 
-    /// A copy of the store can hold servers as they were before they began to drain.
-    /// Until they write their entries again they get no new work.
+    /// Keeps servers draining after the store was restored from a backup, which may hold
+    /// their entries from before they began to drain. They get no new work until they
+    /// write their entries again.
     fn keep_draining(&self, listed: &mut [(GroupId, ServerInfo)]) {
         for (_, info) in listed {
             let known = self.servers.get(&info.id).map(|known| &known.info);
@@ -133,23 +137,23 @@
         }
     }
 
-    /// Drops servers that have been missing for too long. Returns whether
-    /// others are still missing.
+    /// Drops servers that have been missing for [`MISSING_GRACE`]. Returns whether other
+    /// servers are still missing.
     pub fn drop_missing(&mut self, now: Moment) -> bool {
-        let over = |listed: &ListedServer| {
+        let is_overdue = |listed: &ListedServer| {
             listed.missing_since.is_some_and(|at| at + MISSING_GRACE <= now)
         };
-        let gone: Vec<_> = self.servers.values().filter(|listed| over(listed)).collect();
-        let groups: Vec<_> = gone.into_iter().map(|listed| listed.group.clone()).collect();
+        let dropped: Vec<_> = self.servers.values().filter(|listed| is_overdue(listed)).collect();
+        let groups: Vec<_> = dropped.into_iter().map(|listed| listed.group.clone()).collect();
         for group in &groups {
-            self.note(group);
+            self.mark_changed(group);
         }
-        self.servers.retain(|_, listed| !over(listed));
+        self.servers.retain(|_, listed| !is_overdue(listed));
         self.servers.values().any(|listed| listed.missing_since.is_some())
     }
 
-    /// Takes the groups whose servers changed, each with all its servers; with
-    /// an empty list if it has none left.
+    /// Takes the groups whose servers changed, each with all its servers. The list of a
+    /// group without servers is empty.
     pub fn take_changed(&mut self) -> HashMap<GroupId, Vec<ServerInfo>> {
         let changed = std::mem::take(&mut self.changed);
         let mut groups: HashMap<_, Vec<_>> =
@@ -162,14 +166,15 @@
         groups
     }
 
-    /// A server as it was last listed, unless it is missing.
+    /// The group and the entry of a server; `None` if it is missing from the list.
     #[must_use]
     pub fn listed(&self, id: &str) -> Option<(GroupId, ServerInfo)> {
         let listed = self.servers.get(id).filter(|listed| listed.missing_since.is_none())?;
         Some((listed.group.clone(), listed.info.clone()))
     }
 
-    /// All servers with their groups.
+    /// All servers with their groups, including servers that are missing from the list
+    /// and still used.
     pub fn all(&self) -> impl Iterator<Item = (&GroupId, &ServerInfo)> {
         self.servers.values().map(|listed| (&listed.group, &listed.info))
     }
--- a/lib/src/silence.rs
+++ b/lib/src/silence.rs
@@ -1,38 +1,39 @@
-//! How soon an instance notices that the platform's store does not answer.
+//! Timeouts that detect an unresponsive store of the platform.
 //!
-//! A store can go silent, and so can a connection to it, without a reset: whoever waits
-//! for an answer learns nothing. What an instance does not hear meanwhile must be known
-//! within a bound, so the times of its questions are derived from that bound.
+//! A store or a connection to it can stop responding without a connection reset, so that
+//! calls stay unanswered. An instance detects this with liveness checks: long polls that
+//! the store has to answer within a known time. Changes in the store must
+//! reach all instances within a bound, from which the timeouts are derived.
 
 use std::time::Duration;
 
 use crate::fleet::HEARTBEAT_INTERVAL;
 
-/// Time in which an answer comes, beyond what the question itself waits. A store that
-/// is eighty times as slow as usual needs 320 ms.
+/// Time for the store to answer a request, in addition to the time that the request asks
+/// the store to wait. A store that is eighty times as slow as usual needs 320 ms.
 pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// While the store is silent it is asked again after this time, whether or not the
-/// question before is still under way.
+/// Time between two requests to an unresponsive store, whether or not the earlier one is
+/// still in progress.
 pub const STORE_RETRY_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Part of the time to spare that a question waits, in eighths. The rest is for
-/// processors that are slow to get to it.
+/// Share of the available time that a liveness check waits, in eighths. The rest allows
+/// for processes that are scheduled late.
 const WAIT_EIGHTHS: u32 = 5;
 
 const SHORTEST_WAIT: Duration = Duration::from_millis(200);
 const LONGEST_WAIT: Duration = Duration::from_secs(4);
 
-/// Times of the questions by which silence is noticed.
+/// Timeouts by which an instance detects that the store is unresponsive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SilenceLimits {
-    /// How long a question for a sign of life waits for something to tell.
+    /// How long the store may hold a liveness check while there is no change to report.
     pub liveness_wait: Duration,
 }
 
 impl SilenceLimits {
-    /// The longest waits with which what the store tells after a silence is known by
-    /// all instances within `bound`.
+    /// The longest timeouts with which a change in the store reaches all instances within
+    /// `bound`, also when the store or the connections to it were unresponsive before.
     #[must_use]
     pub fn within(bound: Duration) -> Self {
         let fixed = ANSWER_TIMEOUT + STORE_RETRY_INTERVAL + HEARTBEAT_INTERVAL;
@@ -40,15 +41,15 @@
         Self { liveness_wait: wait.clamp(SHORTEST_WAIT, LONGEST_WAIT) }
     }
 
-    /// Longest time from the beginning of a silence until it is noticed.
+    /// Longest time from when the store stops responding until an instance detects it.
     #[must_use]
     pub fn detected_after(&self) -> Duration {
         self.liveness_wait + ANSWER_TIMEOUT
     }
 
-    /// Longest time until what the store tells is known by all instances, from when it
-    /// tells it or became silent: one more question to a store that is back, and a
-    /// heartbeat to those who hear of it from others.
+    /// Longest time until all instances have a change, counted from when the store reports
+    /// it or stopped responding. After the detection this includes one more request to a
+    /// store that is back, and a heartbeat to instances that get the change from others.
     #[must_use]
     pub fn propagated_after(&self) -> Duration {
         self.detected_after() + STORE_RETRY_INTERVAL + HEARTBEAT_INTERVAL
