--- a/daemon/src/engine/shared.rs
+++ b/daemon/src/engine/shared.rs
@@ -29,7 +29,7 @@
 use chervilwharf_lib::primary_lease::PrimaryLease;
 use chervilwharf_lib::quota::QuotaTolerance;
 use chervilwharf_lib::server_list::ServerList;
-use chervilwharf_lib::silence::SilenceLimits;
+use chervilwharf_lib::silence::StoreTimeouts;
 use chervilwharf_lib::stop_plan::StopPlan;
 use tokio::sync::Notify;
 use tokio::sync::watch;
@@ -117,7 +117,7 @@
     quota_tolerance: Option<QuotaTolerance>,
     newer_configuration: NewerConfiguration,
     store_era: Arc<StoreEra>,
-    silence_limits: SilenceLimits,
+    silence_limits: StoreTimeouts,
     arrivals: Mutex<Arrivals>,
 }
 
@@ -160,7 +160,7 @@
             quota_tolerance: None,
             newer_configuration: NewerConfiguration::default(),
             store_era: Arc::default(),
-            silence_limits: SilenceLimits::within(CONFIGURATION_BOUND),
+            silence_limits: StoreTimeouts::within(CONFIGURATION_BOUND),
             arrivals: Mutex::new(Arrivals::new(now())),
         }
     }
@@ -168,7 +168,7 @@
     /// With the time in which a configuration has to be in force, if there is one.
     #[must_use]
     pub fn with_configuration_bound(mut self, bound: Option<Duration>) -> Self {
-        self.silence_limits = SilenceLimits::within(bound.unwrap_or(CONFIGURATION_BOUND));
+        self.silence_limits = StoreTimeouts::within(bound.unwrap_or(CONFIGURATION_BOUND));
         self
     }
 
@@ -179,7 +179,7 @@
 
     /// How soon silence of the store is noticed.
     #[must_use]
-    pub fn silence_limits(&self) -> SilenceLimits {
+    pub fn silence_limits(&self) -> StoreTimeouts {
         self.silence_limits
     }
 
--- a/daemon/src/engine/store_signs.rs
+++ b/daemon/src/engine/store_signs.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use chervilwharf_lib::silence::STORE_RETRY_INTERVAL;
-use chervilwharf_lib::silence::SilenceLimits;
+use chervilwharf_lib::silence::StoreTimeouts;
 use futures::StreamExt;
 use futures::stream::FuturesUnordered;
 use tokio::time::Instant;
@@ -60,7 +60,7 @@
 struct Signs {
     directory: Arc<dyn Directory>,
     state: StoreState,
-    limits: SilenceLimits,
+    limits: StoreTimeouts,
     /// The newest change that a sign told.
     seen: Option<Revision>,
 }
--- a/daemon/src/engine/waiting.rs
+++ b/daemon/src/engine/waiting.rs
@@ -114,9 +114,10 @@
             // Without a primary that answers there is nobody to be impatient
             // with: another one will lead soon. Where only the right to use it is
             // missing, that is back at once, or another instance has to serve.
-            let (answers, lacks_right) = self
-                .with_group(|group| (group.leader_answers(began_at), group.lacks_right(began_at)));
-            let patient = answers || lacks_right;
+            let (answers, lacks_primary_lease) = self.with_group(|group| {
+                (group.leader_answers(began_at), group.lacks_primary_lease(began_at))
+            });
+            let patient = answers || lacks_primary_lease;
             let until = if patient { want.patient_until } else { want.give_up_at };
             if let Some(lease) = self.wait(want, Tier::InTime, until).await {
                 return Ok(lease);
--- a/lib/src/group.rs
+++ b/lib/src/group.rs
@@ -343,7 +343,7 @@
 
     /// Whether the primary's term is known but the lease on it is missing.
     #[must_use]
-    pub fn lacks_right(&self, now: Moment) -> bool {
+    pub fn lacks_primary_lease(&self, now: Moment) -> bool {
         self.confirmed_leader().is_some_and(|leader| !self.primary_lease.holds(now, leader.term))
     }
 
@@ -352,10 +352,10 @@
     /// replaced from this side of a partition.
     #[must_use]
     pub fn is_cut_off(&self, now: Moment) -> bool {
-        let lacks_right = self
+        let lacks_primary_lease = self
             .confirmed_leader()
             .is_some_and(|leader| self.primary_lease.is_cut_off(now, leader.term));
-        lacks_right || self.is_out_of_reach()
+        lacks_primary_lease || self.is_out_of_reach()
     }
 
     fn is_out_of_reach(&self) -> bool {
--- a/lib/src/silence.rs
+++ b/lib/src/silence.rs
@@ -26,12 +26,12 @@
 
 /// Timeouts by which an instance detects that the store is unresponsive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SilenceLimits {
+pub struct StoreTimeouts {
     /// How long the store may hold a liveness check while there is no change to report.
     pub liveness_wait: Duration,
 }
 
-impl SilenceLimits {
+impl StoreTimeouts {
     /// The longest timeouts with which a change in the store reaches all instances within
     /// `bound`, also when the store or the connections to it were unresponsive before.
     #[must_use]
