--- a/lib/tests/right_world/mod.rs
+++ b/lib/tests/lease_world/mod.rs
@@ -1,7 +1,9 @@
-//! Instances, servers that go on leading when another one was promoted, and a
-//! store, on a virtual clock. The instances run the real decisions on the right
-//! to use a primary; messages are late or lost, instances freeze and restart,
-//! and the store is down now and then.
+//! A simulation, on a virtual clock, of instances that use and replace the primary of a
+//! group. Its servers continue to lead after another one was promoted.
+//!
+//! The instances run the real decisions on primary leases. Messages are delayed or lost,
+//! instances are suspended and restarted, partitions form, and the platform's store is
+//! unavailable at times. In half of the runs the store is also restored from backups.
 
 mod servers;
 
@@ -35,10 +37,10 @@
 pub const INSTANCES: usize = 6;
 const TICK_MS: u64 = 10;
 const HEARTBEAT_MS: u64 = 500;
-/// How long a replacement collects promises.
+/// Time limit for the collection of promises by a replacement.
 const PROMISE_LIMIT_MS: u64 = 2_000;
 
-/// A small generator: the same seed gives the same run.
+/// A pseudorandom generator. The same seed gives the same run.
 pub struct Random(u64);
 
 impl Random {
@@ -57,30 +59,34 @@
     }
 }
 
-/// Rules that a run may take out, to show that the checks notice.
+/// A rule that a run can disable, to show that the checks detect its absence. Each
+/// variant is named after the rule and documented by the resulting behavior.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TakenOut {
+pub enum DisabledRule {
     Nothing,
-    /// Instances that are silent are not waited for.
-    WaitForSilent,
-    /// A commit is acknowledged though the right has ended.
-    CheckOfAcknowledgements,
-    /// An instance uses the primary that it knows, with or without the right.
-    Right,
-    /// Orders go out without the promises of a majority.
+    /// An order is sent without waiting for the leases of unreachable instances to expire.
+    WaitForUnreachable,
+    /// A commit is acknowledged although the lease has expired.
+    CheckBeforeAcknowledgement,
+    /// An instance uses the primary that it knows, with or without a lease.
+    LeaseCheck,
+    /// Orders are sent without promises from a majority of the voters.
     Majority,
-    /// An instance that has just started votes at once.
+    /// An instance votes as soon as it has started, before it has the store's orders.
     OrdersBeforeVotes,
-    /// The successor in a planned change need not have received everything.
-    WaitForReceived,
-    /// A reading of the store counts whether voters granted since its last copy or not.
-    GrantsBeforeStore,
-    /// The duty is taken after a copy without the word of most voters.
-    WordOfMost,
-    /// An instance that has just started trusts a copy's orders.
-    OrdersOfTheEra,
-    /// Tokens are counted on from the copy.
-    TokensOfTheEra,
+    /// A planned change does not wait until the successor has the primary's whole log.
+    WaitForSuccessorLog,
+    /// A read of the store counts as a lease even if no voters have granted the term since
+    /// the store was last restored from a backup.
+    GrantsInEra,
+    /// After a restore, the duty is taken without the highest retired term that a majority
+    /// of the voters reports.
+    TermsRetiredByMajority,
+    /// An instance that has just started votes on the basis of the orders in a restored
+    /// store.
+    OrdersOfEra,
+    /// Tokens continue from the one in the backup instead of the first one of the era.
+    TokensOfEra,
 }
 
 #[derive(Clone)]
@@ -97,14 +103,14 @@
     Read { server: usize, arrived_ms: u64 },
 }
 
-/// What an instance is doing to replace the primary.
+/// The current step of a replacement.
 #[derive(Clone)]
 enum Step {
-    /// The order is being written.
+    /// The instance is writing its order to the store.
     Claim { until_ms: u64 },
-    /// Promises are being collected.
-    Collect { agreement: PromiseTally, until_ms: u64, asked_ms: u64 },
-    /// The best replica has to receive what the old primary has.
+    /// The instance is collecting promises.
+    Collect { tally: PromiseTally, until_ms: u64, asked_ms: u64 },
+    /// The successor is receiving the rest of the old primary's log.
     Receive { until_ms: u64 },
 }
 
@@ -119,14 +125,14 @@
     written: Option<Written>,
 }
 
-/// When the store took an order, and in which era.
+/// When an order was written to the store, and in which era.
 #[derive(Clone, Copy)]
 struct Written {
     at_ms: u64,
     era: Era,
 }
 
-/// The order as the store holds it.
+/// The duty record as the store holds it, with the last order.
 #[derive(Clone, Default)]
 struct StoredOrder {
     token: u64,
@@ -151,14 +157,14 @@
     replacement: Option<Replacement>,
     reaches_store: bool,
     side: usize,
-    /// The last token that it gave an order under.
-    spent: u64,
-    /// Latest era of the store that it knows.
+    /// The last token under which the instance ordered a promotion.
+    used_token: u64,
+    /// Latest era of the store that the instance has seen.
     era: Era,
-    /// The order with the highest token that it knows of.
-    known: StoredOrder,
-    /// Its last reading of the store.
-    reading: Option<(u64, StoredOrder)>,
+    /// The order with the highest token that the instance has seen.
+    known_order: StoredOrder,
+    /// The instance's last read of the store, with the time of its request.
+    store_read: Option<(u64, StoredOrder)>,
 }
 
 /// An acknowledged commit.
@@ -170,27 +176,28 @@
 
 pub struct World {
     random: Random,
-    taken_out: TakenOut,
+    disabled: DisabledRule,
     now_ms: u64,
     instances: Vec<Instance>,
     servers: Servers,
-    /// Messages by the time at which they arrive.
-    mail: BTreeMap<(u64, u64), (usize, Message)>,
-    sent: u64,
+    /// Messages on their way, by time of arrival and number.
+    in_flight: BTreeMap<(u64, u64), (usize, Message)>,
+    sent_count: u64,
     stored: StoredOrder,
-    /// What the store kept, by time.
-    copies: BTreeMap<u64, StoredOrder>,
-    /// 0 for a store that never comes back from a copy and tells no era.
+    /// The content of the store at each time, from which it can be restored.
+    backups: BTreeMap<u64, StoredOrder>,
+    /// The store's era; 0 for a store that is never restored and reports no era.
     era: Era,
-    /// When it comes back from a copy that lacks a certain order, and that copy.
-    order_lost: Option<(u64, StoredOrder)>,
+    /// When the store will be restored from a backup without a certain order, and that
+    /// backup.
+    pending_restore: Option<(u64, StoredOrder)>,
     store_up: bool,
-    /// Who gave an order under a token.
+    /// The instance, and its incarnation, that ordered a promotion under each token.
     orders: BTreeMap<u64, (usize, u64)>,
     acknowledged: Vec<Acknowledged>,
     pub promotions: usize,
     pub served: usize,
-    pub copies_restored: usize,
+    pub backups_restored: usize,
     pub violation: Option<String>,
 }
 
@@ -207,26 +214,26 @@
 }
 
 impl World {
-    pub fn new(seed: u64, taken_out: TakenOut) -> Self {
+    pub fn new(seed: u64, disabled: DisabledRule) -> Self {
         let mut world = Self {
             random: Random::new(seed),
-            taken_out,
+            disabled,
             now_ms: 1_000,
             instances: Vec::new(),
             servers: Servers::new(),
-            mail: BTreeMap::new(),
-            sent: 0,
+            in_flight: BTreeMap::new(),
+            sent_count: 0,
             stored: StoredOrder::default(),
-            copies: BTreeMap::new(),
-            // Every other run has a store that does not tell its era.
+            backups: BTreeMap::new(),
+            // In every other run the store is never restored and reports no era.
             era: seed % 2,
-            order_lost: None,
+            pending_restore: None,
             store_up: true,
             orders: BTreeMap::new(),
             acknowledged: Vec::new(),
             promotions: 0,
             served: 0,
-            copies_restored: 0,
+            backups_restored: 0,
             violation: None,
         };
         for _ in 0..INSTANCES {
@@ -239,7 +246,7 @@
     fn start_instance(&mut self) -> Instance {
         let mut group = Group::default();
         *group.primary_lease_mut() = PrimaryLease::unknown().with_start(at(self.now_ms));
-        if self.taken_out == TakenOut::OrdersBeforeVotes {
+        if self.disabled == DisabledRule::OrdersBeforeVotes {
             group.primary_lease_mut().orders_known();
         }
         group.set_servers(at(self.now_ms), listed());
@@ -252,22 +259,22 @@
             replacement: None,
             reaches_store: true,
             side: 0,
-            spent: 0,
+            used_token: 0,
             era: 0,
-            known: StoredOrder::default(),
-            reading: None,
+            known_order: StoredOrder::default(),
+            store_read: None,
         }
     }
 
     fn send(&mut self, to: usize, message: Message) {
-        // Most arrive at once, some are held up.
+        // Most messages arrive after a short delay, some are late.
         let late = if self.random.per_mille(30) { self.random.below(700) } else { 0 };
         let delay = 1 + self.random.below(15) + late;
-        self.sent += 1;
-        self.mail.insert((self.now_ms + delay, self.sent), (to, message));
+        self.sent_count += 1;
+        self.in_flight.insert((self.now_ms + delay, self.sent_count), (to, message));
     }
 
-    /// Sends to another instance, unless a partition is between them.
+    /// Sends a message to another instance, unless a partition separates the two.
     fn send_peer(&mut self, from: usize, to: usize, message: Message) {
         let lost = self.random.per_mille(20);
         if self.instances[from].side == self.instances[to].side && !lost {
@@ -277,21 +284,21 @@
 
     pub fn step(&mut self) {
         self.now_ms += TICK_MS;
-        self.disturb();
+        self.inject_faults();
         let promoted = self.servers.step(self.now_ms);
         if let Some(promoted) = promoted {
             self.promotions += 1;
             self.check_lost(&promoted);
         }
-        while let Some(entry) = self.mail.first_entry() {
+        while let Some(entry) = self.in_flight.first_entry() {
             if entry.key().0 > self.now_ms {
                 break;
             }
             let ((_, number), (to, message)) = entry.remove_entry();
             let frozen_until_ms = self.instances[to].frozen_until_ms;
             if frozen_until_ms > self.now_ms && !Self::is_for_server(&message) {
-                // Read when the instance wakes up.
-                self.mail.insert((frozen_until_ms, number), (to, message));
+                // The instance is suspended and receives the message when it resumes.
+                self.in_flight.insert((frozen_until_ms, number), (to, message));
                 continue;
             }
             self.receive(to, message);
@@ -307,7 +314,7 @@
         matches!(message, Message::Write { .. } | Message::Read { .. } | Message::StoreRead { .. })
     }
 
-    fn disturb(&mut self) {
+    fn inject_faults(&mut self) {
         let number = usize::try_from(self.random.below(INSTANCES as u64)).unwrap();
         if self.random.per_mille(2) {
             self.instances[number].frozen_until_ms = self.now_ms + 200 + self.random.below(4_000);
@@ -323,7 +330,7 @@
             self.store_up ^= true;
         }
         if self.era > 0 {
-            self.disturb_store();
+            self.inject_store_faults();
         }
         if self.random.per_mille(3) {
             let whole = self.random.per_mille(500);
@@ -332,26 +339,29 @@
                     if whole { 0 } else { usize::from(self.random.per_mille(350)) };
             }
         }
-        self.servers.disturb(&mut self.random);
+        self.servers.inject_faults(&mut self.random);
     }
 
-    fn disturb_store(&mut self) {
-        self.copies.insert(self.now_ms, self.stored.clone());
+    fn inject_store_faults(&mut self) {
+        self.backups.insert(self.now_ms, self.stored.clone());
         if self.random.per_mille(1) {
-            let copied_ms = self.now_ms - self.random.below(5_000).min(self.now_ms);
-            let copy = self.copies.range(..=copied_ms).next_back();
-            let copy = copy.map(|(_, stored)| stored.clone()).unwrap_or_default();
-            self.come_back_from(copy);
-        }
-        if let Some((_, copy)) = self.order_lost.take_if(|(due_ms, _)| *due_ms <= self.now_ms) {
-            self.come_back_from(copy);
+            let backup_ms = self.now_ms - self.random.below(5_000).min(self.now_ms);
+            let backup = self.backups.range(..=backup_ms).next_back();
+            let backup = backup.map(|(_, stored)| stored.clone()).unwrap_or_default();
+            self.restore_backup(backup);
+        }
+        if let Some((_, backup)) =
+            self.pending_restore.take_if(|(due_ms, _)| *due_ms <= self.now_ms)
+        {
+            self.restore_backup(backup);
             if self.random.per_mille(700) {
                 self.restart_behind_a_partition();
             }
         }
     }
 
-    /// Who promised the lost order starts anew, with others that know nothing of it.
+    /// Partitions the instances at random and restarts one, which may have promised the
+    /// lost order, so that it may only reach instances without that order.
     fn restart_behind_a_partition(&mut self) {
         for number in 0..INSTANCES {
             self.instances[number].side = usize::from(self.random.per_mille(500));
@@ -361,14 +371,14 @@
         self.instances[number] = Instance { reaches_store, side, ..self.start_instance() };
     }
 
-    /// What the store kept before takes the place of what it keeps.
-    fn come_back_from(&mut self, copy: StoredOrder) {
-        self.stored = copy;
+    /// Restores the store from a backup, which begins a new era.
+    fn restore_backup(&mut self, backup: StoredOrder) {
+        self.stored = backup;
         self.era += 1;
-        self.copies_restored += 1;
+        self.backups_restored += 1;
     }
 
-    fn note_era(&mut self, number: usize, era: Era) {
+    fn observe_era(&mut self, number: usize, era: Era) {
         let me = &mut self.instances[number];
         me.era = me.era.max(era);
         me.group.primary_lease_mut().note_era(me.era);
@@ -384,7 +394,7 @@
             self.heartbeat(number);
         }
         if self.random.per_mille(60) {
-            self.look_at_servers(number);
+            self.query_servers(number);
         }
         if self.random.per_mille(150) {
             self.use_primary(number);
@@ -406,7 +416,7 @@
         }
     }
 
-    fn look_at_servers(&mut self, number: usize) {
+    fn query_servers(&mut self, number: usize) {
         let now = at(self.now_ms);
         for server in self.servers.reachable(self.instances[number].side) {
             let status = self.servers.status(server);
@@ -420,7 +430,7 @@
         let group = &self.instances[number].group;
         let leader = group.leader().filter(|leader| leader.term > 0);
         let trusts_store = leader.is_some_and(|leader| self.trusts_store(number, leader.term));
-        let leader = if self.taken_out == TakenOut::Right || trusts_store {
+        let leader = if self.disabled == DisabledRule::LeaseCheck || trusts_store {
             leader
         } else {
             group.usable_leader(now)
@@ -442,7 +452,7 @@
         let now = at(self.now_ms);
         match message {
             Message::Heartbeat { from, asked_ms, term, era } => {
-                self.note_era(to, era);
+                self.observe_era(to, era);
                 let era = self.instances[to].era;
                 let primary_lease = self.instances[to].group.primary_lease_mut();
                 if let Some(retired) = primary_lease.grant(now, &instance_id(from), term) {
@@ -451,7 +461,7 @@
                 }
             }
             Message::Grant { from, asked_ms, retired, era } => {
-                self.note_era(to, era);
+                self.observe_era(to, era);
                 let primary_lease = self.instances[to].group.primary_lease_mut();
                 primary_lease.granted(&instance_id(from), at(asked_ms), retired, era);
             }
@@ -463,13 +473,13 @@
                 let token = ending.token;
                 let reply = self.instances[to].group.retire(now, &ending);
                 if reply.is_ok() {
-                    self.know_order(to, &ending);
+                    self.record_promised_order(to, &ending);
                 }
                 self.send_peer(to, from, Message::Promised { from: to, life, token, reply });
             }
             Message::Promised { from, life, token, reply } => {
                 if self.instances[to].life == life {
-                    self.take_promise(to, from, token, reply);
+                    self.record_promise(to, from, token, reply);
                 }
             }
             Message::Settled { token } => {
@@ -482,8 +492,8 @@
                 }
             }
             Message::StoreAnswer { asked_ms, stored, era } => {
-                self.note_era(to, era);
-                self.take_reading(to, asked_ms, stored, era);
+                self.observe_era(to, era);
+                self.record_store_read(to, asked_ms, stored, era);
             }
             Message::Write { server, term } => {
                 if let Some(entry) = self.servers.commit(server) {
@@ -495,7 +505,7 @@
         }
     }
 
-    fn take_reading(&mut self, to: usize, asked_ms: u64, stored: StoredOrder, era: Era) {
+    fn record_store_read(&mut self, to: usize, asked_ms: u64, stored: StoredOrder, era: Era) {
         let me = &mut self.instances[to];
         let ended = stored.ended_term();
         let primary_lease = me.group.primary_lease_mut();
@@ -505,32 +515,32 @@
         let trusted = era == 0
             || is_token_of_era(stored.token, era)
             || settled
-            || self.taken_out == TakenOut::OrdersOfTheEra;
+            || self.disabled == DisabledRule::OrdersOfEra;
         if asked_ms >= me.started_ms && trusted {
             primary_lease.orders_known();
         }
-        if stored.token > me.known.token {
-            me.known = stored.clone();
+        if stored.token > me.known_order.token {
+            me.known_order = stored.clone();
         }
-        me.reading = Some((asked_ms, stored));
+        me.store_read = Some((asked_ms, stored));
     }
 
-    /// Whether an instance counts on its last reading of the store alone, with the rule
-    /// on grants taken out.
+    /// Whether an instance relies on its last read of the store alone, which it does if
+    /// the rule [`DisabledRule::GrantsInEra`] is disabled.
     fn trusts_store(&self, number: usize, term: Term) -> bool {
         let me = &self.instances[number];
-        let fresh = me.reading.as_ref().filter(|(asked_ms, _)| {
+        let fresh = me.store_read.as_ref().filter(|(asked_ms, _)| {
             at(*asked_ms) + STORE_LEASE > at(self.now_ms)
                 && at(*asked_ms) >= at(me.started_ms) + RESTART_PROMISE_WINDOW
         });
         let granted = fresh.is_some_and(|(_, stored)| stored.ended_term() < term);
-        let taken_out = self.taken_out == TakenOut::GrantsBeforeStore;
-        taken_out && granted && term > me.group.primary_lease().retired()
+        let disabled = self.disabled == DisabledRule::GrantsInEra;
+        disabled && granted && term > me.group.primary_lease().retired()
     }
 
-    /// An instance promised an order, which a copy of the store may lack.
-    fn know_order(&mut self, number: usize, ending: &Ending) {
-        let known = &mut self.instances[number].known;
+    /// Records the order that an instance promised, since a backup may lack it.
+    fn record_promised_order(&mut self, number: usize, ending: &Ending) {
+        let known = &mut self.instances[number].known_order;
         if ending.token > known.token {
             *known = StoredOrder {
                 token: ending.token,
@@ -545,7 +555,7 @@
     fn acknowledge(&mut self, to: usize, entry: usize, term: Term) {
         let holds = self.instances[to].group.primary_lease().holds(at(self.now_ms), term)
             || self.trusts_store(to, term);
-        if !holds && self.taken_out != TakenOut::CheckOfAcknowledgements {
+        if !holds && self.disabled != DisabledRule::CheckBeforeAcknowledgement {
             return;
         }
         self.served += 1;
@@ -561,12 +571,12 @@
         if !self.servers.is_up(server) {
             return;
         }
-        let lacking = self.acknowledged.iter().find(|commit| {
+        let missed = self.acknowledged.iter().find(|commit| {
             commit.at_ms < arrived_ms
                 && self.servers.survives(commit.entry)
                 && !self.servers.has(server, commit.entry)
         });
-        if let Some(commit) = lacking {
+        if let Some(commit) = missed {
             self.violation = Some(format!(
                 "STALE: a read of {arrived_ms} ms at server {server} lacks what term {} \
                 acknowledged at {} ms",
@@ -575,7 +585,7 @@
         }
     }
 
-    /// A planned change rolls nothing back that was acknowledged.
+    /// Checks that a planned change does not roll back an acknowledged commit.
     fn check_lost(&mut self, promoted: &servers::Promoted) {
         let lost = self.acknowledged.iter().any(|commit| {
             !self.servers.has(promoted.server, commit.entry) && commit.term == promoted.term - 1
@@ -589,7 +599,7 @@
     fn replace(&mut self, number: usize) {
         match self.instances[number].replacement.clone() {
             None => self.begin_replacement(number),
-            Some(replacement) => self.go_on(number, replacement),
+            Some(replacement) => self.continue_replacement(number, replacement),
         }
     }
 
@@ -617,23 +627,23 @@
         self.instances[number].replacement = Some(replacement);
     }
 
-    fn go_on(&mut self, number: usize, mut replacement: Replacement) {
+    fn continue_replacement(&mut self, number: usize, mut replacement: Replacement) {
         let done = match replacement.step.clone() {
             Step::Claim { until_ms } => {
                 self.now_ms >= until_ms && !self.claim(number, &mut replacement)
             }
-            Step::Collect { agreement, until_ms, asked_ms } => {
-                self.collect(number, &mut replacement, &agreement, until_ms, asked_ms)
+            Step::Collect { tally, until_ms, asked_ms } => {
+                self.collect(number, &mut replacement, &tally, until_ms, asked_ms)
             }
-            Step::Receive { until_ms } => self.receive_all(number, &mut replacement, until_ms),
+            Step::Receive { until_ms } => self.await_successor(number, &mut replacement, until_ms),
         };
-        // It may have been given up while it acted.
+        // The replacement may have been abandoned during the step.
         let given_up = self.instances[number].replacement.is_none();
         self.instances[number].replacement = (!done && !given_up).then_some(replacement);
     }
 
-    /// Takes the duty under a new token, or goes on with one of this life while
-    /// the store is away. Returns whether it could.
+    /// Takes the duty under a new token or, while the store is unavailable, reuses a token
+    /// of the present incarnation. Returns whether that was possible.
     fn claim(&mut self, number: usize, replacement: &mut Replacement) -> bool {
         let me = (number, self.instances[number].life);
         let seen_term = self.instances[number].group.seen_term();
@@ -642,63 +652,66 @@
         if !order_permits(Some(&order), &server_id(replacement.target), seen_term) {
             return false;
         }
-        // Somebody else took the duty since this instance decided to act.
-        let news = self.stored.token != replacement.token && self.stored.holder != Some(me);
+        // Another instance has taken the duty since this one began the replacement.
+        let duty_moved = self.stored.token != replacement.token && self.stored.holder != Some(me);
         if self.store_up && self.instances[number].reaches_store {
-            let Some(next) = self.next_order(number).filter(|_| !news) else {
+            let Some(next) = self.next_order(number).filter(|_| !duty_moved) else {
                 return false;
             };
-            self.note_era(number, self.era);
+            self.observe_era(number, self.era);
             let (target, term) = (replacement.target, replacement.term + 1);
             if self.era > 0 && self.random.per_mille(500) {
                 let due_ms = self.now_ms + self.random.below(2_500);
-                self.order_lost = Some((due_ms, self.stored.clone()));
+                self.pending_restore = Some((due_ms, self.stored.clone()));
             }
             self.stored = StoredOrder { target, term, ..next };
-            self.instances[number].known = self.stored.clone();
+            self.instances[number].known_order = self.stored.clone();
             replacement.token = self.stored.token;
             replacement.written = Some(Written { at_ms: self.now_ms, era: self.era });
         } else {
-            let Some(token) = self.kept_token(number) else {
+            let Some(token) = self.reusable_token(number) else {
                 return false;
             };
             replacement.token = token;
         }
         let ids: Vec<_> = (0..INSTANCES).map(instance_id).collect();
         let written_at = replacement.written.map(|written| at(written.at_ms));
-        let agreement = PromiseTally::new(ids.clone(), ids, written_at);
+        let tally = PromiseTally::new(ids.clone(), ids, written_at);
         let until_ms = self.now_ms + PROMISE_LIMIT_MS;
-        replacement.step = Step::Collect { agreement, until_ms, asked_ms: 0 };
+        replacement.step = Step::Collect { tally, until_ms, asked_ms: 0 };
         true
     }
 
-    /// A token of this life under which nothing was ordered, as far as it knows.
-    fn kept_token(&self, number: usize) -> Option<u64> {
+    /// The token of the present incarnation, if it holds the duty and has ordered nothing
+    /// under the token.
+    fn reusable_token(&self, number: usize) -> Option<u64> {
         let me = &self.instances[number];
-        let ours = me.known.holder == Some((number, me.life)) && me.spent < me.known.token;
-        ours.then_some(me.known.token)
+        let ours = me.known_order.holder == Some((number, me.life))
+            && me.used_token < me.known_order.token;
+        ours.then_some(me.known_order.token)
     }
 
-    /// The last order: the store's, or one that its copy lacks.
+    /// The last order: the one in the store, or a later one that a backup lacked.
     fn last_order(&self, number: usize) -> StoredOrder {
-        let known = &self.instances[number].known;
+        let known = &self.instances[number].known_order;
         if known.token > self.stored.token { known.clone() } else { self.stored.clone() }
     }
 
-    /// What an instance writes when it takes the duty, with the last order; `None` if
-    /// it may not.
+    /// The record, with the last order, that an instance writes when it takes the duty;
+    /// `None` if it may not take it.
     fn next_order(&self, number: usize) -> Option<StoredOrder> {
         let me = &self.instances[number];
         let last = self.last_order(number);
         let mut retired = last.retired;
-        let word_is_needed = self.era > 0 && !is_token_of_era(self.stored.token, self.era);
-        if word_is_needed && self.taken_out != TakenOut::WordOfMost {
-            // It was told in the era that it knows.
-            let told =
+        let majority_is_needed = self.era > 0 && !is_token_of_era(self.stored.token, self.era);
+        if majority_is_needed && self.disabled != DisabledRule::TermsRetiredByMajority {
+            // The voters reported in the latest era that the instance has seen, so that
+            // must be the store's present one.
+            let reported =
                 me.group.primary_lease().retired_by_majority().filter(|_| me.era == self.era)?;
-            retired = retired.max(told);
+            retired = retired.max(reported);
         }
-        let token = if self.taken_out == TakenOut::TokensOfTheEra {
+        let token = if self.disabled == DisabledRule::TokensOfEra {
             self.stored.token + 1
         } else {
             (self.stored.token + 1).max(first_token(self.era))
@@ -706,8 +719,7 @@
         Some(StoredOrder { token, holder: Some((number, me.life)), retired, ..last })
     }
 
-    /// Takes the duty again after the store came back from a copy, with what is known
-    /// of orders.
+    /// Takes the duty again after a restore of the store, with the latest known order.
     fn renew_duty(&mut self, number: usize) {
         let me = &self.instances[number];
         let reaches = self.store_up && me.reaches_store && me.era == self.era && me.era > 0;
@@ -716,7 +728,7 @@
         }
         if let Some(next) = self.next_order(number) {
             self.stored = next;
-            self.instances[number].known = self.stored.clone();
+            self.instances[number].known_order = self.stored.clone();
         }
     }
 
@@ -724,19 +736,19 @@
         &mut self,
         number: usize,
         replacement: &mut Replacement,
-        agreement: &PromiseTally,
+        tally: &PromiseTally,
         until_ms: u64,
         asked_ms: u64,
     ) -> bool {
-        let ready = match agreement.readiness(false) {
+        let ready = match tally.readiness(false) {
             Readiness::From(from) => {
-                from <= at(self.now_ms) || self.taken_out == TakenOut::WaitForSilent
+                from <= at(self.now_ms) || self.disabled == DisabledRule::WaitForUnreachable
             }
-            Readiness::SomeUnreachable => self.taken_out == TakenOut::WaitForSilent,
+            Readiness::SomeUnreachable => self.disabled == DisabledRule::WaitForUnreachable,
             Readiness::TooFewVotes => {
                 let written = replacement.written;
                 let waited = written.is_some_and(|written| written.at_ms + 900 <= self.now_ms);
-                self.taken_out == TakenOut::Majority && waited
+                self.disabled == DisabledRule::Majority && waited
             }
         };
         if ready {
@@ -747,15 +759,15 @@
             return true;
         }
         if self.now_ms >= asked_ms + 100 {
-            let agreement = agreement.clone();
-            let missing: Vec<_> = agreement.missing().map(|id| number_of(id)).collect();
-            replacement.step = Step::Collect { agreement, until_ms, asked_ms: self.now_ms };
-            self.ask_to_end(number, replacement, &missing);
+            let tally = tally.clone();
+            let missing: Vec<_> = tally.missing().map(|id| number_of(id)).collect();
+            replacement.step = Step::Collect { tally, until_ms, asked_ms: self.now_ms };
+            self.request_promises(number, replacement, &missing);
         }
         false
     }
 
-    fn ask_to_end(&mut self, number: usize, replacement: &Replacement, others: &[usize]) {
+    fn request_promises(&mut self, number: usize, replacement: &Replacement, others: &[usize]) {
         let (life, planned) = (self.instances[number].life, replacement.planned);
         let ending = Ending {
             term: replacement.term,
@@ -775,7 +787,7 @@
         }
     }
 
-    fn take_promise(
+    fn record_promise(
         &mut self,
         to: usize,
         from: usize,
@@ -788,16 +800,21 @@
             return;
         };
         match (&mut replacement.step, reply) {
-            (Step::Collect { agreement, .. }, Ok(promise)) => {
-                agreement.promised(now, &instance_id(from), promise);
+            (Step::Collect { tally, .. }, Ok(promise)) => {
+                tally.promised(now, &instance_id(from), promise);
             }
-            // Another change is under way, or over.
+            // Another replacement is in progress or has completed.
             (Step::Collect { .. }, Err(_)) => me.replacement = None,
             _ => {}
         }
     }
 
-    fn receive_all(&mut self, number: usize, replacement: &mut Replacement, until_ms: u64) -> bool {
+    fn await_successor(
+        &mut self,
+        number: usize,
+        replacement: &mut Replacement,
+        until_ms: u64,
+    ) -> bool {
         let side = self.instances[number].side;
         if !self.servers.reachable(side).contains(&replacement.target) {
             return true;
@@ -805,16 +822,16 @@
         let target = replacement.target;
         let old: ServerStatus = self.servers.status(replacement.from);
         let has: Position = self.servers.status(target).received;
-        let waits = self.taken_out != TakenOut::WaitForReceived;
+        let waits = self.disabled != DisabledRule::WaitForSuccessorLog;
         if waits && replacement.planned && has < old.received && self.now_ms < until_ms {
             return false;
         }
-        // Without an answer an order can be carried out seconds later.
+        // An order that was not answered can take effect seconds later.
         let unanswered = self.random.per_mille(100);
         let late = if unanswered { self.random.below(4_000) } else { 0 };
         let effect_ms = self.now_ms + 200 + self.random.below(800) + late;
         let planned = replacement.planned && (has >= old.received || !waits);
-        self.instances[number].spent = replacement.token;
+        self.instances[number].used_token = replacement.token;
         let me = (number, self.instances[number].life);
         let before = self.orders.insert(replacement.token, me);
         if before.is_some_and(|before| before != me) {
@@ -825,8 +842,8 @@
         if !unanswered {
             for other in 0..INSTANCES {
                 let message = Message::Settled { token: replacement.token };
-                self.sent += 1;
-                self.mail.insert((effect_ms + 5, self.sent), (other, message));
+                self.sent_count += 1;
+                self.in_flight.insert((effect_ms + 5, self.sent_count), (other, message));
             }
         }
         true
--- a/lib/tests/right_world/servers.rs
+++ b/lib/tests/lease_world/servers.rs
@@ -1,5 +1,5 @@
-//! Servers of one group. A primary goes on after another one was promoted, for
-//! a second after it can reach the new one.
+//! The simulated servers of one group. A primary continues to lead after another one was
+//! promoted, until it has been able to reach the new one for a second.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use super::Random;
 
 const SERVERS: usize = 3;
-const GOES_ON_MS: u64 = 1_000;
+const STEP_DOWN_DELAY_MS: u64 = 1_000;
 
 pub fn server_id(number: usize) -> TargetId {
     format!("s{number}").into()
@@ -32,22 +32,23 @@
     (0..SERVERS).map(info).collect()
 }
 
-/// A commit, wherever it is kept.
+/// A commit. Logs refer to it by its index in [`Servers`].
 struct Entry {
     term: Term,
-    /// Whether a later term had begun when it was made.
-    late: bool,
+    /// Whether a later term had begun when the commit was made.
+    after_successor: bool,
 }
 
 #[derive(Clone)]
 struct Server {
     up: bool,
-    /// Side of a partition; instances of the other side do not reach it.
+    /// The side of the partition that the server is on. Instances on the other side
+    /// cannot reach it.
     side: usize,
     leads: bool,
     term: Term,
     log: Vec<usize>,
-    /// When it can last have learned of a successor.
+    /// When a replaced primary steps down; `None` before it can reach its successor.
     steps_down_ms: Option<u64>,
 }
 
@@ -69,7 +70,7 @@
     all: Vec<Server>,
     entries: Vec<Entry>,
     orders: Vec<Order>,
-    /// The server that leads the highest term.
+    /// The server that leads in the highest term.
     current: usize,
 }
 
@@ -88,7 +89,7 @@
         Self { all: servers, entries: Vec::new(), orders: Vec::new(), current: 0 }
     }
 
-    pub fn disturb(&mut self, random: &mut Random) {
+    pub fn inject_faults(&mut self, random: &mut Random) {
         let number = usize::try_from(random.below(SERVERS as u64)).unwrap();
         if random.per_mille(1) {
             self.all[number].up ^= true;
@@ -98,7 +99,8 @@
         }
     }
 
-    /// Lets a due order take effect, the logs flow, and old primaries learn.
+    /// Carries out a due order, replicates the log of the current primary and makes old
+    /// primaries step down.
     pub fn step(&mut self, now_ms: u64) -> Option<Promoted> {
         let due = self.orders.iter().position(|order| order.effect_ms <= now_ms);
         let promoted = due.map(|due| self.orders.remove(due)).and_then(|o| self.promote(&o));
@@ -111,7 +113,8 @@
                 continue;
             }
             if self.all[number].leads {
-                let at_ms = *self.all[number].steps_down_ms.get_or_insert(now_ms + GOES_ON_MS);
+                let at_ms =
+                    *self.all[number].steps_down_ms.get_or_insert(now_ms + STEP_DOWN_DELAY_MS);
                 if at_ms > now_ms {
                     continue;
                 }
@@ -120,7 +123,7 @@
             let server = &mut self.all[number];
             server.leads = false;
             server.term = term;
-            // Changes arrive one after the other.
+            // A replica receives at most two entries per step.
             let common = server.log.iter().zip(&log).take_while(|(a, b)| a == b).count();
             server.log.truncate(common);
             server.log.extend(log.iter().skip(common).take(2));
@@ -129,8 +132,8 @@
     }
 
     fn promote(&mut self, order: &Order) -> Option<Promoted> {
-        let known = self.all[order.target].leads && order.target == self.current;
-        if !self.all[order.target].up || known {
+        let already_leads = self.all[order.target].leads && order.target == self.current;
+        if !self.all[order.target].up || already_leads {
             return None;
         }
         let term = self.all[self.current].term + 1;
@@ -155,7 +158,7 @@
         (0..SERVERS).filter(reachable).collect()
     }
 
-    /// Whether a primary of a term answers on this side.
+    /// Whether a primary of `term` is reachable on a side of the partition.
     pub fn primary_answers(&self, side: usize, term: Term) -> bool {
         let leads = |number: &usize| self.all[*number].leads && self.all[*number].term == term;
         self.reachable(side).iter().any(leads)
@@ -179,34 +182,34 @@
         Position::new(term, log.len() as u64)
     }
 
-    /// The reachable replica that received most.
+    /// The reachable replica with the last log position.
     pub fn best_replica(&self, side: usize, from: Option<usize>) -> Option<usize> {
         let reachable = self.reachable(side).into_iter();
         let able = reachable.filter(|number| Some(*number) != from && !self.all[*number].leads);
         able.max_by_key(|number| self.last(*number))
     }
 
-    /// Commits at a server that takes itself for the primary.
+    /// Commits at a server; `None` if it is down or does not take itself for the primary.
     pub fn commit(&mut self, number: usize) -> Option<usize> {
         if !self.all[number].up || !self.all[number].leads {
             return None;
         }
         let entry = self.entries.len();
         let term = self.all[number].term;
-        self.entries.push(Entry { term, late: number != self.current });
+        self.entries.push(Entry { term, after_successor: number != self.current });
         self.all[number].log.push(entry);
         Some(entry)
     }
 
     pub fn was_committed_after_successor(&self, entry: usize) -> bool {
-        self.entries[entry].late
+        self.entries[entry].after_successor
     }
 
     pub fn is_up(&self, number: usize) -> bool {
         self.all[number].up
     }
 
-    /// Whether the present primary has a commit: no promotion rolled it back.
+    /// Whether the current primary has a commit, so that no promotion rolled it back.
     pub fn survives(&self, entry: usize) -> bool {
         self.all[self.current].log.contains(&entry)
     }
--- a/lib/tests/test_group.rs
+++ b/lib/tests/test_group.rs
@@ -1,4 +1,5 @@
-//! What an instance concludes from the answers of a group's servers.
+//! Conclusions that an instance draws from the answers of a group's servers: the primary,
+//! the floors of reads, and the servers for reads.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -81,28 +82,26 @@
 }
 
 #[test]
-fn test_position_of_a_server_that_does_not_lead_is_no_sample() {
-    // Symptom: a bounded read misses a commit that is older than allowed.
-    // Sequence: a write reaches a server that lost the lead meanwhile; its
-    // answer carries a position.
-    // Cause: the position of a replica taken for that of the primary.
+fn test_position_of_a_replica_is_not_a_sample() {
+    // Guards against a bounded read that misses a commit older than its staleness. A server
+    // that lost the lead answers a write with its position, which must not count as a
+    // position of the primary.
     let mut group = group();
     group.observe_leading(at(1_000), at(1_001), &id("r1"), Position::new(1, 50));
     assert_eq!(group.floor(at(1_600), Consistency::Bounded(STALENESS), None), None);
 }
 
 #[test]
-fn test_old_primary_is_not_put_back_after_a_partition() {
-    // Symptom: acknowledged commits vanish, reads lack them.
-    // Sequence: primary p is cut off together with this instance; the others
-    // promote r1 in term 2 and write; here p refuses a write. The partition
-    // heals, p still has its own log 1/270.
-    // Cause: p, the only server reached, was promoted again and rolled back
-    // what was written in term 2.
+fn test_old_primary_is_not_promoted_again_after_a_partition() {
+    // Guards against the loss of acknowledged commits. Primary p and this instance are
+    // partitioned from the others, which promote r1 in term 2 and write to it; p refuses a
+    // write. When the partition ends, p still has its own log up to 1/270. The instance
+    // promoted p, the only server that it had reached, and the commits of term 2 were rolled
+    // back.
     let mut group = group();
     assert!(group.observe_not_leading(&id("p"), 0));
     assert!(!group.may_lead(&status(false, 1, Position::new(1, 270))));
-    // Also when it has heard of term 2 but still has its old log.
+    // The same holds if p has seen term 2 but still has its old log.
     group.observe_status(at(5), at(6), &id("r1"), status(true, 2, Position::new(1, 232)));
     assert!(!group.may_lead(&status(false, 2, Position::new(1, 270))));
     assert!(group.may_lead(&status(false, 2, Position::new(1, 232))));
@@ -110,12 +109,10 @@
 }
 
 #[test]
-fn test_floor_beyond_a_promotion_comes_down_to_what_survived() {
-    // Symptom: after a failover reads of a session are answered LAGGING for
-    // ever.
-    // Sequence: the session commits 1/120; a replica that received 1/110 is
-    // promoted in term 2.
-    // Cause: no server has 1/120 any more.
+fn test_floor_beyond_a_promotion_is_lowered_to_the_last_surviving_entry() {
+    // Guards against a session whose reads are answered LAGGING for ever after a failover.
+    // The session committed 1/120, and a replica that had received 1/110 was promoted in
+    // term 2, so that no server has 1/120 any more.
     let mut group = group();
     group.observe_status(at(5), at(6), &id("r1"), status(true, 2, Position::new(1, 110)));
     assert_eq!(group.surviving(Position::new(1, 120)), Position::new(1, 110));
@@ -133,28 +130,28 @@
 }
 
 #[test]
-fn test_replica_behind_is_asked_again_when_its_delay_has_passed() {
-    // Symptom: a third of all statements is answered LAGGING.
-    // Sequence: replicas apply changes five seconds late.
-    // Cause: each read asked them again after a fixed short time.
+fn test_lagging_replica_gets_reads_again_when_its_delay_has_passed() {
+    // Guards against reads that are sent to a delayed replica too early. When replicas applied
+    // changes five seconds late and each read tried them again after a fixed short time, a
+    // third of all statements was answered LAGGING.
     let mut group = group();
     for step in 1..=50 {
         let asked_at = at(step * 100);
         group.observe_leading(asked_at, asked_at, &id("p"), Position::new(1, 100 + step));
     }
-    // r1 has 1/110, which the primary went beyond at 1,100 ms: 3.9 s behind.
+    // r1 has 1/110, and the primary was first beyond it at 1,100 ms: r1 is 3.9 s behind.
     group.observe_answer(at(5_000), &id("r1"), Some(Position::new(1, 110)));
     assert!(group.can_read(at(5_000), &id("r1"), Position::new(1, 110)));
     assert!(!group.can_read(at(5_000), &id("r1"), Position::new(1, 130)));
     assert!(group.can_read(at(6_900), &id("r1"), Position::new(1, 130)));
-    // Silent for half a second, it is asked whether it has caught up.
+    // Half a second after its last answer, r1 is due for a query.
     let lagging_replicas: Vec<_> =
         group.lagging_replicas(at(5_600)).map(|view| view.info.id.clone()).collect();
     assert_eq!(lagging_replicas, [id("r1")]);
 }
 
 #[test]
-fn test_reads_go_to_replicas_first_and_never_to_leaving_ones() {
+fn test_reads_go_to_replicas_first_and_never_to_draining_ones() {
     let mut group = group();
     let floor = Position::new(1, 100);
     assert_eq!(group.readers(at(10), floor), [id("r1"), id("r2"), id("p")]);
@@ -166,11 +163,10 @@
 }
 
 #[test]
-fn test_server_that_begins_to_lead_in_the_list_is_asked_for_its_term() {
-    // Symptom: for a second after a failover each instance asks a dead server.
-    // Sequence: another instance replaces the primary; the list names both
-    // the dead one and the new one as primary.
-    // Cause: entries of the list have no term, so only a question tells.
+fn test_server_that_is_newly_listed_as_primary_is_queried_for_its_term() {
+    // Guards against instances that use a failed server for a second after a failover. While
+    // the list names both the failed and the new primary, only a query of the servers shows
+    // which is the later one, because entries of the list have no term.
     let mut group = group();
     group.take_claimants();
     group.set_servers(at(9), vec![listed("p", true), listed("r1", true), listed("r2", false)]);
@@ -178,13 +174,13 @@
     assert!(group.leads(&id("p")));
     assert!(group.observe_status(at(9), at(10), &id("r1"), status(true, 2, Position::new(1, 100))));
     assert!(group.leads(&id("r1")));
-    // A late answer of the old one does not turn that back.
+    // A late answer of the old primary does not revert the change.
     assert!(!group.observe_status(at(8), at(11), &id("p"), status(true, 1, Position::new(1, 100))));
     assert!(group.leads(&id("r1")));
 }
 
 #[test]
-fn test_leader_that_others_know_in_a_later_term_is_believed() {
+fn test_leader_that_others_report_in_a_later_term_is_adopted() {
     let mut group = group();
     assert!(!group.observe_reported_leader(at(5), &id("r1"), 1));
     assert!(!group.observe_reported_leader(at(5), &id("unlisted"), 2));
@@ -193,10 +189,9 @@
 }
 
 #[test]
-fn test_sample_heard_from_others_serves_as_a_floor() {
-    // Symptom: a busy primary gets all reads of an instance.
-    // Sequence: the primary refuses the instance's questions for its position.
-    // Cause: without a sample no replica may answer.
+fn test_sample_reported_by_others_serves_as_a_floor() {
+    // Guards against a busy primary that gets all reads of an instance. The primary refuses
+    // the instance's queries for its position, and without a sample no replica may answer.
     let mut group = group();
     group.observe_reported_position(at(2_000), Position::new(1, 140));
     let floor = group.floor(at(2_500), Consistency::Bounded(STALENESS), None);
@@ -204,8 +199,8 @@
 }
 
 quickcheck! {
-    /// Whatever was sampled, a floor covers every commit that was acknowledged
-    /// longer ago than the staleness.
+    /// For any sequence of samples, a floor covers every commit that was acknowledged longer
+    /// ago than the staleness.
     fn prop_floor_covers_commits_older_than_the_staleness(
         steps: Vec<(u8, u8)>,
         read_after: u16,
@@ -234,11 +229,10 @@
 }
 
 #[test]
-fn test_slow_statement_is_no_doubt_while_the_primary_answers_others() {
-    // Symptom: questions to a loaded primary take the slots that statements
-    // wait for.
-    // Sequence: a statement waits in the primary's queue; others are answered.
-    // Cause: each slow statement led to a question on a new connection.
+fn test_slow_statement_raises_no_suspicion_while_the_primary_answers_others() {
+    // Guards against probes of a loaded primary that take the slots statements wait for. A
+    // statement waits in the primary's queue while others are answered, and each slow
+    // statement caused a probe on a new connection.
     let mut group = group();
     group.observe_answer(at(950), &id("p"), None);
     assert!(!group.suspect(at(1_000), &id("p")));
@@ -258,7 +252,7 @@
         group.observe_status(at(0), at(1), &id(name), status(false, 1, position));
     }
     assert_eq!(group.readers(at(2), position)[0], id("r2"));
-    // Not when it has more to do than the other.
+    // The other replica is preferred if it has fewer running statements.
     group.begin_running("r2");
     assert_eq!(group.readers(at(2), position)[0], id("r1"));
 }
@@ -269,11 +263,9 @@
 }
 
 #[test]
-fn test_old_primary_that_goes_on_is_not_followed() {
-    // Symptom: writes are acknowledged and lost.
-    // Sequence: another server was promoted and its term seen; the old primary
-    // goes on and says that it leads.
-    // Cause: whoever says that it leads was believed.
+fn test_replaced_primary_that_still_reports_to_lead_is_not_followed() {
+    // Guards against acknowledged writes that are lost. After another server was promoted and
+    // its term seen, the old primary still reports that it leads, and was followed again.
     let mut group = Group::default();
     group.set_servers(at(0), vec![listed("p", true), listed("r1", false)]);
     group.observe_status(at(0), at(1), &"p".into(), leading(1, 5));
@@ -284,12 +276,10 @@
 }
 
 #[test]
-fn test_primary_whose_successor_was_seen_is_given_up() {
-    // Symptom: a planned change promotes a server that lacks acknowledged
-    // commits.
-    // Sequence: a replica tells a later term; the old primary is taken for the
-    // present one and replaced in its place.
-    // Cause: a term seen at a replica did not count.
+fn test_primary_whose_successor_was_seen_is_dropped() {
+    // Guards against a planned change that promotes a server without acknowledged commits. A
+    // replica reports a later term. The term was ignored, so the change replaced the current
+    // primary while it meant to replace the old one.
     let mut group = Group::default();
     group.set_servers(at(0), vec![listed("p", true), listed("r1", false)]);
     group.observe_status(at(0), at(1), &"p".into(), leading(1, 5));
@@ -300,15 +290,14 @@
 
 #[test]
 fn test_primary_that_was_started_again_without_its_log_is_not_followed() {
-    // Symptom: sessions do not see what they wrote.
-    // Sequence: a primary is started again under its old id, with an empty log.
-    // Cause: it was taken for the server it had been.
+    // Guards against sessions that do not see their own writes. A primary restarted under its
+    // old id with an empty log, and was taken for the server that it had been.
     let mut group = Group::default();
     group.set_servers(at(0), vec![listed("p", true), listed("r1", false)]);
     group.observe_status(at(0), at(1), &"p".into(), leading(1, 5));
     let again = ServerInfo { start: "2".into(), ..listed("p", true) };
     group.set_servers(at(10), vec![again, listed("r1", false)]);
-    assert_eq!(group.leader(), None, "it has to tell its state first");
+    assert_eq!(group.leader(), None, "its state is not known yet");
     assert_eq!(group.server("p").map(|view| view.applied), Some(Position::ZERO));
     group.observe_status(at(20), at(21), &"p".into(), leading(1, 0));
     assert_eq!(group.leader(), None, "it lacks what it acknowledged");
--- a/lib/tests/test_replacement.rs
+++ b/lib/tests/test_replacement.rs
@@ -1,4 +1,4 @@
-//! When a primary is doubted and replaced, by whom, and under which token.
+//! When a primary is suspected and replaced, by which instance, and under which token.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -59,10 +59,11 @@
     actions.iter().any(|action| matches!(action, WatchAction::AskPeers(_)))
 }
 
-const NOBODY_REACHES: PeerReports =
+const NONE_REACHES: PeerReports =
     PeerReports { reached: 0, failed: 5, unknown: 0, silent: 0, replacing: false };
 
-/// Lets every probe fail until others are asked; returns the time.
+/// Lets every probe of the primary fail until the other instances are asked. Returns the
+/// time in milliseconds.
 fn until_asked(watch: &mut LeaderWatch, group: &mut Group, from_ms: u64) -> u64 {
     let mut ms = from_ms;
     loop {
@@ -83,22 +84,21 @@
 }
 
 #[test]
-fn test_dead_primary_is_replaced_within_a_second_of_the_first_sign() {
+fn test_failed_primary_is_replaced_within_a_second_of_the_first_failure() {
     let (mut watch, mut group) = (LeaderWatch::default(), group(false));
     group.observe_failure(at(1_000), &id("p"));
     let asked_ms = until_asked(&mut watch, &mut group, 1_000);
-    watch.heard(at(asked_ms + 5), Some(&id("p")), NOBODY_REACHES);
+    watch.heard(at(asked_ms + 5), Some(&id("p")), NONE_REACHES);
     let actions = watch.tick(at(asked_ms + 10), &group, Some(0));
     assert_eq!(replaces(&actions), Some(ReplaceReason::Unreachable));
     assert!(asked_ms < 2_000, "asked after {asked_ms} ms");
 }
 
 #[test]
-fn test_primary_that_went_dark_is_asked_about_after_two_probes() {
-    // Symptom: writes wait 770 ms before anybody replaces a dead primary.
-    // Sequence: the primary goes dark; a statement that is at it takes long;
-    // each probe takes 250 ms to fail.
-    // Cause: the probe that the statement brought about did not count.
+fn test_peers_are_asked_about_an_unresponsive_primary_after_two_probes() {
+    // Guards against a slow detection of an unresponsive primary, in which writes waited
+    // 770 ms before its replacement began. A statement takes long, and each probe takes
+    // 250 ms to fail; the probe that the statement caused did not count as a failed one.
     let (mut watch, mut group) = (LeaderWatch::default(), group(false));
     group.observe_answer(at(900), &id("p"), None);
     let first = watch.suspected(at(1_000), &group);
@@ -124,13 +124,11 @@
 }
 
 #[test]
-fn test_primary_whose_term_is_not_known_is_asked_though_its_position_is() {
-    // Symptom: after a power loss an instance refuses all writes of a group for
-    // as long as it runs, as if it were cut off.
-    // Sequence: its first question to the primary is refused for too many
-    // connections; then other instances tell it what the primary has reached.
-    // Cause: a fresh position kept it from asking, and only an answer tells the
-    // term that it needs a right for.
+fn test_primary_of_unknown_term_is_queried_although_its_position_is_known() {
+    // Guards against an instance that refuses all writes of a group for as long as it runs.
+    // After a power loss, its first query to the primary was refused for too many
+    // connections, and other instances reported the primary's position. With a recent
+    // position it sent no further query, so it never got the term that the lease needs.
     let (mut watch, mut group) = (LeaderWatch::default(), group(false));
     for ms in (0..2_000).step_by(100) {
         group.observe_reported_position(at(ms), Position::new(1, ms + 1));
@@ -142,9 +140,8 @@
 
 #[test]
 fn test_suspicion_ends_with_an_answer() {
-    // Symptom: a primary that only was slow is probed again and again.
-    // Sequence: a statement takes long; the probe that follows is answered.
-    // Cause: nothing ended the suspicion.
+    // Guards against endless probes of a primary that was only slow. A statement took long,
+    // and the answer to the following probe did not end the suspicion.
     let (mut watch, mut group) = (LeaderWatch::default(), group(false));
     watch.suspected(at(1_000), &group);
     group.observe_answer(at(1_020), &id("p"), None);
@@ -156,26 +153,24 @@
 
 #[test]
 fn test_primary_that_another_instance_reaches_is_kept() {
-    // Symptom: 62 acknowledged commits are rolled back.
-    // Sequence: a primary is cut off from half of the instances and from its
-    // replicas; the other half writes on it.
-    // Cause: one of the instances that did not reach it replaced it.
+    // Guards against a replacement that rolled back 62 acknowledged commits. A partition
+    // separated the primary from its replicas and half of the instances; the other half
+    // wrote to it, and an instance that could not reach it replaced it.
     let (mut watch, mut group) = (LeaderWatch::default(), group(false));
     group.observe_failure(at(0), &id("p"));
     let asked_ms = until_asked(&mut watch, &mut group, 0);
-    let opinions = PeerReports { reached: 1, failed: 4, ..PeerReports::default() };
+    let reports = PeerReports { reached: 1, failed: 4, ..PeerReports::default() };
     for round in 0..20 {
         let ms = asked_ms + round * 200;
-        watch.heard(at(ms), Some(&id("p")), opinions);
+        watch.heard(at(ms), Some(&id("p")), reports);
         assert_eq!(replaces(&watch.tick(at(ms + 1), &group, Some(0))), None);
     }
 }
 
 #[test]
 fn test_one_failed_statement_does_not_replace_a_primary() {
-    // Symptom: a second without writes though the primary is alive.
-    // Sequence: one answer is lost; the next probe succeeds.
-    // Cause: one sign taken for enough.
+    // Guards against a second without writes although the primary works. One answer is
+    // lost and the next probe succeeds; a single failure must not cause a replacement.
     let (mut watch, mut group) = (LeaderWatch::default(), group(false));
     group.observe_failure(at(0), &id("p"));
     let actions = watch.tick(at(10), &group, Some(0));
@@ -188,34 +183,32 @@
 }
 
 #[test]
-fn test_instances_that_know_nothing_delay_the_decision_only_for_a_while() {
-    let opinions = PeerReports { failed: 2, unknown: 3, ..PeerReports::default() };
-    assert!(!should_replace(opinions, 1, false));
-    assert!(should_replace(opinions, 3, false));
+fn test_instances_without_a_report_delay_the_decision_only_for_a_while() {
+    let reports = PeerReports { failed: 2, unknown: 3, ..PeerReports::default() };
+    assert!(!should_replace(reports, 1, false));
+    assert!(should_replace(reports, 3, false));
 }
 
 #[test]
 fn test_minority_behind_a_partition_does_not_replace_a_primary() {
-    // Symptom: 45 acknowledged commits are rolled back, and five of eight
-    // instances have no primary for four seconds.
-    // Sequence: a partition leaves the primary with five instances, and its
-    // replicas with the other three.
-    // Cause: the three took the silence of the five for agreement.
+    // Guards against a replacement that rolled back 45 acknowledged commits and left five of
+    // eight instances without a primary for four seconds. A partition separated the primary
+    // and five instances from its replicas and the other three, which counted the five
+    // unreachable instances as votes for the replacement.
     let minority = PeerReports { failed: 2, silent: 5, ..PeerReports::default() };
     assert!(!should_replace(minority, 9, false));
     let half = PeerReports { failed: 2, silent: 3, ..PeerReports::default() };
     assert!(!should_replace(half, 9, false));
     let majority = PeerReports { failed: 4, silent: 3, ..PeerReports::default() };
     assert!(should_replace(majority, 9, false));
-    // Instances that stay silent are taken for dead at last.
+    // In a lasting suspicion, unresponsive instances count as failed.
     assert!(should_replace(minority, 9, true));
 }
 
-/// Symptom: clients on the smaller side of a partition waited 760 ms and more for
-/// a primary on the other side, and were told then that there is none.
-/// Sequence: a primary is cut off together with most of the instances that hold
-/// its group. Cause: those that are left doubted it, asked each other, and went on
-/// waiting for it or for a successor that they cannot make.
+/// Guards against clients on the smaller side of a partition that waited 760 ms and more
+/// before their requests failed for lack of a primary. The primary and most instances were
+/// on the other side; the remaining instances continued to wait for it, or for a successor
+/// that they are too few to promote.
 #[test]
 fn test_primary_beyond_a_partition_is_given_up_until_it_answers() {
     let minority = PeerReports { reached: 0, failed: 1, unknown: 0, silent: 6, replacing: false };
@@ -227,32 +220,32 @@
     assert_eq!(watch.out_of_reach(), None, "one round may be lost");
     watch.heard(at(ms + 200), Some(&id("p")), minority);
     assert_eq!(watch.out_of_reach(), Some(&id("p")));
-    assert!(group.set_out_of_reach(watch.out_of_reach()), "news");
-    assert!(!group.set_out_of_reach(watch.out_of_reach()), "no news any more");
+    assert!(group.set_out_of_reach(watch.out_of_reach()), "first report");
+    assert!(!group.set_out_of_reach(watch.out_of_reach()), "repeated report");
     assert!(group.is_cut_off(at(ms + 200)));
     group.observe_answer(at(ms + 300), &id("p"), None);
     assert!(!group.is_cut_off(at(ms + 300)));
 }
 
-/// Where it can be replaced, or reached, or is being replaced, it is waited for.
+/// A primary that can be reached or replaced, or that is being replaced, is waited for.
 #[test]
 fn test_primary_that_can_be_replaced_or_reached_is_not_given_up() {
-    let some = PeerReports { reached: 0, failed: 1, unknown: 0, silent: 6, replacing: false };
+    let minority = PeerReports { reached: 0, failed: 1, unknown: 0, silent: 6, replacing: false };
     let waited_for = [
-        PeerReports { failed: 6, silent: 1, ..some },
-        PeerReports { reached: 1, ..some },
-        PeerReports { unknown: 1, ..some },
-        PeerReports { replacing: true, ..some },
+        PeerReports { failed: 6, silent: 1, ..minority },
+        PeerReports { reached: 1, ..minority },
+        PeerReports { unknown: 1, ..minority },
+        PeerReports { replacing: true, ..minority },
     ];
-    for opinions in waited_for {
+    for reports in waited_for {
         let mut watch = LeaderWatch::default();
         let mut group = group(false);
         group.observe_failure(at(0), &id("p"));
         let ms = until_asked(&mut watch, &mut group, 0);
         for round in 0..3 {
-            watch.heard(at(ms + 200 * round), Some(&id("p")), opinions);
+            watch.heard(at(ms + 200 * round), Some(&id("p")), reports);
         }
-        assert_eq!(watch.out_of_reach(), None, "{opinions:?}");
+        assert_eq!(watch.out_of_reach(), None, "{reports:?}");
     }
 }
 
@@ -261,7 +254,7 @@
     let (mut watch, mut group) = (LeaderWatch::default(), group(false));
     group.observe_failure(at(0), &id("p"));
     let asked_ms = until_asked(&mut watch, &mut group, 0);
-    watch.heard(at(asked_ms), Some(&id("p")), NOBODY_REACHES);
+    watch.heard(at(asked_ms), Some(&id("p")), NONE_REACHES);
     assert_eq!(replaces(&watch.tick(at(asked_ms + 1), &group, Some(1))), None);
     assert!(replaces(&watch.tick(at(asked_ms + 800), &group, Some(1))).is_some());
     assert_eq!(replaces(&watch.tick(at(asked_ms + 5_000), &group, None)), None);
@@ -269,22 +262,20 @@
 
 #[test]
 fn test_instance_that_cannot_take_the_duty_leaves_it_to_the_next() {
-    // Symptom: a group has no primary for twelve seconds.
-    // Sequence: the store turns away the instance that comes first, and serves
-    // the others; the primary dies.
-    // Cause: it tried again as soon as it had failed, and the others waited for
-    // it.
+    // Guards against a group without a primary for twelve seconds. The store refused the
+    // instance that is first in the succession. That instance retried as soon as it had
+    // failed, and the others waited for it.
     let (mut watch, mut group) = (LeaderWatch::default(), group(false));
     group.observe_failure(at(0), &id("p"));
     let asked_ms = until_asked(&mut watch, &mut group, 0);
-    watch.heard(at(asked_ms), Some(&id("p")), NOBODY_REACHES);
+    watch.heard(at(asked_ms), Some(&id("p")), NONE_REACHES);
     watch.replacing(at(asked_ms));
     watch.step_back(at(asked_ms + 10));
     watch.replacement_failed(at(asked_ms + 10));
     assert_eq!(replaces(&watch.tick(at(asked_ms + 3_000), &group, Some(0))), None);
     let mut next = LeaderWatch::default();
     let next_asked_ms = until_asked(&mut next, &mut group, 0);
-    next.heard(at(next_asked_ms), Some(&id("p")), NOBODY_REACHES);
+    next.heard(at(next_asked_ms), Some(&id("p")), NONE_REACHES);
     assert!(replaces(&next.tick(at(next_asked_ms + 700), &group, Some(1))).is_some());
     assert!(replaces(&watch.tick(at(asked_ms + 4_000), &group, Some(0))).is_some());
 }
@@ -294,7 +285,7 @@
     let (mut watch, mut group) = (LeaderWatch::default(), group(false));
     group.observe_failure(at(0), &id("p"));
     let asked_ms = until_asked(&mut watch, &mut group, 0);
-    let replacing = PeerReports { replacing: true, ..NOBODY_REACHES };
+    let replacing = PeerReports { replacing: true, ..NONE_REACHES };
     watch.heard(at(asked_ms), Some(&id("p")), replacing);
     assert_eq!(replaces(&watch.tick(at(asked_ms + 2_000), &group, Some(0))), None);
     assert!(replaces(&watch.tick(at(asked_ms + 2_600), &group, Some(0))).is_some());
@@ -318,12 +309,10 @@
 
 #[test]
 fn test_leaving_server_that_only_the_list_names_as_primary_is_not_replaced() {
-    // Symptom: a planned change promotes a server that lacks acknowledged
-    // commits.
-    // Sequence: an instance starts just after a change; the list still names the
-    // old primary, which goes on and leaves, while a replica told of the new
-    // term.
-    // Cause: the old primary was replaced in the place of its successor.
+    // Guards against a planned change that promotes a server without acknowledged commits.
+    // An instance starts just after a change of the primary, when the list still names the
+    // old one, which drains, and a replica reports the new term. The instance replaced the
+    // successor while it meant to replace the old primary.
     let (mut watch, group) = (LeaderWatch::default(), group(true));
     assert_eq!(replaces(&watch.tick(at(10), &group, Some(0))), None);
 }
@@ -360,11 +349,9 @@
 
 #[test]
 fn test_each_claim_of_a_duty_raises_its_token() {
-    // Symptom: an order to promote that was given up is carried out seconds
-    // later and undoes a newer one.
-    // Sequence: an order gets no answer; another server is promoted.
-    // Cause: both orders had the same token, so the platform could not tell
-    // that the first one was outdated.
+    // Guards against an abandoned promotion order that takes effect seconds later and undoes
+    // a newer one. The first order got no answer, and another server was promoted under the
+    // same token, so the platform could not reject the first order as outdated.
     let group = "db".into();
     let first = duty::next_record(&group, &instance("a", 1), None, None, 0);
     let second = duty::next_record(&group, &instance("a", 1), Some(&first), None, 0);
@@ -388,12 +375,12 @@
     assert_eq!(order.len(), 4);
 }
 
-/// Symptom: a replica that is well gets no reads, and the primary has them all.
-/// Sequence: a replica falls behind; the way to it is cut, and an exchange fails; it
-/// comes back. Cause: reads pass over a replica that is far behind, and only one
-/// that has not failed was asked whether it still is.
+/// Guards against a working replica that gets no reads, so that the primary serves all of
+/// them. The replica fell behind, and an exchange failed during a partition. Reads avoid a
+/// replica that is far behind, and lagging replicas were queried only if they had not
+/// failed.
 #[test]
-fn test_replica_that_failed_while_it_lagged_is_asked_until_it_answers() {
+fn test_replica_that_failed_while_lagging_is_probed_until_it_answers() {
     let (mut watch, mut group) = (LeaderWatch::default(), group(false));
     let status = |leads, received, applied| ServerStatus {
         leads,
--- a/lib/tests/test_replacement_exploration.rs
+++ b/lib/tests/test_replacement_exploration.rs
@@ -1,5 +1,5 @@
-//! Random partitions, deaths and writes on a virtual clock: several instances
-//! run the decisions on primaries against one group of servers.
+//! Random partitions, server failures and writes on a virtual clock. Several instances run
+//! the real decisions on when to replace a primary against one simulated group.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -25,10 +25,11 @@
 const SERVERS: usize = 3;
 const TICK_MS: u64 = 50;
 const PROMOTE_MS: u64 = 300;
-/// Longest age of a vote: the time between two rounds of questions, and a tick.
+/// Longest age of a vote: the time between two rounds of requests to the other instances,
+/// plus a tick.
 const VOTE_AGE_MS: u64 = 250;
 
-/// A small generator: the same seed gives the same run.
+/// A pseudorandom generator. The same seed gives the same run.
 struct Random(u64);
 
 impl Random {
@@ -64,27 +65,28 @@
     servers: Vec<Server>,
     leader: usize,
     instances: Vec<Instance>,
-    /// Side of the partition of each instance and server; all 0 without one.
+    /// The side of the partition that each instance is on; all 0 without a partition.
     instance_side: Vec<usize>,
+    /// The side of the partition that each server is on.
     server_side: Vec<usize>,
     duty: Option<DutyRecord>,
-    /// The duty as it was, for copies of the store.
+    /// Earlier duty records, to which the store can be restored.
     earlier_duties: Vec<DutyRecord>,
-    /// How often the store came back from a copy.
+    /// How often the store was restored from a backup.
     era: Era,
-    /// Whether it does.
-    has_copies: bool,
+    /// Whether the store is restored in this run.
+    has_backups: bool,
     highest_token: u64,
-    /// When the promotion of a server takes effect.
+    /// The ordered promotion: when it takes effect, and of which server.
     pending: Option<(u64, usize)>,
-    /// The instance that ordered it.
+    /// The instance that ordered the promotion.
     ordered_by: Option<usize>,
     promotions: usize,
     /// Whether more than half of the instances reached the primary when a
     /// promotion of another server was ordered.
     replaced_in_use: bool,
-    /// Whether a server with a log that had been cut off was promoted.
-    promoted_cut_off: bool,
+    /// Whether a server was promoted whose log held entries that had been rolled back.
+    promoted_rolled_back: bool,
 }
 
 fn server_id(number: usize) -> TargetId {
@@ -119,13 +121,13 @@
             duty: None,
             earlier_duties: Vec::new(),
             era: 0,
-            has_copies: seed % 2 == 1,
+            has_backups: seed % 2 == 1,
             highest_token: 0,
             pending: None,
             ordered_by: None,
             promotions: 0,
             replaced_in_use: false,
-            promoted_cut_off: false,
+            promoted_rolled_back: false,
         };
         for _ in 0..INSTANCES {
             let mut group = Group::default();
@@ -153,9 +155,9 @@
         self.servers[server].up && self.instance_side[instance] == self.server_side[server]
     }
 
-    fn disturb(&mut self) {
-        if self.has_copies && self.random.chance(1) {
-            self.come_back_from_a_copy();
+    fn inject_faults(&mut self) {
+        if self.has_backups && self.random.chance(1) {
+            self.restore_backup();
         }
         if self.random.chance(3) {
             self.changed_ms = self.now_ms;
@@ -178,7 +180,7 @@
         }
     }
 
-    /// The primary commits, and the replicas it reaches receive its log.
+    /// Commits at the primary and replicates its log to the replicas that it reaches.
     fn write(&mut self) {
         let leader = self.leader;
         if !self.servers[leader].up {
@@ -217,27 +219,27 @@
     }
 
     fn ask(&mut self, instance: usize, leader: Option<&TargetId>) {
-        let mut opinions = PeerReports::default();
+        let mut reports = PeerReports::default();
         let now = self.now();
         for other in (0..INSTANCES).filter(|other| *other != instance) {
             if self.instance_side[other] != self.instance_side[instance] {
-                opinions.silent += 1;
+                reports.silent += 1;
                 continue;
             }
-            // The answer of an instance says whether it replaces the primary.
-            opinions.replacing |= self.pending.is_some() && self.ordered_by == Some(other);
+            // An instance reports whether it is replacing the primary.
+            reports.replacing |= self.pending.is_some() && self.ordered_by == Some(other);
             let known = self.instances[other].group.leader().cloned();
             if let Some(known) = known {
                 self.instances[instance].group.observe_reported_leader(now, &known.id, known.term);
             }
             let number = (0..SERVERS).find(|number| leader == Some(&server_id(*number)));
             match number {
-                Some(number) if self.reaches(other, number) => opinions.reached += 1,
-                Some(_) => opinions.failed += 1,
-                None => opinions.unknown += 1,
+                Some(number) if self.reaches(other, number) => reports.reached += 1,
+                Some(_) => reports.failed += 1,
+                None => reports.unknown += 1,
             }
         }
-        self.instances[instance].watch.heard(now, leader, opinions);
+        self.instances[instance].watch.heard(now, leader, reports);
     }
 
     fn replace(&mut self, instance: usize, from: Option<&TargetId>) {
@@ -280,17 +282,17 @@
         let now = self.now();
         self.instances[instance].watch.replacing(now);
         let reaching = (0..INSTANCES).filter(|other| self.reaches(*other, self.leader)).count();
-        // Votes are up to one round of questions old: a network or a primary that
-        // changed since then can make any decision wrong. Whoever promises an order
-        // finds the later term.
+        // Votes can be as old as one round of requests. A change of the partition or the
+        // primary since then can make the decision wrong; in the real system a voter that
+        // is asked for its promise then detects the later term.
         let stable = self.now_ms >= self.changed_ms + VOTE_AGE_MS;
         self.replaced_in_use |= stable && reaching * 2 > INSTANCES && best != self.leader;
         self.pending = Some((self.now_ms + PROMOTE_MS, best));
         self.ordered_by = Some(instance);
     }
 
-    /// The store comes back with the duty as it was before. The last order stays known.
-    fn come_back_from_a_copy(&mut self) {
+    /// Restores the store to an earlier duty record. The instances keep the last order.
+    fn restore_backup(&mut self) {
         let Some(latest) = self.duty.clone() else {
             return;
         };
@@ -316,10 +318,10 @@
         }
         let old = self.servers[self.leader].log.clone();
         let new = self.servers[number].log.clone();
-        // A log from before an earlier promotion that goes on where the later
-        // term had begun.
+        // The new primary's log must be a prefix of the old one. Otherwise it holds entries
+        // that an earlier promotion rolled back.
         let common = old.iter().zip(&new).take_while(|(a, b)| a == b).count();
-        self.promoted_cut_off |= common < new.len();
+        self.promoted_rolled_back |= common < new.len();
         self.promotions += 1;
         let term = self.servers[self.leader].term + 1;
         self.leader = number;
@@ -329,11 +331,11 @@
 
     fn step(&mut self) {
         self.now_ms += TICK_MS;
-        self.disturb();
+        self.inject_faults();
         self.promote_due();
         self.write();
         for instance in 0..INSTANCES {
-            // Traffic: each instance notices at once that its primary is gone.
+            // Due to its traffic, each instance detects at once that its primary is gone.
             let leader = self.instances[instance].group.leader().map(|leader| leader.id.clone());
             if let Some(number) = (0..SERVERS).find(|n| leader == Some(server_id(*n))) {
                 self.probe(instance, number);
@@ -360,7 +362,7 @@
                 self.probe(instance, number);
             }
             WatchAction::AskPeers(leader) => self.ask(instance, leader.as_ref()),
-            // What a last resort loses is lost with the servers that are gone.
+            // A replacement as a last resort may lose the commits of failed servers.
             WatchAction::Replace { reason: ReplaceReason::LastResort, .. } => {}
             WatchAction::Replace { from, .. } => self.replace(instance, from.as_ref()),
         }
@@ -368,9 +370,10 @@
 }
 
 #[test]
-fn test_no_run_loses_what_a_majority_could_still_use() {
+fn test_no_run_replaces_a_usable_primary_or_promotes_rolled_back_entries() {
     let mut promotions = 0;
-    // The last one once took effect as another instance acted on an older answer.
+    // With seed 5572 a promotion takes effect while another instance acts on an older
+    // report.
     for seed in (0..400).chain([5_572]) {
         let mut world = World::new(seed);
         for _ in 0..400 {
@@ -382,18 +385,18 @@
                 world.now_ms
             );
             assert!(
-                !world.promoted_cut_off,
-                "seed {seed} at {} ms: a log that was cut off leads",
+                !world.promoted_rolled_back,
+                "seed {seed} at {} ms: a server with rolled back entries was promoted",
                 world.now_ms
             );
         }
         promotions += world.promotions;
     }
-    assert!(promotions > 100, "the runs bring failovers about: {promotions}");
+    assert!(promotions > 100, "too few promotions: {promotions}");
 }
 
 #[test]
-fn test_calm_group_keeps_its_primary() {
+fn test_group_without_failures_keeps_its_primary() {
     let mut world = World::new(7);
     for _ in 0..400 {
         world.now_ms += TICK_MS;
--- a/lib/tests/test_store_copy.rs
+++ b/lib/tests/test_store_restore.rs
@@ -1,4 +1,4 @@
-//! What holds when the platform's store came back from an older copy.
+//! Guarantees after the platform's store was restored from a backup.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -25,73 +25,75 @@
     ["i0", "i1", "i2", "i3"].map(Into::into).to_vec()
 }
 
-/// The right of an instance that votes, as three others do.
-fn primary_lease(me: &InstanceId) -> PrimaryLease {
-    let mut primary_lease = PrimaryLease::default();
-    primary_lease.set_voters(me, &ids());
-    primary_lease
+/// The lease state of one of four voters.
+fn lease_of(me: &InstanceId) -> PrimaryLease {
+    let mut lease = PrimaryLease::default();
+    lease.set_voters(me, &ids());
+    lease
 }
 
 fn ending(written_era: Option<Era>) -> Ending {
     Ending { term: 1, token: 5, successor: "s1".into(), withdrawn: 0, written_era }
 }
 
-/// What the store's copy, read at `asked_at` in era 2, grants.
-fn read_copy(primary_lease: &mut PrimaryLease, asked_at: Moment) {
-    primary_lease.record_store_grant(asked_at, 0, 2);
+/// Records a read of the restored store at `asked_at`, in era 2.
+fn read_restored_store(lease: &mut PrimaryLease, asked_at: Moment) {
+    lease.record_store_grant(asked_at, 0, 2);
 }
 
-/// Guards against an order that only the lost history of the store held: one instance
-/// reads the copy and uses the old primary, the others promise for that order.
+/// Guards against a promotion while the old primary is in use. The order was lost by the
+/// restore of the store: one instance reads the restored store and continues to use the old
+/// primary, and the other voters are asked to promise for the lost order.
 #[test]
-fn test_order_of_the_lost_history_gets_no_promise_of_one_that_knows_of_the_copy() {
+fn test_order_lost_by_a_restore_gets_no_promise_of_a_voter_in_the_new_era() {
     let ids = ids();
-    let mut cut_off = primary_lease(&ids[0]);
-    let mut voters: Vec<_> = ids[1..].iter().map(primary_lease).collect();
-    // The order is written at 1,000 ms in era 1; then the store comes back without it.
-    // One voter grants the term when both know of that, and a partition begins.
+    let mut cut_off = lease_of(&ids[0]);
+    let mut voters: Vec<_> = ids[1..].iter().map(lease_of).collect();
+    // The order is written at 1,000 ms in era 1, and the store is then restored without it.
+    // One voter grants the term when both have seen era 2, and a partition begins.
     voters[0].note_era(2);
     let retired = voters[0].grant(at(1_100), &ids[0], 1).unwrap();
     cut_off.granted(&ids[1], at(1_090), retired, 2);
     for read_ms in [1_100, 3_000] {
-        read_copy(&mut cut_off, at(read_ms));
-        assert!(cut_off.holds(at(read_ms + 100), 1), "it goes on by the store");
+        read_restored_store(&mut cut_off, at(read_ms));
+        assert!(cut_off.holds(at(read_ms + 100), 1), "the store grants the lease");
     }
     assert_eq!(voters[0].promise(at(1_200), &ending(Some(1))), Err(Objection::LaterEra(2)));
-    // Without the objection the order would go out while the old primary is in use.
-    let mut agreement = PromiseTally::new(ids.clone(), ids.clone(), Some(at(1_000)));
+    // Without the objection the promotion would be ordered while the old primary is in use.
+    let mut tally = PromiseTally::new(ids.clone(), ids.clone(), Some(at(1_000)));
     for (voter, id) in voters.iter_mut().zip(&ids[1..]) {
-        agreement.promised(at(1_200), id, voter.promise(at(1_200), &ending(None)).unwrap());
+        tally.promised(at(1_200), id, voter.promise(at(1_200), &ending(None)).unwrap());
     }
-    assert!(matches!(agreement.readiness(false), Readiness::From(from) if from < at(3_000)));
+    assert!(matches!(tally.readiness(false), Readiness::From(from) if from < at(3_000)));
     assert!(cut_off.holds(at(3_100), 1));
 }
 
-/// Guards against a reading of a copy that lacks an order which most have promised.
+/// Guards against a lease by a read of the restored store that lacks an order for which a
+/// majority has promised.
 #[test]
-fn test_reading_of_the_store_counts_only_with_grants_that_know_of_its_era() {
+fn test_read_of_the_store_counts_only_with_grants_of_its_era() {
     let ids = ids();
-    let mut mine = primary_lease(&ids[0]);
-    mine.granted(&ids[1], at(1_000), 0, 1);
-    mine.record_store_grant(at(3_000), 0, 1);
-    assert!(mine.holds(at(3_100), 1), "half of the voters granted in era 1");
-    read_copy(&mut mine, at(4_000));
-    assert!(!mine.holds(at(4_100), 1), "nobody has granted since the copy");
-    mine.granted(&ids[1], at(4_200), 1, 2);
-    read_copy(&mut mine, at(7_000));
-    assert!(!mine.holds(at(7_100), 1), "it promised to use the term no more");
-    assert!(mine.holds(at(7_100), 2));
+    let mut lease = lease_of(&ids[0]);
+    lease.granted(&ids[1], at(1_000), 0, 1);
+    lease.record_store_grant(at(3_000), 0, 1);
+    assert!(lease.holds(at(3_100), 1), "half of the voters granted in era 1");
+    read_restored_store(&mut lease, at(4_000));
+    assert!(!lease.holds(at(4_100), 1), "no voter has granted since the restore");
+    lease.granted(&ids[1], at(4_200), 1, 2);
+    read_restored_store(&mut lease, at(7_000));
+    assert!(!lease.holds(at(7_100), 1), "the voter has retired the term");
+    assert!(lease.holds(at(7_100), 2));
 }
 
-/// Guards against a store without eras that grants less than before.
+/// Guards against a store that reports no era and whose reads no longer grant a lease.
 #[test]
-fn test_reading_of_a_store_that_tells_no_era_counts_by_itself() {
-    let mut mine = primary_lease(&ids()[0]);
-    mine.record_store_grant(at(3_000), 0, 0);
-    assert!(mine.holds(at(3_100), 1));
+fn test_read_of_a_store_without_eras_counts_by_itself() {
+    let mut lease = lease_of(&ids()[0]);
+    lease.record_store_grant(at(3_000), 0, 0);
+    assert!(lease.holds(at(3_100), 1));
 }
 
-/// Guards against tokens that are given out again after the store lost them.
+/// Guards against tokens that are issued again after the store lost them.
 #[test]
 fn test_tokens_of_an_era_are_higher_than_all_before() {
     assert_eq!(first_token(0), 1);
@@ -123,16 +125,16 @@
     fleet.others().map(|record| record.id.clone()).collect()
 }
 
-/// Guards against living instances that are forgotten, with their votes, since the copy
-/// does not have their records yet.
+/// Guards against running instances that are dropped, together with their votes, because a
+/// backup lacks their records.
 #[test]
-fn test_instance_that_a_copy_lacks_counts_until_it_is_known_to_be_gone() {
+fn test_instance_missing_from_a_backup_counts_until_it_is_known_to_be_gone() {
     let mut fleet = Fleet::new("i0".into());
     fleet.replace(at(0), vec![record(1), record(2), record(3)]);
     fleet.replace_by_copy(at(1_000), vec![record(1)]);
     assert_eq!(names(&fleet), ["i1", "i2", "i3"].map(InstanceId::from));
     fleet.present(at(2_000), record(2));
-    // History may be lost besides, so that all are listed once more.
+    // If history is lost again, all instances are listed once more.
     fleet.replace(at(3_000), vec![record(1), record(2)]);
     assert_eq!(names(&fleet), ["i1", "i2", "i3"].map(InstanceId::from));
     fleet.forget_unlisted(at(8_900));
@@ -141,10 +143,10 @@
     assert_eq!(names(&fleet), ["i1", "i2"].map(InstanceId::from));
 }
 
-/// Guards against an instance that does not reach the store, and is forgotten since
-/// nobody writes its record again.
+/// Guards against an instance that is dropped because it cannot reach the store and no other
+/// instance restores its record.
 #[test]
-fn test_record_of_a_living_instance_that_a_copy_lacks_is_written_by_one_other() {
+fn test_record_of_a_running_instance_missing_from_a_backup_is_restored_by_one_other() {
     let all: Vec<_> = (0..4).map(record).collect();
     let others = |me: &InstanceRecord| -> Vec<_> {
         all.iter().filter(|other| other.id != me.id).cloned().collect()
@@ -155,7 +157,7 @@
         fleet.replace(at(0), others(me));
         fleet.replace_by_copy(at(1_000), all[..3].to_vec());
         fleet.heard(at(2_000), "i3", false);
-        assert_eq!(fleet.restorable(at(2_400)), [], "it can do so itself");
+        assert_eq!(fleet.restorable(at(2_400)), [], "the instance may still write it");
         writers.extend(fleet.restorable(at(2_500)));
         fleet.present(at(2_600), record(3));
         assert_eq!(fleet.restorable(at(2_700)), []);
@@ -163,9 +165,9 @@
     assert_eq!(writers, [record(3)]);
 }
 
-/// Guards against the record of a dead instance that is written again.
+/// Guards against a restored record of an instance that no longer runs.
 #[test]
-fn test_record_of_a_silent_instance_is_not_written_again() {
+fn test_record_of_an_unresponsive_instance_is_not_restored() {
     let mut fleet = Fleet::new("i0".into());
     fleet.replace(at(0), vec![record(1)]);
     fleet.replace_by_copy(at(1_000), Vec::new());
