--- a/lib/src/group.rs
+++ b/lib/src/group.rs
@@ -59,7 +59,7 @@
     pub lag: Duration,
 }
 
-/// The state of a server, as far as the instance knows it.
+/// The state of a server, as this instance last observed it.
 #[derive(Clone, Debug)]
 pub struct ServerView {
     /// The platform's entry for the server.
@@ -131,8 +131,8 @@
         Self { home, ..Self::default() }
     }
 
-    /// Adopts the platform's list of servers. Returns whether the primary that this
-    /// instance knows changed.
+    /// Adopts the platform's list of servers. Returns whether the instance now takes
+    /// another server, or none, for the primary.
     pub fn set_servers(&mut self, now: Moment, listed: Vec<ServerInfo>) -> bool {
         let before = self.leader.clone();
         let mut servers = BTreeMap::new();
@@ -226,7 +226,7 @@
     }
 
     /// Records a server's answer to a query for its state that was sent at `asked_at`.
-    /// Returns whether the primary that this instance knows changed.
+    /// Returns whether the instance now takes another server, or none, for the primary.
     pub fn observe_status(
         &mut self,
         asked_at: Moment,
@@ -263,7 +263,7 @@
 
     /// Records the primary and the term that another instance reported. Returns whether
     /// this instance adopted the primary, which it does if the term is later than that
-    /// of the primary it knew.
+    /// of its present primary.
     pub fn observe_reported_leader(&mut self, now: Moment, id: &TargetId, term: Term) -> bool {
         let outdated = term < self.highest_term || term <= self.primary_lease.retired();
         if !self.servers.contains_key(id) || outdated {
@@ -279,7 +279,7 @@
     }
 
     /// Records that a server is in `term`. Returns whether the term is later than that
-    /// of the known primary, which is then dropped: it has a successor, and a
+    /// of the present primary, which is then dropped: it has a successor, and a
     /// replacement must not start from it.
     fn observe_term(&mut self, term: Term) -> bool {
         self.seen_term = self.seen_term.max(term);
--- a/lib/src/server_list.rs
+++ b/lib/src/server_list.rs
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct ServerList {
     servers: HashMap<TargetId, ListedServer>,
-    /// Revision of the store up to which the list is known.
+    /// Revision of the store up to which the list is current.
     revision: Revision,
     /// Revision at which the list last changed. The store's revision counts
     /// changes of everything it keeps.
@@ -42,7 +42,7 @@
 }
 
 impl ServerList {
-    /// Revision of the store up to which the list is known.
+    /// Revision of the store up to which the list is current.
     #[must_use]
     pub fn revision(&self) -> Revision {
         self.revision
@@ -54,7 +54,7 @@
         self.changed_at
     }
 
-    /// Records that the list is known up to this revision.
+    /// Records that the list is current up to this revision.
     pub fn advance(&mut self, revision: Revision) {
         self.revision = self.revision.max(revision);
         if std::mem::take(&mut self.has_changes) {
@@ -95,7 +95,7 @@
     }
 
     /// Replaces the list by the full list of a revision. A list that is older than the
-    /// known revision changes nothing.
+    /// present revision changes nothing.
     pub fn replace(
         &mut self,
         now: Moment,
--- a/lib/tests/test_replacement.rs
+++ b/lib/tests/test_replacement.rs
@@ -68,7 +68,7 @@
     let mut ms = from_ms;
     loop {
         let actions = watch.tick(at(ms), group, Some(0));
-        assert_eq!(replaces(&actions), None, "nobody was asked yet");
+        assert_eq!(replaces(&actions), None, "no other instance was asked yet");
         if asks(&actions) {
             return ms;
         }
