--- a/lib/src/server_list.rs
+++ b/lib/src/server_list.rs
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Drops servers that have been missing for [`MISSING_GRACE`]. Returns whether other
+    /// Drops servers that have been missing for `MISSING_GRACE`. Returns whether other
     /// servers are still missing.
     pub fn drop_missing(&mut self, now: Moment) -> bool {
         let is_overdue = |listed: &ListedServer| {
