--- a/lib/src/group/reading.rs
+++ b/lib/src/group/reading.rs
@@ -10,8 +10,8 @@
 use crate::moment::Moment;
 use crate::position::Position;
 
-/// How long before a server is expected to reach a position a read for it may be
-/// sent. This is about the time that a statement takes to arrive there and begin.
+/// A read may be sent to a server this long before the server is expected to reach the
+/// read's floor: about the time that a statement takes to arrive there and begin.
 const READ_LEAD_TIME: Duration = Duration::from_millis(4);
 
 /// A replica that is further behind than this counts as lagging and is queried for its
