--- a/daemon/src/engine/leader_control.rs
+++ b/daemon/src/engine/leader_control.rs
@@ -297,14 +297,14 @@
             return true;
         };
         if record.holder == self.me().id {
-            let spent = self.with_duties(|duties| duties.is_spent(group));
+            let spent = self.with_duties(|duties| duties.is_token_used(group));
             return spent || record.life != self.me().life;
         }
         !self.holders(group).iter().any(|holder| holder.id == record.holder)
     }
 
     /// Somebody took the duty of a group, usually to replace its primary.
-    pub fn duty_moved(&self, group: &GroupId, holder: &str) {
+    pub fn note_duty_holder(&self, group: &GroupId, holder: &str) {
         if *holder != *self.me().id {
             self.watches().expect_replacement(group, now());
         }
--- a/daemon/src/engine/right_control.rs
+++ b/daemon/src/engine/primary_lease_control.rs
@@ -78,7 +78,7 @@
 
 /// Reads which orders there are when an instance starts. Only then it votes,
 /// unless others tell it what they grant.
-pub async fn learn_orders(engine: Arc<Engine>, directory: Arc<dyn Directory>) {
+pub async fn load_orders(engine: Arc<Engine>, directory: Arc<dyn Directory>) {
     let mut failed = false;
     loop {
         let result = tokio::select! {
@@ -147,7 +147,7 @@
 
 /// Renews the right by the store where too few voters answer: an instance that
 /// is cut off from the others and reaches the store goes on.
-pub async fn renew_by_store(engine: Arc<Engine>, directory: Arc<dyn Directory>) {
+pub async fn renew_leases_from_store(engine: Arc<Engine>, directory: Arc<dyn Directory>) {
     tokio::time::sleep(ANSWERS_WAIT).await;
     let at = now();
     let ends_soon = |shard: &Arc<Shard>| {
--- a/daemon/src/engine/remote.rs
+++ b/daemon/src/engine/remote.rs
@@ -22,8 +22,8 @@
 use chervilwharf_lib::fleet::InstanceRecord;
 use chervilwharf_lib::id::InstanceId;
 use chervilwharf_lib::moment::Moment;
-use chervilwharf_lib::peer_contact::SIGN_AFTER;
-use chervilwharf_lib::peer_contact::SIGN_LIMIT;
+use chervilwharf_lib::peer_contact::LIVENESS_CHECK_AFTER;
+use chervilwharf_lib::peer_contact::LIVENESS_TIMEOUT;
 use chervilwharf_lib::position::Position;
 use chervilwharf_lib::statement::Access;
 use chervilwharf_lib::statement::Answer;
@@ -247,10 +247,10 @@
             return None;
         }
         let group = &request.route.group;
-        let found = session.engine().find_holder(group, &session.meeting(), &self.tried).await?;
+        let found = session.engine().find_holder(group, &session.affinity(), &self.tried).await?;
         // One that just refused is asked again, but only one: it is known not to
         // be servable here, and another instance may be able to.
-        let hopeless = found.unable && self.last.is_some();
+        let hopeless = found.recently_refused && self.last.is_some();
         (!hopeless).then_some(found.record)
     }
 
@@ -355,7 +355,7 @@
     leaving: Leaving,
 ) -> Result<StatementReply, SendError> {
     let sent_at = now();
-    let limit = SIGN_LIMIT.min(request.time_left(sent_at));
+    let limit = LIVENESS_TIMEOUT.min(request.time_left(sent_at));
     let Ok(Ok(())) = tokio::time::timeout(limit, link.open(holder.peer_address)).await else {
         engine.contacts().missed(sent_at, &holder.id);
         return Err(SendError::NotSent);
@@ -389,7 +389,7 @@
     ticket: StatementTicket,
     sent_at: Moment,
 ) -> Option<Fate> {
-    tokio::time::sleep(SIGN_AFTER).await;
+    tokio::time::sleep(LIVENESS_CHECK_AFTER).await;
     loop {
         let fate = engine.ask_for_statement(holder, ticket, sent_at).await?;
         if fate == Fate::Open {
@@ -398,7 +398,7 @@
         }
         if fate == Fate::Ended {
             // Its answer may be on the way.
-            tokio::time::sleep(SIGN_LIMIT).await;
+            tokio::time::sleep(LIVENESS_TIMEOUT).await;
         }
         let event = Event::new(EventKind::PeerFailed).with("peer", &holder.id);
         event_log::emit(&event.with("reason", "a link went silent"));
--- a/daemon/src/engine/replacement.rs
+++ b/daemon/src/engine/replacement.rs
@@ -39,11 +39,11 @@
 use crate::engine::duty_control::Claim;
 use crate::engine::duty_control::OrderChange;
 use crate::engine::event_log;
+use crate::engine::primary_lease_control::decode_given;
 use crate::engine::probe;
 use crate::engine::probe::Probed;
 use crate::engine::promoter::Promoted;
 use crate::engine::promoter::Promoter;
-use crate::engine::right_control::decode_given;
 use crate::engine::shard::Shard;
 use crate::engine::shared::Engine;
 use crate::engine::survey::Candidate;
@@ -239,7 +239,7 @@
         let began_at = now();
         // One order a token: with an old one under the same token nobody could
         // tell which of both was carried out last.
-        self.replacer.engine.with_duties(|duties| duties.spend(&self.duty));
+        self.replacer.engine.with_duties(|duties| duties.mark_token_used(&self.duty));
         let promoted = self.replacer.promoter.promote(&self.duty, &target.id).await;
         self.metrics_step("promote", began_at);
         let event = Event::new(EventKind::PromotionAnswered).with("group", self.shard.id());
--- a/daemon/src/engine/shared.rs
+++ b/daemon/src/engine/shared.rs
@@ -39,7 +39,7 @@
 use crate::engine::clock::now;
 use crate::engine::contacts::Contacts;
 use crate::engine::directory::Revision;
-use crate::engine::duty_control::DutyBook;
+use crate::engine::duty_control::DutyTable;
 use crate::engine::guest::GuestSession;
 use crate::engine::holders::Holders;
 use crate::engine::leader_control::LeaderWatches;
@@ -47,9 +47,9 @@
 use crate::engine::peers::Guest;
 use crate::engine::peers::PeerHandler;
 use crate::engine::peers::Peers;
+use crate::engine::primary_lease_control::VoterLists;
 use crate::engine::quota_control::QuotaControl;
 use crate::engine::remote::StatementLinks;
-use crate::engine::right_control::VoterLists;
 use crate::engine::shard::Shard;
 use crate::engine::store_era::StoreEra;
 
@@ -79,7 +79,7 @@
     started_at: Moment,
     fleet: Mutex<Fleet>,
     peers: Arc<Peers>,
-    duties: Mutex<DutyBook>,
+    duties: Mutex<DutyTable>,
     metrics: EngineMetrics,
     holders: Holders,
     contacts: Contacts,
@@ -219,7 +219,7 @@
     }
 
     /// Reads or updates what is known of the duties.
-    pub fn with_duties<R>(&self, f: impl FnOnce(&mut DutyBook) -> R) -> R {
+    pub fn with_duties<R>(&self, f: impl FnOnce(&mut DutyTable) -> R) -> R {
         f(&mut self.duties.lock().expect("never poisoned"))
     }
 
--- a/lib/tests/lease_world/mod.rs
+++ b/lib/tests/lease_world/mod.rs
@@ -653,9 +653,10 @@
             return false;
         }
         // Another instance has taken the duty since this one began the replacement.
-        let duty_moved = self.stored.token != replacement.token && self.stored.holder != Some(me);
+        let note_duty_holder =
+            self.stored.token != replacement.token && self.stored.holder != Some(me);
         if self.store_up && self.instances[number].reaches_store {
-            let Some(next) = self.next_order(number).filter(|_| !duty_moved) else {
+            let Some(next) = self.next_order(number).filter(|_| !note_duty_holder) else {
                 return false;
             };
             self.observe_era(number, self.era);
--- a/lib/tests/test_store_restore.rs
+++ b/lib/tests/test_store_restore.rs
@@ -131,7 +131,7 @@
 fn test_instance_missing_from_a_backup_counts_until_it_is_known_to_be_gone() {
     let mut fleet = Fleet::new("i0".into());
     fleet.replace(at(0), vec![record(1), record(2), record(3)]);
-    fleet.replace_by_copy(at(1_000), vec![record(1)]);
+    fleet.replace_after_store_restore(at(1_000), vec![record(1)]);
     assert_eq!(names(&fleet), ["i1", "i2", "i3"].map(InstanceId::from));
     fleet.present(at(2_000), record(2));
     // If history is lost again, all instances are listed once more.
@@ -155,7 +155,7 @@
     for me in &all[..3] {
         let mut fleet = Fleet::new(me.id.clone());
         fleet.replace(at(0), others(me));
-        fleet.replace_by_copy(at(1_000), all[..3].to_vec());
+        fleet.replace_after_store_restore(at(1_000), all[..3].to_vec());
         fleet.heard(at(2_000), "i3", false);
         assert_eq!(fleet.restorable(at(2_400)), [], "the instance may still write it");
         writers.extend(fleet.restorable(at(2_500)));
@@ -170,6 +170,6 @@
 fn test_record_of_an_unresponsive_instance_is_not_restored() {
     let mut fleet = Fleet::new("i0".into());
     fleet.replace(at(0), vec![record(1)]);
-    fleet.replace_by_copy(at(1_000), Vec::new());
+    fleet.replace_after_store_restore(at(1_000), Vec::new());
     assert_eq!(fleet.restorable(at(3_500)), []);
 }
