--- a/daemon/src/target.rs
+++ b/daemon/src/target.rs
@@ -113,8 +113,8 @@
 /// Reads `term N is held by OWNER` out of a refusal.
 #[must_use]
 pub fn held_term(message: &str) -> Option<(Term, &str)> {
-    let rest = message.strip_prefix("term ")?;
-    let (term, owner) = rest.split_once(" is held by ")?;
+    let idle = message.strip_prefix("term ")?;
+    let (term, owner) = idle.split_once(" is held by ")?;
     Some((term.parse().ok()?, owner))
 }
 
