--- a/daemon/src/engine/holders.rs
+++ b/daemon/src/engine/holders.rs
@@ -23,11 +23,11 @@
 
 /// How often it is looked whether the instances changed. They come and go in
 /// seconds; looking for each statement would cost more than the statement.
-const CHECKED_EVERY: Duration = Duration::from_millis(200);
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// A holder that could not serve a statement of a group is passed over there for
 /// this long: it may be able to after the next heartbeats.
-const UNABLE_FOR: Duration = Duration::from_millis(500);
+const UNABLE_DURATION: Duration = Duration::from_millis(500);
 
 #[derive(Default)]
 struct Inner {
@@ -64,7 +64,7 @@
         let at = now();
         let mut inner = self.lock();
         inner.unable_until.retain(|_, until| *until > at);
-        inner.unable_until.insert((group.clone(), id.clone()), at + UNABLE_FOR);
+        inner.unable_until.insert((group.clone(), id.clone()), at + UNABLE_DURATION);
     }
 
     /// The instances or the configuration may have changed: looks at the next
@@ -75,8 +75,8 @@
 }
 
 impl Inner {
-    fn is_checked(&self, at: Moment) -> bool {
-        self.checked_at.is_some_and(|checked_at| checked_at + CHECKED_EVERY > at)
+    fn is_fresh(&self, at: Moment) -> bool {
+        self.checked_at.is_some_and(|checked_at| checked_at + CHECK_INTERVAL > at)
     }
 
     /// Drops the lists if they were computed from something else.
@@ -112,7 +112,7 @@
 
     fn check_holders(&self) {
         let at = now();
-        if self.holder_lists().lock().is_checked(at) {
+        if self.holder_lists().lock().is_fresh(at) {
             return;
         }
         // An instance that has just started would take itself for the only one:
@@ -164,7 +164,7 @@
     }
 
     /// A group was added.
-    pub(crate) fn forget_held(&self) {
+    pub(crate) fn invalidate_held(&self) {
         self.holder_lists().lock().held = None;
     }
 
--- a/daemon/src/engine/request.rs
+++ b/daemon/src/engine/request.rs
@@ -32,7 +32,7 @@
     /// server did not answer is late already when it tries another one; it
     /// still has to be given time for a new connection there.
     #[must_use]
-    pub fn patient_until(&self, now: Moment) -> Moment {
+    pub fn in_time_until(&self, now: Moment) -> Moment {
         let patience = waits::patience(self.route.objective);
         (self.arrived_at + patience).max(now + patience / 2).min(self.deadline)
     }
--- a/daemon/src/engine/shard.rs
+++ b/daemon/src/engine/shard.rs
@@ -94,7 +94,7 @@
 
 /// Time between two tries of the direct way to a server that is reached
 /// through another instance.
-const DETOUR_CHECK: Duration = Duration::from_secs(2);
+const DETOUR_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Weight of the newest statement in the smoothed time, as one over this.
 const SERVICE_TIME_SMOOTHING: u32 = 16;
@@ -105,7 +105,7 @@
 
 /// After a server said that it has too many connections. Others have to
 /// give some up first, which takes the time of a transaction.
-const TOO_MANY_PAUSE: Duration = Duration::from_millis(300);
+const TOO_MANY_CONNECTIONS_PAUSE: Duration = Duration::from_millis(300);
 
 impl Shard {
     /// A group of which nothing is known yet, at an instance in a failure
@@ -333,10 +333,10 @@
     /// A connection to a server gave no answer to what was sent at a moment. Connections
     /// can go silent together, without a reset: idle ones that have not answered since
     /// are closed, so that they do not take one statement after the other.
-    pub fn close_unproven(self: &Arc<Self>, server: &TargetId, sent_at: Moment) {
+    pub fn close_stale(self: &Arc<Self>, server: &TargetId, sent_at: Moment) {
         let closing = {
             let mut inner = self.lock();
-            inner.pools.get_mut(server).map(|pool| pool.take_unproven(sent_at))
+            inner.pools.get_mut(server).map(|pool| pool.take_stale(sent_at))
         };
         drop(closing);
         self.pump();
@@ -422,7 +422,8 @@
     pub fn detours_to_check(&self) -> Vec<TargetId> {
         let now = now();
         let mut inner = self.lock();
-        let due = inner.detours.iter_mut().filter(|(_, d)| d.checked_at + DETOUR_CHECK <= now);
+        let due =
+            inner.detours.iter_mut().filter(|(_, d)| d.checked_at + DETOUR_CHECK_INTERVAL <= now);
         due.map(|(id, detour)| {
             detour.checked_at = now;
             id.clone()
@@ -438,7 +439,7 @@
         }
     }
 
-    fn report_unopened(&self, server: &TargetId, reason: &str) {
+    fn log_open_failure(&self, server: &TargetId, reason: &str) {
         let event = Event::new(EventKind::ConnectionFailed).with("group", &self.id);
         event_log::emit(&event.with("server", server).with("reason", reason));
     }
@@ -470,8 +471,8 @@
             Err(ConnectError::Refused(refusal))
                 if refusal.kind == RefusalKind::TooManyConnections =>
             {
-                pool.share.blocked_until = now + TOO_MANY_PAUSE;
-                self.report_unopened(server, "too many connections");
+                pool.share.blocked_until = now + TOO_MANY_CONNECTIONS_PAUSE;
+                self.log_open_failure(server, "too many connections");
             }
             Err(error) => {
                 pool.share.blocked_until = now + OPEN_PAUSE;
@@ -481,7 +482,7 @@
                     inner.group.observe_failure(now, server);
                 }
                 drop(inner);
-                self.report_unopened(server, &error.to_string());
+                self.log_open_failure(server, &error.to_string());
                 let shard = self.clone();
                 tokio::spawn(async move {
                     tokio::time::sleep(OPEN_PAUSE).await;
--- a/daemon/src/engine/shared.rs
+++ b/daemon/src/engine/shared.rs
@@ -35,12 +35,12 @@
 use tokio::sync::watch;
 
 use crate::engine::border::Connector;
-use crate::engine::caller::NewerConfiguration;
+use crate::engine::caller::LastConfigurationPull;
 use crate::engine::clock::now;
 use crate::engine::contacts::Contacts;
 use crate::engine::directory::Revision;
 use crate::engine::duty_control::DutyBook;
-use crate::engine::guest::GuestSession;
+use crate::engine::forwarded_session::ForwardedSession;
 use crate::engine::holders::Holders;
 use crate::engine::leader_control::LeaderWatches;
 use crate::engine::metrics::EngineMetrics;
@@ -115,7 +115,7 @@
     sessions: watch::Sender<usize>,
     quota: QuotaControl,
     quota_tolerance: Option<QuotaTolerance>,
-    newer_configuration: NewerConfiguration,
+    last_configuration_pull: LastConfigurationPull,
     store_era: Arc<StoreEra>,
     silence_limits: SilenceLimits,
     arrivals: Mutex<Arrivals>,
@@ -158,7 +158,7 @@
             sessions: watch::Sender::new(0),
             quota: QuotaControl::new(now()),
             quota_tolerance: None,
-            newer_configuration: NewerConfiguration::default(),
+            last_configuration_pull: LastConfigurationPull::default(),
             store_era: Arc::default(),
             silence_limits: SilenceLimits::within(CONFIGURATION_BOUND),
             arrivals: Mutex::new(Arrivals::new(now())),
@@ -378,7 +378,7 @@
             });
             Arc::new(shard)
         });
-        self.forget_held();
+        self.invalidate_held();
         shard.clone()
     }
 
@@ -533,8 +533,8 @@
         }
     }
 
-    fn guest(self: Arc<Self>) -> Box<dyn Guest> {
-        Box::new(GuestSession::new(self))
+    fn forwarded_session(self: Arc<Self>) -> Box<dyn Guest> {
+        Box::new(ForwardedSession::new(self))
     }
 
     fn tunnel_target(&self, tunnel: &Tunnel) -> Option<SocketAddr> {
--- a/daemon/src/engine/transaction.rs
+++ b/daemon/src/engine/transaction.rs
@@ -106,7 +106,7 @@
 
     /// Whether its statements go through another instance.
     #[must_use]
-    pub fn goes_remote(&self, engine: &Engine, meeting: &Meeting) -> bool {
+    pub fn runs_remotely(&self, engine: &Engine, meeting: &Meeting) -> bool {
         let here = self.lease.is_some() || engine.serves_here(&self.route.group, meeting);
         self.remote.is_some() || !here
     }
@@ -118,7 +118,7 @@
     }
 
     /// A statement of it is sent.
-    pub fn note_write(&mut self, writes: bool) {
+    pub fn record_write(&mut self, writes: bool) {
         self.wrote |= writes;
     }
 
@@ -140,7 +140,7 @@
 
     /// Rolls it back while the client rests. The client learns of it from the
     /// answer to its next statement.
-    pub fn end_rest(&mut self) {
+    pub fn end_idle(&mut self) {
         let untold = !self.has_failed();
         self.fail();
         if untold {
@@ -236,7 +236,7 @@
     let mut last = Failure::new(ErrorKind::Overloaded);
     while now() < request.deadline {
         let server = server_of(transaction);
-        let mut steps = session.layout_steps(transaction.lease.as_mut(), work.prepared.as_ref());
+        let mut steps = session.setup_steps(transaction.lease.as_mut(), work.prepared.as_ref());
         let main = steps.len();
         let id = Some(request.id.clone());
         steps.push(Step { id, floor: None, statement: work.statement.clone() });
@@ -264,7 +264,7 @@
                 observe(session, transaction, sent_at, &server, reply.position);
                 return Ok(Served { answer, position: reply.position });
             }
-            Err(refusal) if may_try_again(&refusal, reply.state) => {
+            Err(refusal) if is_retryable(&refusal, reply.state) => {
                 session.shard().observe_busy(&server);
                 last = refusal.into();
             }
@@ -278,7 +278,7 @@
     Err(last)
 }
 
-fn may_try_again(refusal: &ServerRefusal, state: TransactionState) -> bool {
+fn is_retryable(refusal: &ServerRefusal, state: TransactionState) -> bool {
     refusal.kind == RefusalKind::Busy && state == TransactionState::Open
 }
 
@@ -339,7 +339,7 @@
             Ok(()) => return Ok(()),
             Err((failure, None)) => return Err(failure),
             Err((failure, Some(pause))) => {
-                session.try_again(&failure);
+                session.report_retry(&failure);
                 last = failure;
                 tokio::time::sleep(pause.min(request.time_left(now()))).await;
             }
@@ -361,7 +361,7 @@
         Some(floor) => Need::Reader { floor, shunned: None },
         None => Need::Leader,
     };
-    session.trail_mut().floor = floor;
+    session.trace_mut().floor = floor;
     let lease = session.acquire(request, need, work.prepared.as_ref()).await;
     let lease = lease.map_err(|failure| (failure, None))?;
     let server = lease.server().clone();
@@ -371,7 +371,7 @@
         return Err((Failure::new(ErrorKind::NoPrimary), Some(waits::BUSY_PAUSE)));
     }
     let mut lease = Some(lease);
-    let mut steps = session.layout_steps(lease.as_mut(), work.prepared.as_ref());
+    let mut steps = session.setup_steps(lease.as_mut(), work.prepared.as_ref());
     let setup = steps.len();
     // A read-only BEGIN at the primary would not be refused after it lost the
     // lead, so without a floor a transaction that may write is begun.
@@ -476,7 +476,7 @@
                 }
                 return Ok(Served { answer, position: reply.position });
             }
-            Err(refusal) if may_try_again(&refusal, reply.state) => {
+            Err(refusal) if is_retryable(&refusal, reply.state) => {
                 session.shard().observe_busy(&server);
                 last = refusal.into();
             }
