--- a/daemon/src/engine/forwarded_session.rs
+++ b/daemon/src/engine/forwarded_session.rs
@@ -67,12 +67,12 @@
         else {
             return refusal(ErrorKind::BadStatement);
         };
-        let goes_on = statement.in_transaction && begin == Begin::No;
-        let known = self.session.as_ref().is_some_and(Session::is_in_transaction);
-        if goes_on && !known {
+        let continues = statement.in_transaction && begin == Begin::No;
+        let in_transaction = self.session.as_ref().is_some_and(Session::is_in_transaction);
+        if continues && !in_transaction {
             return refusal(ErrorKind::TransactionLost);
         }
-        if !goes_on {
+        if !continues {
             if !self.engine.is_holder(&route.group) {
                 return refusal(ErrorKind::NotOwner);
             }
@@ -91,7 +91,7 @@
         let session = self.session.get_or_insert_with(|| {
             Session::forwarded_session(engine, &request.route, caller.clone())
         });
-        if !goes_on {
+        if !continues {
             // What an earlier user of the link left behind is rolled back: the
             // statement would run inside that transaction.
             session.drop_transaction();
@@ -121,15 +121,15 @@
     fn caller(&self, statement: &engine_protos::Statement, route: &Route) -> Option<Caller> {
         let key = KeyDigest::from_bytes(&statement.key_digest);
         let account = Some(&*statement.account).filter(|account| !account.is_empty());
-        let known = Caller {
+        let sent = Caller {
             key: key.unwrap_or_else(|| KeyDigest::of("")),
             account: account.map(Into::into),
             configuration_version: statement.configuration_version,
         };
-        let caller = known.check_again(&self.engine.catalog(), route).ok()?;
+        let caller = sent.check_again(&self.engine.catalog(), route).ok()?;
         // A transaction's connection belongs to the account that began it.
-        let goes_on = statement.in_transaction && statement.begin() == Begin::No;
-        (!goes_on || caller.account == known.account).then_some(caller)
+        let continues = statement.in_transaction && statement.begin() == Begin::No;
+        (!continues || caller.account == sent.account).then_some(caller)
     }
 }
 
--- a/daemon/src/engine/holders.rs
+++ b/daemon/src/engine/holders.rs
@@ -40,7 +40,7 @@
     /// Lists computed for these instances and this configuration. They are
     /// many where there are many groups: computed anew every 200 ms they took
     /// a quarter of a core with 64 groups and 31 instances.
-    kept: HashMap<GroupId, Arc<Vec<InstanceRecord>>>,
+    cached: HashMap<GroupId, Arc<Vec<InstanceRecord>>>,
     /// Groups that this instance holds connections to.
     held: Option<Arc<Vec<GroupId>>>,
     /// Holders that could not serve, by group.
@@ -87,7 +87,7 @@
         }
         self.staying = Arc::new(staying);
         self.configuration_version = configuration_version;
-        self.kept.clear();
+        self.cached.clear();
         self.held = None;
     }
 }
@@ -98,15 +98,15 @@
     pub fn holders(&self, group: &GroupId) -> Arc<Vec<InstanceRecord>> {
         self.check_holders();
         let mut inner = self.holder_lists().lock();
-        if let Some(kept) = inner.kept.get(group) {
-            return kept.clone();
+        if let Some(cached) = inner.cached.get(group) {
+            return cached.clone();
         }
         let catalog = self.catalog();
         let max_connections =
             catalog.groups.get(group).map_or(0, |settings| settings.max_connections);
         let computed =
             Arc::new(holders(group, max_connections, catalog.groups.len(), &inner.staying));
-        inner.kept.insert(group.clone(), computed.clone());
+        inner.cached.insert(group.clone(), computed.clone());
         computed
     }
 
@@ -118,13 +118,13 @@
         // An instance that has just started would take itself for the only one:
         // after a power loss each of 72 opened connections to all servers, each
         // of which takes a slot for 12 to 27 ms.
-        let known = self.knows_who_holds();
+        let holders_known = self.knows_who_holds();
         let staying = self.with_fleet(|fleet| {
             let record = |id: &InstanceId| match fleet.record(id) {
                 Some(record) => record.clone(),
                 None => self.me().clone(),
             };
-            let staying = if known { fleet.staying(at) } else { Vec::new() };
+            let staying = if holders_known { fleet.staying(at) } else { Vec::new() };
             staying.iter().map(record).collect::<Vec<_>>()
         });
         let version = self.catalog().version;
@@ -135,8 +135,8 @@
     #[must_use]
     pub fn held_shards(&self) -> Vec<Arc<Shard>> {
         self.check_holders();
-        let kept = self.holder_lists().lock().held.clone();
-        let held = kept.unwrap_or_else(|| {
+        let cached = self.holder_lists().lock().held.clone();
+        let held = cached.unwrap_or_else(|| {
             let shards = self.shards();
             // Anybody may list servers of a group that the configuration does not
             // name: they are neither asked for their state nor replaced.
--- a/daemon/src/engine/lease.rs
+++ b/daemon/src/engine/lease.rs
@@ -22,7 +22,7 @@
     pub connection: Box<dyn ServerConnection>,
     layout: ConnectionLayout,
     /// Whether statements that the layout counts as done may not have run.
-    unsettled: bool,
+    setup_pending: bool,
     /// When the server last answered on it.
     answered_at: Moment,
 }
@@ -32,7 +32,7 @@
     #[must_use]
     pub fn new(account: Option<AccountId>, connection: Box<dyn ServerConnection>) -> Self {
         let (layout, answered_at) = (ConnectionLayout::default(), now());
-        Self { account, connection, layout, unsettled: false, answered_at }
+        Self { account, connection, layout, setup_pending: false, answered_at }
     }
 
     /// How many statements it takes to set it up for a session.
@@ -45,13 +45,13 @@
     /// have to be sent, or the connection is of no use any more.
     pub fn adapt(&mut self, values: &SessionValues, prepared: Option<&Prepared>) -> Vec<Step> {
         let steps = self.layout.adapt(values, prepared);
-        self.unsettled |= !steps.is_empty();
+        self.setup_pending |= !steps.is_empty();
         steps.into_iter().map(Step::own).collect()
     }
 
     /// All that was sent to the server has been answered.
     pub fn settle(&mut self) {
-        self.unsettled = false;
+        self.setup_pending = false;
         self.answered_at = now();
     }
 
@@ -99,7 +99,7 @@
 
     /// No statement is at the server until [`Lease::resume`]: the client
     /// rests in its transaction.
-    pub fn rest(&mut self) {
+    pub fn pause(&mut self) {
         if std::mem::take(&mut self.running) {
             self.shard.end_running(&self.server);
             self.shard.pump();
@@ -129,7 +129,7 @@
     /// the right to use the primary ended between the two.
     pub fn give_back(mut self) {
         self.stop_running();
-        let whole = self.connection.as_ref().is_some_and(|connection| !connection.unsettled);
+        let whole = self.connection.as_ref().is_some_and(|connection| !connection.setup_pending);
         if !whole {
             return;
         }
--- a/daemon/src/engine/remote.rs
+++ b/daemon/src/engine/remote.rs
@@ -127,17 +127,17 @@
     writes: bool,
 ) -> Result<Served, Failure> {
     // Reads may run twice: nobody can tell.
-    let leaving = if writes { Leaving::LosesOutcome } else { Leaving::LosesNothing };
-    let mut search = Search::default();
+    let abandoning = if writes { Abandoning::LosesOutcome } else { Abandoning::LosesNothing };
+    let mut search = HolderSearch::default();
     while let Some(holder) = search.next(session, request).await {
-        match send_first(session, request, &holder, work, Begin::No, leaving).await {
+        match send_first(session, request, &holder, work, Begin::No, abandoning).await {
             Ok((reply, _)) if needs_other_holder(&reply) => search.refused(session, &holder, reply),
             Ok((reply, link)) => {
                 session.engine().statement_links().give_back(holder.peer_address, link);
                 return decode(session, reply);
             }
             Err(SendError::Lost) if writes => return Err(Failure::new(ErrorKind::OutcomeUnknown)),
-            Err(_) => search.silent(session, &holder),
+            Err(_) => search.unanswered(session, &holder),
         }
     }
     Err(search.into_failure())
@@ -156,7 +156,7 @@
     work: &Work,
 ) -> Result<Served, Failure> {
     let result = match transaction.take_remote() {
-        Some(remote) => go_on(session, transaction, request, work, remote).await,
+        Some(remote) => continue_transaction(session, transaction, request, work, remote).await,
         None => begin(session, transaction, request, work).await,
     };
     transaction.active_at = now();
@@ -170,26 +170,26 @@
     work: &Work,
 ) -> Result<Served, Failure> {
     let mode = if transaction.is_read_only() { Begin::ReadOnly } else { Begin::ReadWrite };
-    let mut search = Search::default();
+    let mut search = HolderSearch::default();
     while let Some(holder) = search.next(session, request).await {
-        let leaving = Leaving::LosesNothing;
-        match send_first(session, request, &holder, work, mode, leaving).await {
+        let abandoning = Abandoning::LosesNothing;
+        match send_first(session, request, &holder, work, mode, abandoning).await {
             Ok((reply, _)) if needs_other_holder(&reply) => search.refused(session, &holder, reply),
             Ok((reply, link)) => {
                 let links = session.engine().statement_links().clone();
                 let remote = RemoteTransaction { links, holder, link };
-                return settle(session, transaction, reply, remote);
+                return finish_statement(session, transaction, reply, remote);
             }
             // Where it did get there it is rolled back when the link ends: only
             // a COMMIT keeps anything.
-            Err(_) => search.silent(session, &holder),
+            Err(_) => search.unanswered(session, &holder),
         }
     }
     transaction.fail();
     Err(search.into_failure())
 }
 
-async fn go_on(
+async fn continue_transaction(
     session: &mut Session,
     transaction: &mut Transaction,
     request: &Request,
@@ -200,10 +200,10 @@
     let holder = remote.holder.clone();
     // Only a COMMIT that wrote may be kept.
     let may_be_kept = work.statement == Statement::Commit && transaction.may_have_written();
-    let leaving = if may_be_kept { Leaving::LosesOutcome } else { Leaving::LosesNothing };
-    let sent = send(session, request, &holder, &mut remote.link, statement, leaving).await;
+    let abandoning = if may_be_kept { Abandoning::LosesOutcome } else { Abandoning::LosesNothing };
+    let sent = send(session, request, &holder, &mut remote.link, statement, abandoning).await;
     let error = match sent {
-        Ok(reply) => return settle(session, transaction, reply, remote),
+        Ok(reply) => return finish_statement(session, transaction, reply, remote),
         Err(error) => error,
     };
     transaction.fail();
@@ -214,7 +214,7 @@
     Err(Failure::new(kind))
 }
 
-fn settle(
+fn finish_statement(
     session: &mut Session,
     transaction: &mut Transaction,
     reply: StatementReply,
@@ -233,13 +233,13 @@
 
 /// The search for a holder that can serve a request.
 #[derive(Default)]
-struct Search {
+struct HolderSearch {
     tried: Vec<InstanceId>,
     /// Why the last one that was tried could not.
     last: Option<Failure>,
 }
 
-impl Search {
+impl HolderSearch {
     /// The next holder to try; `None` if there is none that could, or the time
     /// is over.
     async fn next(&mut self, session: &Session, request: &Request) -> Option<InstanceRecord> {
@@ -264,7 +264,7 @@
     }
 
     /// A holder did not answer; what it may have done can be done again.
-    fn silent(&mut self, session: &Session, holder: &InstanceRecord) {
+    fn unanswered(&mut self, session: &Session, holder: &InstanceRecord) {
         self.skip_holder(session, holder, Failure::new(ErrorKind::HolderSilent));
     }
 
@@ -298,7 +298,7 @@
 
 /// What is lost when a statement that was sent is not waited for any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Leaving {
+enum Abandoning {
     /// Nothing: it can be sent again, or what it belongs to is rolled back.
     LosesNothing,
     /// Whether it was kept. It is waited for as long as there is time.
@@ -313,17 +313,17 @@
     holder: &InstanceRecord,
     work: &Work,
     begin: Begin,
-    leaving: Leaving,
+    abandoning: Abandoning,
 ) -> Result<(StatementReply, PeerLink), SendError> {
     let links = session.engine().statement_links().clone();
     let mut link = links.take(holder.peer_address);
     let statement = encode(session, request, work, begin);
-    let mut sent = send(session, request, holder, &mut link, statement, leaving).await;
+    let mut sent = send(session, request, holder, &mut link, statement, abandoning).await;
     if matches!(sent, Err(SendError::LinkSilent)) {
         links.close_idle(holder.peer_address);
         link = PeerLink::default();
         let statement = encode(session, request, work, begin);
-        sent = send(session, request, holder, &mut link, statement, leaving).await;
+        sent = send(session, request, holder, &mut link, statement, abandoning).await;
     }
     sent.map(|reply| (reply, link))
 }
@@ -334,12 +334,12 @@
     holder: &InstanceRecord,
     link: &mut PeerLink,
     statement: engine_protos::Statement,
-    leaving: Leaving,
+    abandoning: Abandoning,
 ) -> Result<StatementReply, SendError> {
     let sent_at = now();
     let engine = session.engine().clone();
-    let result = exchange(&engine, request, holder, link, statement, leaving).await;
-    session.trace_mut().sent(holder.id.clone(), now().saturating_sub(sent_at));
+    let result = exchange(&engine, request, holder, link, statement, abandoning).await;
+    session.trace_mut().record_attempt(holder.id.clone(), now().saturating_sub(sent_at));
     if result.is_ok() {
         engine.contacts().heard(sent_at, &holder.id);
     }
@@ -352,7 +352,7 @@
     holder: &InstanceRecord,
     link: &mut PeerLink,
     statement: engine_protos::Statement,
-    leaving: Leaving,
+    abandoning: Abandoning,
 ) -> Result<StatementReply, SendError> {
     let sent_at = now();
     let limit = SIGN_LIMIT.min(request.time_left(sent_at));
@@ -366,12 +366,12 @@
     let mut exchange = std::pin::pin!(tokio::time::timeout(time_left, exchange));
     let result = tokio::select! {
         result = &mut exchange => result,
-        fate = detect_dead_link(engine, holder, ticket, sent_at) => match (fate, leaving) {
-            (Some(Fate::Withdrawn), _) | (Some(_), Leaving::LosesNothing) => {
+        fate = detect_dead_link(engine, holder, ticket, sent_at) => match (fate, abandoning) {
+            (Some(Fate::Withdrawn), _) | (Some(_), Abandoning::LosesNothing) => {
                 return Err(SendError::LinkSilent);
             }
-            (None, Leaving::LosesNothing) => return Err(SendError::Lost),
-            (_, Leaving::LosesOutcome) => exchange.await,
+            (None, Abandoning::LosesNothing) => return Err(SendError::Lost),
+            (_, Abandoning::LosesOutcome) => exchange.await,
         },
     };
     match result {
--- a/daemon/src/engine/right_control.rs
+++ b/daemon/src/engine/right_control.rs
@@ -370,7 +370,7 @@
             !had && group.usable_leader(now()).is_some()
         });
         if regained {
-            self.right_changed();
+            self.primary_lease_changed();
         }
     }
 
--- a/daemon/src/engine/session.rs
+++ b/daemon/src/engine/session.rs
@@ -89,7 +89,7 @@
     trace: StatementTrace,
     /// Place among the sessions that a planned stop closes one by one.
     spread: u32,
-    counted: Option<SessionGuard>,
+    session_guard: Option<SessionGuard>,
     /// Whether its client should come back through another instance.
     should_reconnect: bool,
 }
@@ -185,7 +185,7 @@
             in_transaction: false,
             trace: StatementTrace::default(),
             spread,
-            counted: Some(engine.count_session()),
+            session_guard: Some(engine.count_session()),
             should_reconnect: false,
             engine,
         }
@@ -194,8 +194,8 @@
     /// Serves the next statement of another instance by this route.
     pub fn use_route(&mut self, id: &RequestId, route: &Route, caller: Caller) {
         self.caller = caller;
-        if self.counted.is_none() {
-            self.counted = Some(self.engine.count_session());
+        if self.session_guard.is_none() {
+            self.session_guard = Some(self.engine.count_session());
         }
         if *self.shard.id() != route.group {
             self.shard = self.engine.shard(&route.group);
@@ -208,7 +208,7 @@
 
     /// Nothing is in progress here: a planned stop need not wait for it.
     pub fn stop_counting(&mut self) {
-        self.counted = None;
+        self.session_guard = None;
     }
 
     /// Takes over the values of the session at the other instance.
@@ -398,7 +398,7 @@
             metrics.accounts.ended(account, failure.map(|failure| failure.kind));
         }
         if let Some(failure) = failure {
-            self.trace.failed(group, failure, took, self.shard.waiting());
+            self.trace.log_failure(group, failure, took, self.shard.waiting());
             return;
         }
         if self.trace.tries == 0 {
@@ -407,7 +407,7 @@
         metrics.tried(group, self.role_of_server(), self.trace.waited, self.trace.at_server);
         let objective = self.engine.route(&self.database).map(|route| route.objective);
         if let Some(objective) = objective.filter(|objective| took > *objective) {
-            self.trace.late(group, took, objective);
+            self.trace.log_late(group, took, objective);
         }
     }
 
@@ -419,7 +419,7 @@
     /// A try of the present statement failed, and another one follows.
     pub fn report_retry(&self, failure: &Failure) {
         self.engine.metrics().moved(failure.kind);
-        self.trace.moved(self.shard.id(), failure);
+        self.trace.log_retry(self.shard.id(), failure);
     }
 
     /// Gets a connection for the present statement.
@@ -481,13 +481,15 @@
                 let name = prepared.shared_name();
                 let writes = prepared.access == Access::Write;
                 let statement = Statement::Execute { name, arguments };
-                self.work(id, Work { statement, prepared: Some(prepared) }, writes).await.map(Some)
+                self.run_operation(id, Work { statement, prepared: Some(prepared) }, writes)
+                    .await
+                    .map(Some)
             }
             Statement::Read { .. } => {
-                self.work(id, Work { statement, prepared: None }, false).await.map(Some)
+                self.run_operation(id, Work { statement, prepared: None }, false).await.map(Some)
             }
             Statement::Write { .. } => {
-                self.work(id, Work { statement, prepared: None }, true).await.map(Some)
+                self.run_operation(id, Work { statement, prepared: None }, true).await.map(Some)
             }
             Statement::Reset => Err(Failure::new(ErrorKind::BadStatement)),
         }
@@ -520,7 +522,12 @@
         Request { id, route, arrived_at, deadline }
     }
 
-    async fn work(&mut self, id: RequestId, work: Work, writes: bool) -> Result<Served, Failure> {
+    async fn run_operation(
+        &mut self,
+        id: RequestId,
+        work: Work,
+        writes: bool,
+    ) -> Result<Served, Failure> {
         let route = match &self.transaction {
             Some(transaction) => transaction.route.clone(),
             None => self.resolve()?,
--- a/daemon/src/engine/shard.rs
+++ b/daemon/src/engine/shard.rs
@@ -81,7 +81,7 @@
     /// Woken when the right to use the primary is wanted and missing.
     renewal: Arc<Notify>,
     /// Woken when the right to use the primary changed.
-    right_changed: Notify,
+    primary_lease_changed: Notify,
 }
 
 /// Longest time for a server's greeting, once it can be reached.
@@ -119,8 +119,8 @@
         doubt: Arc<Notify>,
     ) -> Self {
         let inner = Inner { budget: 1, group: Group::with_home(home), ..Inner::default() };
-        let (inner, right_changed) = (Mutex::new(inner), Notify::new());
-        Self { id, connector, peers, inner, doubt, renewal: Arc::default(), right_changed }
+        let (inner, primary_lease_changed) = (Mutex::new(inner), Notify::new());
+        Self { id, connector, peers, inner, doubt, renewal: Arc::default(), primary_lease_changed }
     }
 
     /// With somebody to wake when the right to use the primary is missing.
@@ -168,8 +168,8 @@
     }
 
     /// The right to use the primary may have changed.
-    pub fn right_changed(self: &Arc<Self>) {
-        self.right_changed.notify_waiters();
+    pub fn primary_lease_changed(self: &Arc<Self>) {
+        self.primary_lease_changed.notify_waiters();
         self.pump();
     }
 
@@ -187,7 +187,7 @@
     /// then is lost.
     pub async fn confirm_term(&self, term: Term, until: Moment) -> bool {
         loop {
-            let changed = self.right_changed.notified();
+            let changed = self.primary_lease_changed.notified();
             let (holds, retired) = self.with_group(|group| {
                 (group.right().holds(now(), term), group.right().retired() >= term)
             });
--- a/daemon/src/engine/shard/assign.rs
+++ b/daemon/src/engine/shard/assign.rs
@@ -47,24 +47,25 @@
     pub(in crate::engine) fn take_idle(
         &mut self,
         now: Moment,
-        want: &ConnectionRequest<'_>,
+        request: &ConnectionRequest<'_>,
     ) -> Option<(TargetId, PooledConnection)> {
-        if let Some(account) = want.owner.account() {
+        if let Some(account) = request.owner.account() {
             self.wanted.observe(now, account);
         }
         loop {
-            let Choice::Idle(server) = self.choose(now, &want.need, &want.owner, Duration::ZERO)
+            let Choice::Idle(server) =
+                self.choose(now, &request.need, &request.owner, Duration::ZERO)
             else {
                 return None;
             };
-            let contested = self.queue.ahead_of(want.rank(Tier::InTime)).any(|(_, waiter)| {
-                waiter.need.accepts(&self.group, now, &server) && waiter.owner == want.owner
+            let contested = self.queue.ahead_of(request.rank(Tier::InTime)).any(|(_, waiter)| {
+                waiter.need.accepts(&self.group, now, &server) && waiter.owner == request.owner
             });
             if contested {
                 return None;
             }
-            let fit = |pooled: &PooledConnection| pooled.distance(want.values, want.prepared);
-            if let Some(connection) = self.take_from(&server, &want.owner, fit) {
+            let fit = |pooled: &PooledConnection| pooled.distance(request.values, request.prepared);
+            if let Some(connection) = self.take_from(&server, &request.owner, fit) {
                 return Some((server, connection));
             }
         }
--- a/daemon/src/engine/single.rs
+++ b/daemon/src/engine/single.rs
@@ -36,13 +36,13 @@
 }
 
 /// How a try to run a statement ended.
-enum Try {
+enum Attempt {
     /// It ran.
     Done(Served),
     /// It is over, without a result.
     Failed(Failure),
     /// Nothing of it counts; it may be tried again.
-    Again {
+    Retry {
         /// The last reason.
         failure: Failure,
         /// Pause before the next try.
@@ -70,7 +70,7 @@
     };
     let sent_at = now();
     let result = exchange(session, &mut open, steps, limit).await;
-    session.trace_mut().sent(open.server().clone(), now().saturating_sub(sent_at));
+    session.trace_mut().record_attempt(open.server().clone(), now().saturating_sub(sent_at));
     match result {
         Ok(replies) => {
             open.connection().settle();
@@ -126,9 +126,9 @@
     let mut last = Failure::new(ErrorKind::DeadlineBeforeStart);
     while now() < request.deadline {
         match try_read(session, request, work, &mut shunned).await {
-            Try::Done(served) => return Ok(served),
-            Try::Failed(failure) => return Err(failure),
-            Try::Again { failure, pause } => {
+            Attempt::Done(served) => return Ok(served),
+            Attempt::Failed(failure) => return Err(failure),
+            Attempt::Retry { failure, pause } => {
                 session.report_retry(&failure);
                 last = failure;
                 tokio::time::sleep(pause.min(request.time_left(now()))).await;
@@ -143,7 +143,7 @@
     request: &Request,
     work: &Work,
     shunned: &mut Option<TargetId>,
-) -> Try {
+) -> Attempt {
     let consistency = request.route.consistency;
     let floor = session.floor_for(request.arrived_at, consistency);
     session.trace_mut().floor = floor;
@@ -153,7 +153,7 @@
     };
     let mut lease = match session.acquire(request, need, work.prepared.as_ref()).await {
         Ok(lease) => Some(lease),
-        Err(failure) => return Try::Failed(failure),
+        Err(failure) => return Attempt::Failed(failure),
     };
     let server = lease.as_ref().map(|lease| lease.server().clone()).unwrap_or_default();
     if floor.is_none() && session.shard().term_of(&server).is_none() {
@@ -180,11 +180,11 @@
         Sent::Lost(_) => {
             *shunned = Some(server);
             let failure = Failure::new(ErrorKind::ServerTimedOut);
-            return Try::Again { failure, pause: Duration::ZERO };
+            return Attempt::Retry { failure, pause: Duration::ZERO };
         }
     };
     if let Some(refusal) = first_refusal(&replies[..setup]) {
-        return unprepared(refusal);
+        return setup_refused(refusal);
     }
     if let Some(refusal) = first_refusal(&replies[setup..main]) {
         give_back(lease, &replies);
@@ -204,7 +204,7 @@
             });
             let took = now().saturating_sub(sent_at);
             session.shard().observe_time(&server, took, slow_from);
-            Try::Done(Served { answer, position: reply.position })
+            Attempt::Done(Served { answer, position: reply.position })
         }
         Err(refusal) => {
             if refusal.kind == RefusalKind::Failed || refusal.kind == RefusalKind::TimedOut {
@@ -217,11 +217,11 @@
 
 /// The right to use the primary ended between the choice of the server and now:
 /// the instance stood still, or the primary is being replaced. Nothing was sent.
-fn retry_without_lease(lease: Option<Lease>) -> Try {
+fn retry_without_lease(lease: Option<Lease>) -> Attempt {
     if let Some(lease) = lease {
         lease.give_back();
     }
-    Try::Again { failure: Failure::new(ErrorKind::NoPrimary), pause: waits::BUSY_PAUSE }
+    Attempt::Retry { failure: Failure::new(ErrorKind::NoPrimary), pause: waits::BUSY_PAUSE }
 }
 
 /// Gives a connection back if all is over on it.
@@ -234,10 +234,10 @@
 
 /// A step that prepares the connection was refused: the connection is closed
 /// by the caller, since what is set up on it is not known any more.
-fn unprepared(refusal: ServerRefusal) -> Try {
+fn setup_refused(refusal: ServerRefusal) -> Attempt {
     let event = Event::new(EventKind::ConnectionDropped).with("reason", &refusal.text);
     event_log::emit(&event.with("refusal", format_args!("{:?}", refusal.kind)));
-    Try::Again { failure: refusal.into(), pause: waits::BUSY_PAUSE }
+    Attempt::Retry { failure: refusal.into(), pause: waits::BUSY_PAUSE }
 }
 
 fn refused_read(
@@ -246,7 +246,7 @@
     refusal: ServerRefusal,
     floor: Option<Position>,
     position: Option<Position>,
-) -> Try {
+) -> Attempt {
     let pause = match refusal.kind {
         RefusalKind::Lagging => {
             session.observe_lagging(server, floor, position);
@@ -262,9 +262,9 @@
         }
         // Reads may run again: nobody can tell the second run from the first.
         RefusalKind::Failed | RefusalKind::TimedOut => Duration::ZERO,
-        _ => return Try::Failed(refusal.into()),
+        _ => return Attempt::Failed(refusal.into()),
     };
-    Try::Again { failure: refusal.into(), pause }
+    Attempt::Retry { failure: refusal.into(), pause }
 }
 
 /// The first step that was refused.
@@ -287,14 +287,14 @@
     let mut last = Failure::new(ErrorKind::DeadlineBeforeStart);
     while now() < request.deadline {
         match try_write(session, request, work).await {
-            Try::Done(served) => {
+            Attempt::Done(served) => {
                 if let Some(position) = served.position {
                     session.raise_floor(position);
                 }
                 return Ok(served);
             }
-            Try::Failed(failure) => return Err(failure),
-            Try::Again { failure, pause } => {
+            Attempt::Failed(failure) => return Err(failure),
+            Attempt::Retry { failure, pause } => {
                 session.report_retry(&failure);
                 last = failure;
                 tokio::time::sleep(pause.min(request.time_left(now()))).await;
@@ -304,10 +304,10 @@
     Err(last)
 }
 
-async fn try_write(session: &mut Session, request: &Request, work: &Work) -> Try {
+async fn try_write(session: &mut Session, request: &Request, work: &Work) -> Attempt {
     let mut lease = match session.acquire(request, Need::Leader, work.prepared.as_ref()).await {
         Ok(lease) => Some(lease),
-        Err(failure) => return Try::Failed(failure),
+        Err(failure) => return Attempt::Failed(failure),
     };
     let server = lease.as_ref().map(|lease| lease.server().clone()).unwrap_or_default();
     let Some(term) = session.shard().term_of(&server) else {
@@ -322,7 +322,7 @@
     let replies = match send(session, &mut lease, &steps, limit).await {
         Sent::Replies(replies) => replies,
         // It may have run; a second run would be a second effect.
-        Sent::Lost(_) => return Try::Failed(Failure::new(ErrorKind::OutcomeUnknown)),
+        Sent::Lost(_) => return Attempt::Failed(Failure::new(ErrorKind::OutcomeUnknown)),
     };
     let reply = replies[main].clone();
     if let Some(refusal) = first_refusal(&replies[..main]) {
@@ -330,9 +330,9 @@
         // tells whether it ran.
         let ran = reply.result.as_ref().err().is_none_or(|own| !own.kind.promises_no_run());
         return if ran {
-            Try::Failed(Failure::new(ErrorKind::OutcomeUnknown))
+            Attempt::Failed(Failure::new(ErrorKind::OutcomeUnknown))
         } else {
-            unprepared(refusal)
+            setup_refused(refusal)
         };
     }
     give_back(lease, &replies);
@@ -342,7 +342,7 @@
             let slow_from = waits::slow_from(request.route.objective);
             session.shard().observe_time(&server, took, slow_from);
             if !session.is_confirmed(request, &server, term).await {
-                return Try::Failed(Failure::new(ErrorKind::OutcomeUnknown));
+                return Attempt::Failed(Failure::new(ErrorKind::OutcomeUnknown));
             }
             let position = reply.position;
             if let Some(position) = position {
@@ -350,22 +350,22 @@
                     .shard()
                     .with_group(|group| group.observe_leading(sent_at, now(), &server, position));
             }
-            Try::Done(Served { answer, position })
+            Attempt::Done(Served { answer, position })
         }
         Err(refusal) => refused_write(session, &server, refusal),
     }
 }
 
-fn refused_write(session: &Session, server: &TargetId, refusal: ServerRefusal) -> Try {
+fn refused_write(session: &Session, server: &TargetId, refusal: ServerRefusal) -> Attempt {
     match refusal.kind {
         RefusalKind::NotLeading => {
             session.shard().lost_lead(server);
-            Try::Again { failure: refusal.into(), pause: Duration::ZERO }
+            Attempt::Retry { failure: refusal.into(), pause: Duration::ZERO }
         }
         RefusalKind::Busy => {
             session.shard().observe_busy(server);
-            Try::Again { failure: refusal.into(), pause: waits::BUSY_PAUSE }
+            Attempt::Retry { failure: refusal.into(), pause: waits::BUSY_PAUSE }
         }
-        _ => Try::Failed(refusal.into()),
+        _ => Attempt::Failed(refusal.into()),
     }
 }
--- a/daemon/src/engine/trace.rs
+++ b/daemon/src/engine/trace.rs
@@ -37,20 +37,20 @@
 
 impl StatementTrace {
     /// It was sent to a server, which took this long.
-    pub fn sent(&mut self, server: TargetId, took: Duration) {
+    pub fn record_attempt(&mut self, server: TargetId, took: Duration) {
         self.tries += 1;
         self.server = Some(server);
         self.at_server += took;
     }
 
     /// A try failed, and another one follows.
-    pub fn moved(&self, group: &str, failure: &Failure) {
+    pub fn log_retry(&self, group: &str, failure: &Failure) {
         let event = self.event(EventKind::RequestMoved, group);
         event_log::emit(&event.with("reason", failure.kind.name()).with("text", &failure.text));
     }
 
     /// It failed for good.
-    pub fn failed(&self, group: &str, failure: &Failure, took: Duration, waiting: usize) {
+    pub fn log_failure(&self, group: &str, failure: &Failure, took: Duration, waiting: usize) {
         let unknown = matches!(
             failure.kind,
             ErrorKind::OutcomeUnknown | ErrorKind::ServerFailed | ErrorKind::ServerTimedOut
@@ -70,7 +70,7 @@
     }
 
     /// It was served later than its objective.
-    pub fn late(&self, group: &str, took: Duration, objective: Duration) {
+    pub fn log_late(&self, group: &str, took: Duration, objective: Duration) {
         let event = self.event(EventKind::RequestLate, group).with_ms("took_ms", took);
         event_log::emit(&event.with_ms("objective_ms", objective));
     }
--- a/daemon/src/engine/transaction.rs
+++ b/daemon/src/engine/transaction.rs
@@ -38,13 +38,13 @@
 
 /// What has become of a transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Fate {
+enum Status {
     /// It can go on.
-    Alive,
+    Active,
     /// It can only be ended, and the client knows.
     Failed,
     /// It was rolled back while the client rested.
-    FailedUntold,
+    FailedUnreported,
 }
 
 /// A client's open transaction.
@@ -62,7 +62,7 @@
     wrote: bool,
     /// Term of the primary when it began there.
     term: Option<Term>,
-    fate: Fate,
+    status: Status,
     /// When the client's last statement was answered.
     pub active_at: Moment,
     /// Whether its account's quota counts it.
@@ -80,7 +80,7 @@
             remote: None,
             wrote: false,
             term: None,
-            fate: Fate::Alive,
+            status: Status::Active,
             active_at: now(),
             is_counted: false,
         }
@@ -95,7 +95,7 @@
     /// Whether it can only be ended.
     #[must_use]
     pub fn has_failed(&self) -> bool {
-        self.fate != Fate::Alive
+        self.status != Status::Active
     }
 
     /// Whether it keeps a connection that others could use.
@@ -141,24 +141,24 @@
     /// Rolls it back while the client rests. The client learns of it from the
     /// answer to its next statement.
     pub fn end_idle(&mut self) {
-        let untold = !self.has_failed();
+        let unreported = !self.has_failed();
         self.fail();
-        if untold {
-            self.fate = Fate::FailedUntold;
+        if unreported {
+            self.status = Status::FailedUnreported;
         }
     }
 
     /// Why a statement other than the end of the transaction is refused.
     pub fn refusal(&mut self) -> ErrorKind {
-        match std::mem::replace(&mut self.fate, Fate::Failed) {
-            Fate::FailedUntold => ErrorKind::TransactionLost,
-            Fate::Alive | Fate::Failed => ErrorKind::TransactionAborted,
+        match std::mem::replace(&mut self.status, Status::Failed) {
+            Status::FailedUnreported => ErrorKind::TransactionLost,
+            Status::Active | Status::Failed => ErrorKind::TransactionAborted,
         }
     }
 
     /// Marks it as failed and frees its connection.
     pub fn fail(&mut self) {
-        self.fate = Fate::Failed;
+        self.status = Status::Failed;
         self.release();
     }
 
@@ -212,10 +212,10 @@
     let result = run_inner(session, transaction, request, work, writes).await;
     transaction.active_at = now();
     if let Some(lease) = &mut transaction.lease {
-        lease.rest();
+        lease.pause();
     }
     if result.is_err() && transaction.lease.is_none() {
-        transaction.fate = Fate::Failed;
+        transaction.status = Status::Failed;
     }
     result
 }
@@ -296,7 +296,7 @@
         TransactionState::Open => {}
         TransactionState::Failed => transaction.fail(),
         TransactionState::Idle => {
-            transaction.fate = Fate::Failed;
+            transaction.status = Status::Failed;
             if let Some(lease) = transaction.lease.take() {
                 lease.give_back();
             }
--- a/daemon/src/engine/waiting.rs
+++ b/daemon/src/engine/waiting.rs
@@ -63,8 +63,8 @@
 const LATE_RESERVE: Duration = Duration::from_millis(100);
 
 /// Until when a request waits that cannot meet its objective any more.
-fn late_until(want: &ConnectionRequest<'_>) -> Moment {
-    want.give_up_at.saturating_sub(LATE_RESERVE)
+fn late_until(request: &ConnectionRequest<'_>) -> Moment {
+    request.give_up_at.saturating_sub(LATE_RESERVE)
 }
 
 /// A place in the queue, given up when it is dropped: a client that leaves
@@ -94,21 +94,24 @@
     /// # Errors
     ///
     /// When none could be had in time. Nothing was sent then.
-    pub async fn acquire(self: &Arc<Self>, want: &ConnectionRequest<'_>) -> Result<Lease, Failure> {
+    pub async fn acquire(
+        self: &Arc<Self>,
+        request: &ConnectionRequest<'_>,
+    ) -> Result<Lease, Failure> {
         let began_at = now();
-        if want.need == Need::Leader {
+        if request.need == Need::Leader {
             self.want_leader();
         }
         let tier = {
             let mut inner = self.lock();
-            if want.need == Need::Leader && inner.group.is_cut_off(began_at) {
+            if request.need == Need::Leader && inner.group.is_cut_off(began_at) {
                 return Err(Failure::new(ErrorKind::CutOff));
             }
-            if let Some((server, connection)) = inner.take_idle(began_at, want) {
+            if let Some((server, connection)) = inner.take_idle(began_at, request) {
                 drop(inner);
                 return Ok(Lease::new(self.clone(), server, connection));
             }
-            inner.admit(began_at, want, want.in_time_until.saturating_sub(began_at))?
+            inner.admit(began_at, request, request.in_time_until.saturating_sub(began_at))?
         };
         if tier == Tier::InTime {
             // Without a primary that answers there is nobody to be impatient
@@ -117,17 +120,17 @@
             let (answers, lacks_right) = self
                 .with_group(|group| (group.leader_answers(began_at), group.lacks_right(began_at)));
             let patient = answers || lacks_right;
-            let until = if patient { want.in_time_until } else { want.give_up_at };
-            if let Some(lease) = self.wait(want, Tier::InTime, until).await {
+            let until = if patient { request.in_time_until } else { request.give_up_at };
+            if let Some(lease) = self.wait(request, Tier::InTime, until).await {
                 return Ok(lease);
             }
-            let shortage = Failure::new(self.shortage(&want.need));
-            if !answers || self.lock().admit(now(), want, Duration::ZERO).is_err() {
+            let shortage = Failure::new(self.shortage(&request.need));
+            if !answers || self.lock().admit(now(), request, Duration::ZERO).is_err() {
                 return Err(shortage);
             }
         }
-        let late = self.wait(want, Tier::Late, late_until(want)).await;
-        late.ok_or_else(|| Failure::new(self.shortage(&want.need)))
+        let late = self.wait(request, Tier::Late, late_until(request)).await;
+        late.ok_or_else(|| Failure::new(self.shortage(&request.need)))
     }
 
     /// The primary can neither be reached nor replaced from here: those who wait
@@ -149,7 +152,7 @@
     /// Waits for a connection in the queue.
     async fn wait(
         self: &Arc<Self>,
-        want: &ConnectionRequest<'_>,
+        request: &ConnectionRequest<'_>,
         tier: Tier,
         until: Moment,
     ) -> Option<Lease> {
@@ -157,12 +160,12 @@
         let (grant, mut granted) = oneshot::channel();
         let (place, ahead, measures) = {
             let mut inner = self.lock();
-            let measures = !inner.awaits_primary(began_at, &want.need);
-            let servers = inner.servers_for(began_at, &want.need);
-            let ahead = inner.competitors(began_at, want, &servers, tier);
-            let (need, owner) = (want.need.clone(), want.owner.clone());
+            let measures = !inner.awaits_primary(began_at, &request.need);
+            let servers = inner.servers_for(began_at, &request.need);
+            let ahead = inner.competitors(began_at, request, &servers, tier);
+            let (need, owner) = (request.need.clone(), request.owner.clone());
             let waiter = Waiter { need, owner, since: began_at, grant };
-            let place = inner.queue.push(want.rank(tier), waiter);
+            let place = inner.queue.push(request.rank(tier), waiter);
             (QueueGuard { shard: self.clone(), place }, ahead, measures)
         };
         self.pump();
@@ -176,8 +179,8 @@
         let ahead = if lease.is_none() && tier == Tier::Late { 0 } else { ahead };
         let waited = ended_at.saturating_sub(began_at);
         let mut inner = self.lock();
-        if measures && !inner.awaits_primary(ended_at, &want.need) {
-            inner.pace.observe(ended_at, want.line(tier), ahead, waited);
+        if measures && !inner.awaits_primary(ended_at, &request.need) {
+            inner.pace.observe(ended_at, request.line(tier), ahead, waited);
         }
         drop(inner);
         lease
@@ -199,26 +202,26 @@
     fn admit(
         &self,
         now: Moment,
-        want: &ConnectionRequest<'_>,
+        request: &ConnectionRequest<'_>,
         patience: Duration,
     ) -> Result<Tier, Failure> {
-        if want.need == Need::Leader && self.group.is_cut_off(now) {
+        if request.need == Need::Leader && self.group.is_cut_off(now) {
             return Err(Failure::new(ErrorKind::CutOff));
         }
-        if self.awaits_primary(now, &want.need) {
+        if self.awaits_primary(now, &request.need) {
             return Ok(Tier::InTime);
         }
-        let servers = self.servers_for(now, &want.need);
-        let ahead = self.competitors(now, want, &servers, Tier::InTime);
-        let late_waiting = self.competitors(now, want, &servers, Tier::Late);
-        let measured = |tier, ahead| self.pace.expected_wait(now, want.line(tier), ahead);
+        let servers = self.servers_for(now, &request.need);
+        let ahead = self.competitors(now, request, &servers, Tier::InTime);
+        let late_waiting = self.competitors(now, request, &servers, Tier::Late);
+        let measured = |tier, ahead| self.pace.expected_wait(now, request.line(tier), ahead);
         let in_time = measured(Tier::InTime, ahead);
         let prospect = Prospect {
             in_time: in_time.or_else(|| self.computed_wait(&servers, ahead)),
             late: measured(Tier::Late, late_waiting),
             late_waiting,
             patience,
-            time_left: late_until(want).saturating_sub(now),
+            time_left: late_until(request).saturating_sub(now),
         };
         match prospect.decide() {
             Arrival::Wait(tier) => Ok(tier),
@@ -239,14 +242,14 @@
     fn competitors(
         &self,
         now: Moment,
-        want: &ConnectionRequest<'_>,
+        request: &ConnectionRequest<'_>,
         servers: &[TargetId],
         tier: Tier,
     ) -> usize {
         let competes = |(rank, waiter): &(Rank, &Waiter)| {
             rank.tier == tier && servers.iter().any(|id| waiter.need.accepts(&self.group, now, id))
         };
-        self.queue.ahead_of(want.rank(tier)).filter(competes).count()
+        self.queue.ahead_of(request.rank(tier)).filter(competes).count()
     }
 
     /// Servers whose connections would serve a request.
