--- a/daemon/src/engine/lease.rs
+++ b/daemon/src/engine/lease.rs
@@ -1,4 +1,4 @@
-//! A connection to a server, lent to one request or transaction.
+//! Pooled connections, and leases, which lend a connection to one request or transaction.
 
 use std::sync::Arc;
 
@@ -14,91 +14,92 @@
 use crate::engine::clock::now;
 use crate::engine::shard::Shard;
 
-/// An open connection and what is set up on it.
+/// An open connection to a server, with the session values and prepared statements that
+/// are set up on it.
 pub struct PooledConnection {
-    /// The account that it was opened for; `None` where clients have none.
+    /// The account that it was opened for; `None` if clients have no accounts.
     pub account: Option<AccountId>,
-    /// The connection.
+    /// The connection itself.
     pub connection: Box<dyn ServerConnection>,
     layout: ConnectionLayout,
-    /// Whether statements that the layout counts as done may not have run.
+    /// Whether setup statements that `layout` counts as run may not have run.
     setup_pending: bool,
     /// When the server last answered on it.
     answered_at: Moment,
 }
 
 impl PooledConnection {
-    /// A connection that was just opened.
+    /// Wraps a connection that was just opened.
     #[must_use]
     pub fn new(account: Option<AccountId>, connection: Box<dyn ServerConnection>) -> Self {
         let (layout, answered_at) = (ConnectionLayout::default(), now());
         Self { account, connection, layout, setup_pending: false, answered_at }
     }
 
-    /// How many statements it takes to set it up for a session.
+    /// How many statements it takes to set the connection up for a session.
     #[must_use]
     pub fn distance(&self, values: &SessionValues, prepared: Option<&Prepared>) -> usize {
         self.layout.distance(values, prepared)
     }
 
-    /// Statements that set it up for a session. They count as done, so they
-    /// have to be sent, or the connection is of no use any more.
+    /// Statements that set the connection up for a session. They count as run from now on,
+    /// so the caller has to send them; otherwise the connection cannot be reused.
     pub fn adapt(&mut self, values: &SessionValues, prepared: Option<&Prepared>) -> Vec<Step> {
         let steps = self.layout.adapt(values, prepared);
         self.setup_pending |= !steps.is_empty();
         steps.into_iter().map(Step::own).collect()
     }
 
-    /// All that was sent to the server has been answered.
+    /// Records that everything that was sent to the server has been answered.
     pub fn settle(&mut self) {
         self.setup_pending = false;
         self.answered_at = now();
     }
 
-    /// Whether the server has answered on it since a moment.
+    /// Whether the server has answered on this connection since `moment`.
     #[must_use]
     pub fn has_answered_since(&self, moment: Moment) -> bool {
         self.answered_at >= moment
     }
 }
 
-/// A connection that nobody else uses while the lease lasts.
+/// The exclusive use of a pooled connection.
 ///
-/// Dropped without [`Lease::give_back`] it closes the connection: whoever
-/// gives up in the middle of an exchange leaves an answer behind that the
-/// next user would take for its own. Closing also rolls back what is open.
+/// A lease that is dropped without [`Lease::give_back`] closes the connection. An exchange
+/// that is abandoned midway leaves a reply on the connection, which the next user would
+/// take for the reply to its own statement. Closing also rolls back an open transaction.
 pub struct Lease {
     shard: Arc<Shard>,
     server: TargetId,
     connection: Option<PooledConnection>,
-    /// Whether a statement is at the server, or about to be.
+    /// Whether the lease counts as a statement that runs at the server.
     running: bool,
 }
 
 impl Lease {
-    /// Lends a connection.
+    /// Creates a lease of a connection that was taken out of the pool.
     #[must_use]
     pub(crate) fn new(shard: Arc<Shard>, server: TargetId, connection: PooledConnection) -> Self {
         Self { shard, server, connection: Some(connection), running: true }
     }
 
-    /// The server at the other end.
+    /// The server of the connection.
     #[must_use]
     pub fn server(&self) -> &TargetId {
         &self.server
     }
 
-    /// The connection.
+    /// The leased connection.
     ///
     /// # Panics
     ///
-    /// Never: it is taken out only when the lease ends.
+    /// Never: the connection is taken out only when the lease ends.
     pub fn connection(&mut self) -> &mut PooledConnection {
         self.connection.as_mut().expect("present until the lease ends")
     }
 
-    /// No statement is at the server until [`Lease::resume`]: the client
-    /// rests in its transaction.
+    /// Stops counting a running statement until [`Lease::resume`]: the client's transaction
+    /// is idle.
     pub fn pause(&mut self) {
         if std::mem::take(&mut self.running) {
             self.shard.end_running(&self.server);
@@ -106,9 +107,9 @@
         }
     }
 
-    /// The next statement of the transaction goes to the server. It does not
-    /// wait for its turn: others wait for the locks and the connection that
-    /// the transaction holds.
+    /// Counts the next statement of the transaction as running. It does not wait in the
+    /// queue, since other requests wait for the locks and the connection that the
+    /// transaction holds.
     pub fn resume(&mut self) {
         if !std::mem::replace(&mut self.running, true) {
             self.shard.begin_running(&self.server);
@@ -121,16 +122,17 @@
         }
     }
 
-    /// Ends the lease of a connection that is idle and whole.
+    /// Ends the lease and returns the connection to the pool. No transaction may be open
+    /// on it, and no reply outstanding.
     ///
-    /// One that was to be set up, and for which that was not sent, is closed. It
-    /// would count as set up for a session whose values it does not have, and
-    /// run that session's statements with the values of another one: seen where
-    /// the right to use the primary ended between the two.
+    /// The connection is closed instead if its setup statements were created but not
+    /// sent, which happens if the primary lease ends in between. It would count as set up
+    /// for a session whose values it does not have, and would run that session's
+    /// statements with the values of another one.
     pub fn give_back(mut self) {
         self.stop_running();
-        let whole = self.connection.as_ref().is_some_and(|connection| !connection.setup_pending);
-        if !whole {
+        let reusable = self.connection.as_ref().is_some_and(|connection| !connection.setup_pending);
+        if !reusable {
             return;
         }
         if let Some(connection) = self.connection.take() {
--- a/daemon/src/engine/request.rs
+++ b/daemon/src/engine/request.rs
@@ -1,4 +1,5 @@
-//! What a request brings with it, and how it ends.
+//! A request: one statement on its way to a server, with its deadline, and its result
+//! or failure.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,22 +16,23 @@
 /// One statement of a client that needs a server.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its id.
+    /// The request's id.
     pub id: RequestId,
-    /// The route it came by.
+    /// The route of its database name.
     pub route: Arc<Route>,
-    /// When it was read from the client.
+    /// When the instance read it from the client, or received it from another instance.
     pub arrived_at: Moment,
-    /// When it has to be answered.
+    /// When its result has to be ready.
     pub deadline: Moment,
 }
 
 impl Request {
-    /// Until when a wait for a server that begins now is worth its time.
+    /// Latest moment until which a wait for a connection that begins now takes precedence
+    /// over requests that are late already.
     ///
-    /// The first wait must leave time to meet the objective. A request whose
-    /// server did not answer is late already when it tries another one; it
-    /// still has to be given time for a new connection there.
+    /// The first wait ends early enough to meet the objective. A request whose server did
+    /// not answer is already late when it tries another server; it still gets enough time
+    /// for a new connection there.
     #[must_use]
     pub fn in_time_until(&self, now: Moment) -> Moment {
         let patience = waits::patience(self.route.objective);
@@ -47,22 +49,23 @@
 /// Why a request got no result.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Failure {
-    /// What happened.
+    /// The kind of the failure.
     pub kind: ErrorKind,
-    /// Details for a reader.
+    /// A description for people.
     pub text: Arc<str>,
-    /// When to come back.
+    /// How long the client should wait before it retries; `None` if the kind of failure
+    /// gives no time.
     pub retry_after: Option<Duration>,
 }
 
 impl Failure {
-    /// A failure with the retry time of its kind.
+    /// A failure with the text and the retry time of its kind.
     #[must_use]
     pub fn new(kind: ErrorKind) -> Self {
         Self { kind, text: kind.to_string().into(), retry_after: kind.rule().retry_after }
     }
 
-    /// The same failure with a better estimate of when to come back.
+    /// The same failure with another retry time.
     #[must_use]
     pub fn with_retry_after(self, retry_after: Duration) -> Self {
         Self { retry_after: Some(retry_after), ..self }
@@ -76,11 +79,11 @@
     }
 }
 
-/// A result, with the position that the server had reached.
+/// The result of a request that a server ran.
 #[derive(Clone, Debug)]
 pub struct Served {
-    /// Rows and signature.
+    /// Rows and the server's signature.
     pub answer: Answer,
-    /// The server's position.
+    /// The server's log position after the statement; `None` if it sent none.
     pub position: Option<Position>,
 }
--- a/daemon/src/engine/session.rs
+++ b/daemon/src/engine/session.rs
@@ -1,5 +1,10 @@
-//! A client's session: its values, prepared names, last own commit and
-//! transaction.
+//! A client's session: the values that the client set, its prepared statements, the
+//! position of its last own commit, and its open transaction.
+//!
+//! A session has no server connection of its own. Each statement or transaction
+//! borrows a pooled connection ([`Lease`]) on which the session's values are set up
+//! first. An instance that holds no connections to the session's group forwards the
+//! statement to one that does ([`remote`]).
 
 mod account;
 mod idle;
@@ -50,24 +55,24 @@
 use crate::engine::transaction::Transaction;
 use crate::engine::waiting::ConnectionRequest;
 
-/// What a client is told about one statement.
+/// The reply to a client's statement.
 #[derive(Clone, Debug)]
 pub struct Reply {
-    /// Rows and the server's signature, an answer of our own (`None`), or a
-    /// failure.
+    /// Rows and the server's signature; `None` if the proxy served the statement
+    /// without a server; or a failure.
     pub result: Result<Option<Answer>, Failure>,
-    /// State of the session after the statement.
+    /// Transaction state of the session after the statement.
     pub state: TransactionState,
-    /// The server's position, where a server answered.
+    /// Log position of the server that answered; `None` if none did.
     pub position: Option<Position>,
 }
 
-/// Why a session at rest has to change.
+/// What happens to an idle session when its time is up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdleAction {
-    /// Its transaction has to be rolled back.
+    /// The transaction is rolled back.
     RollBack,
-    /// It has to be closed.
+    /// The session is closed.
     Close,
 }
 
@@ -77,21 +82,25 @@
     shard: Arc<Shard>,
     database: Arc<str>,
     caller: Caller,
-    /// Whether its statements come from another instance, which chose this one.
+    /// Whether its statements are forwarded by another instance, which chose this one.
     is_forwarded: bool,
     values: SessionValues,
     prepared: HashMap<Arc<str>, Prepared>,
-    /// Position of the session's last own commit.
+    /// Position of the session's last own commit: the lowest position that its reads
+    /// have to see.
     floor: Option<Position>,
     transaction: Option<Transaction>,
-    /// Whether a statement of the transaction is under way.
+    /// Whether a statement of the transaction is running.
     in_transaction: bool,
     trace: StatementTrace,
-    /// Place among the sessions that a planned stop closes one by one.
+    /// Random number below [`SPREAD_STEPS`]. It sets when a planned stop closes the
+    /// session, and which holder its statements go to.
     spread: u32,
+    /// Counts the session as open at this instance.
     session_guard: Option<SessionGuard>,
-    /// Whether its client should come back through another instance.
-    should_reconnect: bool,
+    /// Whether the session closes at the end of its operation, because a statement failed
+    /// in a way that ends sessions (`ErrorKind::ends_session`).
+    closes_after_failure: bool,
 }
 
 /// What a client sends to begin a session.
@@ -99,9 +108,9 @@
 pub struct SessionStart<'a> {
     /// The name of the database.
     pub database: &'a str,
-    /// What is kept of the client's key.
+    /// Digest of the client's key.
     pub key: KeyDigest,
-    /// The client's address, where it has one.
+    /// The client's network address, if it has one.
     pub client: Option<SocketAddr>,
 }
 
@@ -109,39 +118,39 @@
     let version = engine.catalog().version;
     let event = Event::new(EventKind::SessionRefused).with("database", start.database);
     let event = event.with("reason", kind.name()).with("configuration", version);
-    // No request id is known yet: the address and the time lead to the client's request.
+    // There is no request id yet. The client's address and the time identify the request.
     let event = event.with_some("client", start.client);
     let age = engine.metrics().store.answer_age();
     event_log::emit(&event.with_some_ms("store_answered_ms", age));
 }
 
-/// Sessions are closed in this many steps at a planned stop.
+/// Number of moments over which a planned stop spreads the closing of sessions.
 const SPREAD_STEPS: u32 = 1000;
 
-/// Part of a statement's time that is kept back to answer the client: two
-/// trips of 3 ms and the time to write.
+/// Part of a statement's timeout that is reserved for the reply to the client: two
+/// network trips of 3 ms and the time to write.
 const ANSWER_RESERVE: Duration = Duration::from_millis(15);
 
-/// How long the right to use a primary may take to come back before a commit
-/// counts as unknown: a few rounds of heartbeats, or a read of a slow store.
+/// How long an expired primary lease may take to be renewed before the outcome of a
+/// commit counts as unknown: a few rounds of heartbeats, or one read of a slow store.
 const CONFIRM_LIMIT: Duration = Duration::from_millis(400);
 
-/// How long a new session waits for the first configuration and list of
-/// instances. An instance has both some 30 ms after its start; without them for
-/// longer the store is down, and another instance may know more.
+/// How long a new session waits until this instance has its first configuration and
+/// list of instances. An instance usually has both some 30 ms after its start. If it
+/// takes longer, the store is down, and another instance may already have them.
 const FIRST_RECORDS_LIMIT: Duration = Duration::from_millis(300);
 
 impl Session {
     /// Begins a session on a database name.
     ///
-    /// An instance that has just started knows no name yet. It must not answer
-    /// that there is none: clients take that for final, and after all instances
-    /// had been killed together those who came first gave up.
+    /// An instance that has just started has no configuration yet and waits for it
+    /// instead of reporting an unknown database. Clients do not retry after that
+    /// error: after a restart of all instances, the first clients gave up for good.
     ///
     /// # Errors
     ///
-    /// When the configuration has no such name or no account with this key, or there
-    /// is none yet.
+    /// When the configuration has no such database or no account with this key, or when
+    /// this instance has no configuration in time.
     pub async fn begin(engine: Arc<Engine>, start: SessionStart<'_>) -> Result<Self, Failure> {
         match Self::check_start(&engine, &start).await {
             Ok((route, caller)) => {
@@ -166,7 +175,7 @@
         Ok((route, caller))
     }
 
-    /// A session for statements that come from another instance.
+    /// Creates a session for statements that another instance forwards.
     #[must_use]
     pub fn forwarded_session(engine: Arc<Engine>, route: &Route, caller: Caller) -> Self {
         Self { is_forwarded: true, ..Self::new(engine, route, caller, 0) }
@@ -186,12 +195,13 @@
             trace: StatementTrace::default(),
             spread,
             session_guard: Some(engine.count_session()),
-            should_reconnect: false,
+            closes_after_failure: false,
             engine,
         }
     }
 
-    /// Serves the next statement of another instance by this route.
+    /// Prepares a forwarded session for its next statement, which may belong to another
+    /// client, database or group than the one before.
     pub fn use_route(&mut self, id: &RequestId, route: &Route, caller: Caller) {
         self.caller = caller;
         if self.session_guard.is_none() {
@@ -206,12 +216,13 @@
             StatementTrace { id: id.clone(), database, account, ..StatementTrace::default() };
     }
 
-    /// Nothing is in progress here: a planned stop need not wait for it.
+    /// Stops counting the session as open, so that a planned stop does not wait for it.
+    /// The next forwarded statement counts it again.
     pub fn stop_counting(&mut self) {
         self.session_guard = None;
     }
 
-    /// Takes over the values of the session at the other instance.
+    /// Sets the values of the client's session, which the forwarding instance sent.
     pub fn set_values(&mut self, values: SessionValues) {
         self.values = values;
     }
@@ -222,41 +233,42 @@
         self.floor
     }
 
-    /// Takes over the position of the session's last own commit.
+    /// Sets the position of the session's last own commit.
     pub fn set_floor(&mut self, floor: Option<Position>) {
         self.floor = floor;
     }
 
-    /// Begins a transaction for another instance.
+    /// Begins a transaction for the forwarding instance.
     pub fn begin_forwarded(&mut self, route: &Arc<Route>, read_only: bool) {
         self.transaction = Some(Transaction::new(route.clone(), read_only));
     }
 
-    /// Rolls back what is open.
+    /// Rolls back the open transaction, if there is one.
     pub fn drop_transaction(&mut self) {
         self.transaction = None;
     }
 
-    /// Whether the present statement belongs to a transaction.
+    /// Whether the current statement belongs to a transaction.
     #[must_use]
     pub fn is_in_transaction(&self) -> bool {
         self.in_transaction || self.transaction.is_some()
     }
 
-    /// Who its client is.
+    /// The client of the session.
     #[must_use]
     pub fn caller(&self) -> &Caller {
         &self.caller
     }
 
-    /// The engine that serves it.
+    /// The engine that serves the session.
     #[must_use]
     pub fn engine(&self) -> &Arc<Engine> {
         &self.engine
     }
 
-    /// What its statements have in common with others that should meet them at one
-    /// holder.
+    /// What decides which holder serves its statements: the account, so that all sessions
+    /// of an account share the connections of one holder, or else the session itself. A
+    /// forwarded session always uses the latter, since the sender has chosen the holder.
     #[must_use]
     pub fn meeting(&self) -> Meeting {
         match &self.caller.account {
@@ -265,40 +277,42 @@
         }
     }
 
-    /// The group that serves the session's present operation.
+    /// The group of servers that the session's current operation uses.
     #[must_use]
     pub fn shard(&self) -> &Arc<Shard> {
         &self.shard
     }
 
-    /// Values that the client has set.
+    /// Session values that the client has set.
     #[must_use]
     pub fn values(&self) -> &SessionValues {
         &self.values
     }
 
-    /// State of the session.
+    /// Transaction state of the session.
     #[must_use]
     pub fn state(&self) -> TransactionState {
         self.transaction.as_ref().map_or(TransactionState::Idle, Transaction::state)
     }
 
-    /// How long an exchange that may be repeated waits for a server.
+    /// How long an exchange that can safely be repeated waits for a server's answer
+    /// before it is abandoned.
     #[must_use]
     pub fn stall_limit(&self, request: &Request, server: &str) -> Duration {
         let usual_time = self.shard.with_group(|group| group.read_time(server));
         waits::read_stall_limit(request.route.objective, usual_time).min(request.time_left(now()))
     }
 
-    /// Whether a transaction that wrote, begun in `term`, may be committed at a
-    /// server now.
+    /// Whether a transaction that wrote and began in `term` may be committed at `server`
+    /// now: this instance still has the lease on that term.
     #[must_use]
     pub fn may_commit(&self, server: &str, term: Option<Term>) -> bool {
         term.is_some() && self.shard.term_of(server) == term
     }
 
-    /// Whether a commit that a server acknowledged counts: the server was the
-    /// primary of `term` when it made it. Else nobody can tell.
+    /// Whether a commit that a server acknowledged is final, because the server was the
+    /// primary of `term` when it committed. If this returns `false`, the outcome is
+    /// unknown.
     pub async fn is_confirmed(&self, request: &Request, server: &TargetId, term: Term) -> bool {
         let until = request.deadline.min(now() + CONFIRM_LIMIT);
         let confirmed = self.shard.confirm_term(term, until).await;
@@ -310,19 +324,21 @@
         confirmed
     }
 
-    /// Lowest position that a read of this session has to see.
+    /// Lowest log position that a read of this session has to see; `None` if the
+    /// read needs the primary.
     #[must_use]
     pub fn floor_for(&self, arrived_at: Moment, consistency: Consistency) -> Option<Position> {
         self.shard.with_group(|group| group.floor(arrived_at, consistency, self.floor))
     }
 
-    /// The session's own commit reached a position.
+    /// Records that the session committed at a position.
     pub fn raise_floor(&mut self, position: Position) {
         self.floor = Some(self.floor.map_or(position, |floor| floor.max(position)));
     }
 
-    /// A server lacks `floor`. If that proves that a change of primary rolled
-    /// it back, what the session committed up to there is gone as well.
+    /// Records that a server has not applied `floor`. If that proves that a change of
+    /// primary rolled `floor` back, the session's own commits up to it are lost as well,
+    /// and its reads no longer wait for them.
     pub fn observe_lagging(
         &mut self,
         server: &TargetId,
@@ -337,7 +353,8 @@
         }
     }
 
-    /// Steps that set a connection up for this session.
+    /// Statements that set up a connection for this session: its values, and the
+    /// prepared statement that it is about to execute. They count as sent from now on.
     pub fn setup_steps(&self, lease: Option<&mut Lease>, prepared: Option<&Prepared>) -> Vec<Step> {
         let Some(lease) = lease else {
             return Vec::new();
@@ -345,7 +362,7 @@
         lease.connection().adapt(&self.values, prepared)
     }
 
-    /// Runs one statement.
+    /// Runs one statement of the client.
     pub async fn run(&mut self, id: RequestId, statement: Statement) -> Reply {
         let began_at = now();
         let (database, account) = (self.database.clone(), self.caller.account.clone());
@@ -355,7 +372,7 @@
         let result = self.dispatch(id, statement).await;
         self.report(kind, result.as_ref().err(), now().saturating_sub(began_at));
         let refused = result.as_ref().err().map(|failure| failure.kind);
-        self.should_reconnect |= refused.is_some_and(ErrorKind::ends_session);
+        self.closes_after_failure |= refused.is_some_and(ErrorKind::ends_session);
         let state = self.state();
         match result {
             Ok(Some(served)) => {
@@ -366,7 +383,7 @@
         }
     }
 
-    /// The kind of a statement, for counters.
+    /// The kind of a statement, as a metric label.
     fn kind_of(&self, statement: &Statement) -> &'static str {
         match statement {
             Statement::Read { .. } => "read",
@@ -380,7 +397,8 @@
         }
     }
 
-    /// Where the last try of the present statement went, for histograms.
+    /// The role of the server or instance that the last attempt of the current statement
+    /// was sent to, as a metric label.
     fn role_of_server(&self) -> &'static str {
         let server = self.trace.server.as_deref().unwrap_or_default();
         self.shard.with_group(|group| match group.server(server) {
@@ -411,22 +429,23 @@
         }
     }
 
-    /// What happened to the present statement so far.
+    /// The trace of the current statement.
     pub fn trace_mut(&mut self) -> &mut StatementTrace {
         &mut self.trace
     }
 
-    /// A try of the present statement failed, and another one follows.
+    /// Counts and logs that an attempt of the current statement failed and another one
+    /// follows.
     pub fn report_retry(&self, failure: &Failure) {
         self.engine.metrics().moved(failure.kind);
         self.trace.log_retry(self.shard.id(), failure);
     }
 
-    /// Gets a connection for the present statement.
+    /// Gets a connection for the current statement.
     ///
     /// # Errors
     ///
-    /// When none could be had in time. Nothing was sent then.
+    /// When none was available in time. Nothing was sent then.
     pub async fn acquire(
         &mut self,
         request: &Request,
@@ -504,13 +523,13 @@
         Ok(())
     }
 
-    /// The route of the session's database as it is now.
+    /// The route of the session's database in the current configuration.
     fn resolve(&mut self) -> Result<Arc<Route>, Failure> {
         let route = self.engine.route(&self.database);
         let route = route.ok_or_else(|| Failure::new(ErrorKind::UnknownDatabase))?;
         if *self.shard.id() != route.group {
             self.shard = self.engine.shard(&route.group);
-            // Positions of another group's log mean nothing in this one.
+            // A position is valid only in the log of its own group.
             self.floor = None;
         }
         Ok(route)
@@ -543,11 +562,11 @@
         result
     }
 
-    /// Runs work for a request, in the transaction if there is one.
+    /// Runs a request's statement, in the transaction if there is one.
     ///
     /// # Errors
     ///
-    /// When it did not run, failed, or nobody can tell.
+    /// When the statement did not run, failed, or has an unknown outcome.
     pub async fn run_work(
         &mut self,
         request: &Request,
@@ -590,7 +609,7 @@
     ///
     /// # Errors
     ///
-    /// When it was rolled back, or nobody can tell whether it was kept.
+    /// When the transaction was rolled back, or when its outcome is unknown.
     pub async fn commit_work(&mut self, request: &Request) -> Result<Served, Failure> {
         let Some(mut transaction) = self.transaction.take() else {
             return Err(Failure::new(ErrorKind::BadStatement));
@@ -609,7 +628,7 @@
     }
 
     fn roll_back(&mut self) -> Result<(), Failure> {
-        // Dropped, it rolls back by itself.
+        // Dropping the transaction rolls it back.
         match self.transaction.take() {
             Some(_) => Ok(()),
             None => Err(Failure::new(ErrorKind::BadStatement)),
--- a/daemon/src/engine/session/account.rs
+++ b/daemon/src/engine/session/account.rs
@@ -1,4 +1,5 @@
-//! The account that a session's statements run for: its key, and its quota.
+//! Checks of the client account that a session's statements run for: whether its key
+//! is still valid, and whether its quota admits another operation.
 
 use std::time::Duration;
 
@@ -10,14 +11,14 @@
 use crate::engine::request::Failure;
 use crate::engine::session::Session;
 
-/// How long an operation waits to be counted where nobody counts yet: a few rounds of
-/// votes after all instances were killed.
+/// How long an operation waits to be counted while no instance keeps the account's
+/// quota: a few rounds of votes after all instances were killed.
 const KEEPER_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl Session {
-    /// Whether the configuration in force still has the client's key. One that was
-    /// taken away is served no more on sessions that stand open, and its transaction
-    /// is rolled back.
+    /// Checks that the configuration in force still has the client's key. If the key was
+    /// removed, open sessions are no longer served either, and their transactions are
+    /// rolled back.
     pub(super) fn check_caller(&mut self, route: &Route) -> Result<(), Failure> {
         let checked = self.caller.check_again(&self.engine.catalog(), route);
         let same_account = |caller: &Caller| caller.account == self.caller.account;
@@ -36,9 +37,10 @@
         }
     }
 
-    /// Counts an operation that begins with the present statement.
+    /// Counts an operation against the account's quota. A transaction is one operation,
+    /// counted at its first statement.
     pub(super) async fn count_operation(&mut self, time_left: Duration) -> Result<(), Failure> {
-        let patience = time_left.min(KEEPER_TIMEOUT);
+        let limit = time_left.min(KEEPER_TIMEOUT);
         if let Some(transaction) = &mut self.transaction {
             if transaction.is_counted {
                 return Ok(());
@@ -47,7 +49,7 @@
         let Some(account) = self.caller.account.clone() else {
             return Ok(());
         };
-        let counted = self.engine.admit_operation(&account, patience).await;
+        let counted = self.engine.admit_operation(&account, limit).await;
         if let Some(transaction) = &mut self.transaction {
             transaction.is_counted = counted.is_ok();
             if counted.is_err() {
@@ -57,8 +59,8 @@
         counted
     }
 
-    /// A single statement that was counted failed: where it has not run, its account
-    /// may begin another one.
+    /// Returns the quota of a single statement that failed without having run, if the
+    /// failure counts against the proxy's error budget.
     pub(super) fn refund_operation(&self, failure: &Failure) {
         let rule = failure.kind.rule();
         if let (Some(account), Outcome::NotRun, true) =
--- a/daemon/src/engine/session/idle.rs
+++ b/daemon/src/engine/session/idle.rs
@@ -1,4 +1,5 @@
-//! What ends a session, or its transaction, while its client rests.
+//! Idle sessions: when a session, or its transaction, is ended while the client sends
+//! no statement.
 
 use std::time::Duration;
 
@@ -16,7 +17,8 @@
 use crate::engine::transaction::Transaction;
 
 impl Session {
-    /// How long the session may rest before its transaction is ended.
+    /// Time left until the transaction is rolled back for being idle; `None` if it holds no
+    /// connection, or the configuration sets no limit.
     #[must_use]
     pub fn idle_time_left(&self) -> Option<Duration> {
         let transaction = self.transaction.as_ref()?;
@@ -27,8 +29,8 @@
         Some((transaction.active_at + limit).saturating_sub(now()))
     }
 
-    /// Ends a transaction in which the client rested too long: its connection
-    /// is one of few, and others wait for it.
+    /// Rolls back a transaction that was idle for too long. It holds one of few
+    /// connections, which other requests wait for.
     pub fn end_idle(&mut self) {
         if let Some(transaction) = &mut self.transaction {
             let event = Event::new(EventKind::TransactionRested).with("database", &self.database);
@@ -37,7 +39,8 @@
         }
     }
 
-    /// Waits until the session, at rest now, has to change by itself.
+    /// Waits while the session is idle, until its transaction has to be rolled back or the
+    /// session closed. `stop` carries the plan of a planned stop once there is one.
     pub async fn rest(&self, stop: &mut watch::Receiver<Option<StopPlan>>) -> IdleAction {
         loop {
             let plan = *stop.borrow_and_update();
@@ -51,7 +54,7 @@
             tokio::select! {
                 () = wait => return end,
                 changed = stop.changed() => {
-                    // Without an engine there is nothing to serve.
+                    // The sender is dropped with the engine: nothing is left to serve.
                     if changed.is_err() {
                         return IdleAction::Close;
                     }
@@ -75,15 +78,16 @@
         self.transaction.as_ref().is_some_and(Transaction::holds_connection)
     }
 
-    /// Whether the session ends now that its operation is over: by a planned stop,
-    /// or because another instance may serve what this one had to refuse.
+    /// Whether the session ends now that its operation is over: because of a planned
+    /// stop, or after a failure that ends sessions, which another instance may be able
+    /// to avoid.
     ///
-    /// A client that stays connected comes back to the same instance: on a day
-    /// with a partition nine of ten refused tries were of requests whose three
-    /// tries were all refused by the same side, while the other side was well.
+    /// A client that stays connected retries at the same instance. During a partition,
+    /// nine of ten refused attempts belonged to requests that were refused three times
+    /// on the same side, while the other side could have served them.
     #[must_use]
     pub fn is_over(&self, stop: &watch::Receiver<Option<StopPlan>>) -> bool {
         let closing = stop.borrow().is_some_and(|plan| plan.closing_begins_at() <= now());
-        (closing || self.should_reconnect) && self.state() == TransactionState::Idle
+        (closing || self.closes_after_failure) && self.state() == TransactionState::Idle
     }
 }
--- a/daemon/src/engine/shard.rs
+++ b/daemon/src/engine/shard.rs
@@ -1,5 +1,6 @@
-//! One group of servers at this instance: what is known of them and the
-//! connections to them.
+//! A shard: one group of replicated servers as this instance sees it. It holds the
+//! observed state of the servers, the pooled connections to them, and the queue of
+//! requests that wait for a connection.
 
 mod assign;
 mod pool;
@@ -50,66 +51,68 @@
     pub(super) queue: WaitQueue<Waiter>,
     pub(super) pace: WaitPace,
     budget: usize,
-    /// Smoothed time between a grant and the end of the statement.
+    /// Smoothed duration of statements at the servers.
     pub(super) service_time: Duration,
     demand: Demand,
-    /// How often each account wants a connection.
+    /// How often each account requests a connection.
     pub(super) wanted: AccountRates,
     /// Connections being opened, by server and account.
     openings: HashMap<(TargetId, Option<AccountId>), usize>,
-    /// Servers that this instance does not reach itself, with another
-    /// instance that does.
+    /// Servers that this instance cannot reach directly, with the detour to each.
     detours: HashMap<TargetId, Detour>,
 }
 
-/// The way to a server through another instance.
+/// A detour: the path to a server through a tunnel of another instance, which can reach
+/// it.
 #[derive(Clone, Copy, Debug)]
 struct Detour {
+    /// Address of the other instance.
     via: SocketAddr,
-    /// When the direct way was last found closed.
+    /// When the direct path was last tried.
     checked_at: Moment,
 }
 
-/// One group of servers at this instance, under one lock.
+/// One group of servers at this instance, with its state under one lock.
 pub struct Shard {
     id: GroupId,
     connector: Arc<dyn Connector>,
     peers: Arc<Peers>,
     inner: Mutex<Inner>,
-    /// Woken when there is something to find out about the primary.
+    /// Wakes the task that checks the primary, when it may have failed or changed.
     doubt: Arc<Notify>,
-    /// Woken when the right to use the primary is wanted and missing.
+    /// Wakes the task that renews the primary lease, when a request needs the lease and it
+    /// has expired.
     renewal: Arc<Notify>,
-    /// Woken when the right to use the primary changed.
+    /// Wakes those who wait for a change of the primary lease.
     primary_lease_changed: Notify,
 }
 
-/// Longest time for a server's greeting, once it can be reached.
+/// How long the handshake with a server may take once the network connection is open.
 ///
-/// A greeting takes a slot of the server for up to 27 ms and waits for one
-/// like any statement. After all instances had lost power, openings that were
-/// given up after 300 ms, and begun again, kept the slots busy for a second:
-/// 161 of them in 0.2 s made servers look unreachable that were only greeting.
+/// A handshake takes a slot of the server for up to 27 ms, and waits for a free slot like
+/// any statement. With a limit of 300 ms, after a power loss of all instances, abandoned
+/// and repeated handshakes kept the slots busy for a second: 161 of them in 0.2 s made
+/// servers appear unreachable that were only busy with handshakes.
 const GREETING_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time between two tries of the direct way to a server that is reached
-/// through another instance.
+/// Interval at which the direct path to a server is tried again while a detour is in use.
 const DETOUR_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Weight of the newest statement in the smoothed time, as one over this.
+/// The newest statement has a weight of one over this in the smoothed statement duration.
 const SERVICE_TIME_SMOOTHING: u32 = 16;
 
-/// After a failed opening no other is tried for this long, so that waiting
-/// requests do not turn into a flood of openings.
+/// After a connection could not be opened, none is opened to the same server for this
+/// long, so that waiting requests do not cause a flood of attempts.
 const OPEN_PAUSE: Duration = Duration::from_millis(100);
 
-/// After a server said that it has too many connections. Others have to
-/// give some up first, which takes the time of a transaction.
+/// Pause before the next connection is opened to a server that reported too many
+/// connections. Other instances have to close some first, which takes about as long as
+/// a transaction.
 const TOO_MANY_CONNECTIONS_PAUSE: Duration = Duration::from_millis(300);
 
 impl Shard {
-    /// A group of which nothing is known yet, at an instance in a failure
-    /// domain.
+    /// Creates a shard without servers, at an instance in the failure domain `home`.
+    /// `doubt` wakes the task that checks primaries.
     #[must_use]
     pub fn new(
         id: GroupId,
@@ -123,19 +126,19 @@
         Self { id, connector, peers, inner, doubt, renewal: Arc::default(), primary_lease_changed }
     }
 
-    /// With somebody to wake when the right to use the primary is missing.
+    /// Sets what wakes the task that renews primary leases.
     #[must_use]
     pub fn with_renewal(mut self, renewal: Arc<Notify>) -> Self {
         self.renewal = renewal;
         self
     }
 
-    /// There is something to find out about the primary.
+    /// Wakes the task that checks the primary, since it may have failed or changed.
     pub fn doubt(&self) {
         self.doubt.notify_one();
     }
 
-    /// Its id.
+    /// The group's id.
     #[must_use]
     pub fn id(&self) -> &GroupId {
         &self.id
@@ -145,12 +148,12 @@
         self.inner.lock().expect("never poisoned")
     }
 
-    /// Reads or updates what is known of the servers.
+    /// Reads or updates the observed state of the servers.
     pub fn with_group<R>(&self, f: impl FnOnce(&mut Group) -> R) -> R {
         f(&mut self.lock().group)
     }
 
-    /// A server refused what only the primary does.
+    /// Records that a server refused an operation that only the primary serves.
     pub fn lost_lead(&self, server: &TargetId) {
         let was = self.with_group(|group| group.observe_not_leading(server, 0));
         if was {
@@ -160,31 +163,33 @@
         }
     }
 
-    /// The primary is wanted: sees to it that the right to use it is renewed.
+    /// Records that a request needs the primary, and requests a renewal of the primary
+    /// lease if that is due.
     pub fn want_leader(&self) {
         if !self.with_group(|group| group.want_leader(now())) {
             self.renewal.notify_one();
         }
     }
 
-    /// The right to use the primary may have changed.
+    /// Wakes those who wait for a change of the primary lease, and assigns connections.
     pub fn primary_lease_changed(self: &Arc<Self>) {
         self.primary_lease_changed.notify_waiters();
         self.pump();
     }
 
-    /// The term in which a server may be used as the primary now.
+    /// The term in which a server may be used as the primary now: the term of a valid
+    /// primary lease. `None` if there is none for this server.
     #[must_use]
     pub fn term_of(&self, server: &str) -> Option<Term> {
         self.with_group(|group| group.usable_term(now(), server))
     }
 
-    /// Whether a commit that a server acknowledged was made while it was the
-    /// primary of `term`: the right to use that term is still there, or comes
-    /// back before `until`.
+    /// Whether a commit that a server acknowledged was made while it was the primary of
+    /// `term`. This is so if the lease on that term is valid, or is renewed before
+    /// `until`.
     ///
-    /// An old primary goes on after another was promoted, and what it commits
-    /// then is lost.
+    /// A former primary may continue to acknowledge commits after another server was
+    /// promoted. Those commits are lost.
     pub async fn confirm_term(&self, term: Term, until: Moment) -> bool {
         loop {
             let changed = self.primary_lease_changed.notified();
@@ -196,19 +201,20 @@
             }
             self.renewal.notify_one();
             let wait = until.saturating_sub(now());
-            // Over either way: looked at again.
+            // The lease is checked again after a change as well as after the timeout.
             let _waited = tokio::time::timeout(wait, changed).await;
         }
     }
 
-    /// A server takes long to answer.
+    /// Records that a server takes unusually long to answer, so that it may have failed.
     pub fn suspect(&self, server: &TargetId) {
         if self.with_group(|group| group.suspect(now(), server)) {
             self.doubt();
         }
     }
 
-    /// Sets how many connections to each server this instance may hold.
+    /// Sets how many connections to each server this instance may hold, and closes idle
+    /// ones above that.
     pub fn set_budget(self: &Arc<Self>, budget: usize) {
         let (before, closing) = {
             let mut inner = self.lock();
@@ -222,39 +228,41 @@
         }
     }
 
-    /// Connections that this instance wants to the busiest server.
+    /// How many connections to the busiest server this instance needs: the recent peak,
+    /// which decays over time.
     #[must_use]
     pub fn demand(&self, now: Moment) -> f64 {
         self.lock().demand.at(now)
     }
 
-    /// Connections to each server, by state.
+    /// The number of connections to each server, by state.
     #[must_use]
     pub fn connection_counts(&self) -> Vec<ConnectionCounts> {
         let inner = self.lock();
         let count = |(id, pool): (&TargetId, &Pool)| ConnectionCounts {
             server: id.clone(),
             idle: pool.idle.len(),
-            lent: pool.share.open.saturating_sub(pool.idle.len()),
-            opening: pool.share.opening,
+            lent: pool.view.open.saturating_sub(pool.idle.len()),
+            opening: pool.view.opening,
         };
         inner.pools.iter().map(count).collect()
     }
 
-    /// Whether a request or transaction has a connection.
+    /// Whether a request or transaction holds a connection.
     #[must_use]
     pub fn has_lent(&self) -> bool {
         let inner = self.lock();
-        inner.pools.values().any(|pool| pool.share.open > pool.idle.len())
+        inner.pools.values().any(|pool| pool.view.open > pool.idle.len())
     }
 
-    /// Requests that wait for a connection.
+    /// The number of requests that wait for a connection.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.lock().queue.len()
     }
 
-    /// Takes the platform's list of servers over.
+    /// Sets the servers of the group, from the platform's list. Idle connections to servers
+    /// that take no more work are closed.
     pub fn set_servers(self: &Arc<Self>, servers: Vec<ServerInfo>) {
         let mut inner = self.lock();
         inner.group.set_servers(now(), servers);
@@ -268,7 +276,7 @@
                     closing.push(connection);
                 }
             }
-            usable || pool.share.open + pool.share.opening > 0
+            usable || pool.view.open + pool.view.opening > 0
         });
         drop(inner);
         drop(closing);
@@ -276,13 +284,14 @@
         self.pump();
     }
 
-    /// A connection comes back idle and whole.
+    /// Returns a lent connection, with no transaction open and no reply outstanding, to the
+    /// pool.
     pub(crate) fn take_back(self: &Arc<Self>, server: &TargetId, connection: PooledConnection) {
         let mut inner = self.lock();
         let usable = inner.group.takes_work(server);
         let budget = inner.budget;
         let pool = inner.pools.entry(server.clone()).or_default();
-        if usable && pool.share.open <= budget {
+        if usable && pool.view.open <= budget {
             pool.idle.push(connection);
         } else {
             pool.closed(connection.account.as_ref());
@@ -291,36 +300,37 @@
         self.pump();
     }
 
-    /// A statement is sent to a server, on a connection lent before.
+    /// Counts a statement that is sent to a server on a connection that is already lent.
     pub(crate) fn begin_running(&self, server: &TargetId) {
         self.lock().group.begin_running(server);
     }
 
-    /// A server is done with a statement, or was given up.
+    /// Stops counting a statement at a server: the server completed it, or the exchange was
+    /// abandoned.
     pub(crate) fn end_running(&self, server: &TargetId) {
         self.lock().group.end_running(server);
     }
 
-    /// A statement took this long at a server. From `slow_from` on that is a
-    /// sign of a queue there.
+    /// Records how long a statement took at a server. From `slow_from` on, the duration
+    /// indicates that statements queue at the server.
     pub fn observe_time(&self, server: &TargetId, took: Duration, slow_from: Duration) {
         let mut inner = self.lock();
         let running = inner.group.server(server).map_or(0, |view| view.running);
         let kept = inner.service_time * (SERVICE_TIME_SMOOTHING - 1);
         inner.service_time = (kept + took) / SERVICE_TIME_SMOOTHING;
         if let Some(pool) = inner.pools.get_mut(server) {
-            pool.share.limit.answered(now(), running, took, slow_from);
+            pool.view.limit.answered(now(), running, took, slow_from);
         }
     }
 
-    /// A server has too much to do.
+    /// Records that a server refused a statement because it is overloaded.
     pub fn observe_busy(&self, server: &TargetId) {
         if let Some(pool) = self.lock().pools.get_mut(server) {
-            pool.share.limit.refused(now());
+            pool.view.limit.refused(now());
         }
     }
 
-    /// A lent connection was closed.
+    /// Records that a lent connection was closed.
     pub(crate) fn closed(self: &Arc<Self>, server: &TargetId, account: Option<&AccountId>) {
         let mut inner = self.lock();
         if let Some(pool) = inner.pools.get_mut(server) {
@@ -330,9 +340,10 @@
         self.pump();
     }
 
-    /// A connection to a server gave no answer to what was sent at a moment. Connections
-    /// can go silent together, without a reset: idle ones that have not answered since
-    /// are closed, so that they do not take one statement after the other.
+    /// Closes stale idle connections to a server: those without an answer since `sent_at`,
+    /// when something was sent on another connection that was never answered. Connections
+    /// can stop working together, without a reset; otherwise each of them would lose a
+    /// statement in turn.
     pub fn close_stale(self: &Arc<Self>, server: &TargetId, sent_at: Moment) {
         let closing = {
             let mut inner = self.lock();
@@ -342,14 +353,14 @@
         self.pump();
     }
 
-    /// Hands idle connections to those who wait, in their order, and opens
-    /// connections for those who can have one.
+    /// Assigns idle connections to waiting requests in the order of the queue, and opens
+    /// new connections where the budget allows.
     pub fn pump(self: &Arc<Self>) {
         let Assignments { grants, openings, closing } = self.lock().assign(now());
         drop(closing);
         for (grant, server, connection) in grants {
             let lease = Lease::new(self.clone(), server, connection);
-            // The request may just have given up.
+            // The request may have stopped waiting in the meantime.
             if let Err(lease) = grant.send(lease) {
                 lease.give_back();
             }
@@ -365,7 +376,7 @@
         let via = self.lock().detours.get(&server.id).map(|detour| detour.via);
         let result = self.connect(&server, account.as_ref(), via).await;
         if result.is_err() && via.is_some() {
-            // The helper may be gone, or have lost the server itself.
+            // The other instance may be gone, or may no longer reach the server either.
             self.lock().detours.remove(&server.id);
         }
         self.opened(&server.id, account, began_at, result);
@@ -377,7 +388,7 @@
     ///
     /// # Errors
     ///
-    /// When none can be opened in time, or the server refuses.
+    /// When the server cannot be reached in time, or refuses the connection.
     pub async fn connect(
         &self,
         server: &ServerInfo,
@@ -400,7 +411,7 @@
         }
     }
 
-    /// Another instance reaches a server that this one does not.
+    /// Uses a detour to a server, through the instance at `via`, for new connections.
     pub fn set_detour(self: &Arc<Self>, server: &TargetId, via: SocketAddr) {
         let detour = Detour { via, checked_at: now() };
         let before = self.lock().detours.insert(server.clone(), detour);
@@ -408,17 +419,18 @@
             let event = Event::new(EventKind::DetourOpened).with("group", &self.id);
             event_log::emit(&event.with("server", server).with("via", via));
         }
-        self.lock().pools.entry(server.clone()).or_default().share.blocked_until = Moment::ZERO;
+        self.lock().pools.entry(server.clone()).or_default().view.blocked_until = Moment::ZERO;
         self.pump();
     }
 
-    /// Whether a server is reached only through another instance.
+    /// Whether a detour to a server is in use.
     #[must_use]
     pub fn has_detour(&self, server: &str) -> bool {
         self.lock().detours.contains_key(server)
     }
 
-    /// Detours whose direct way should be tried again. They count as tried.
+    /// Servers with a detour whose direct path is due to be tried again. Marks them as tried
+    /// now.
     pub fn detours_to_check(&self) -> Vec<TargetId> {
         let now = now();
         let mut inner = self.lock();
@@ -431,7 +443,7 @@
         .collect()
     }
 
-    /// The direct way to a server is open again.
+    /// Ends the detour to a server, which can be reached directly again.
     pub fn end_detour(&self, server: &TargetId) {
         if self.lock().detours.remove(server).is_some() {
             let event = Event::new(EventKind::DetourClosed).with("group", &self.id);
@@ -456,14 +468,14 @@
         inner.end_opening(server, account.as_ref());
         let known = inner.group.takes_work(server);
         let pool = inner.pools.entry(server.clone()).or_default();
-        pool.share.opening = pool.share.opening.saturating_sub(1);
+        pool.view.opening = pool.view.opening.saturating_sub(1);
         let opened = known && result.is_ok();
         if !opened {
             pool.forget(account.as_ref());
         }
         match result {
             Ok(connection) if known => {
-                pool.share.open += 1;
+                pool.view.open += 1;
                 pool.idle.push(PooledConnection::new(account, connection));
                 inner.group.observe_answer(now, server, None);
             }
@@ -471,13 +483,13 @@
             Err(ConnectError::Refused(refusal))
                 if refusal.kind == RefusalKind::TooManyConnections =>
             {
-                pool.share.blocked_until = now + TOO_MANY_CONNECTIONS_PAUSE;
+                pool.view.blocked_until = now + TOO_MANY_CONNECTIONS_PAUSE;
                 self.log_open_failure(server, "too many connections");
             }
             Err(error) => {
-                pool.share.blocked_until = now + OPEN_PAUSE;
-                // A server that answered on another connection meanwhile has
-                // a queue; it is not dead.
+                pool.view.blocked_until = now + OPEN_PAUSE;
+                // A server that answered on another connection in the meantime is
+                // overloaded, not down.
                 if !inner.group.has_answered_since(server, began_at) {
                     inner.group.observe_failure(now, server);
                 }
@@ -493,7 +505,7 @@
     }
 }
 
-/// Connections to one server.
+/// The number of connections to one server, by state.
 #[derive(Clone, Debug)]
 pub struct ConnectionCounts {
     /// The server.
@@ -504,7 +516,7 @@
 }
 
 impl ConnectionCounts {
-    /// The counts with the names of their states.
+    /// The counts with the names of their states, as metric labels.
     #[must_use]
     pub fn by_state(&self) -> [(&'static str, usize); 3] {
         [("idle", self.idle), ("lent", self.lent), ("opening", self.opening)]
@@ -513,12 +525,12 @@
 
 type Grant = (oneshot::Sender<Lease>, TargetId, PooledConnection);
 
-/// What follows from a look at those who wait.
+/// The result of one assignment of connections to waiting requests.
 #[derive(Default)]
 pub(super) struct Assignments {
     grants: Vec<Grant>,
-    /// Connections to open, and for whom.
+    /// Connections to open, with the account of each.
     openings: Vec<(ServerInfo, Option<AccountId>)>,
-    /// Connections that make room for these.
+    /// Connections to close, to make room for those.
     closing: Vec<PooledConnection>,
 }
--- a/daemon/src/engine/shard/assign.rs
+++ b/daemon/src/engine/shard/assign.rs
@@ -1,4 +1,5 @@
-//! Which connection goes to which request, and when one more is opened.
+//! Assignment of connections: which waiting request gets which connection, and when a
+//! connection is opened, or replaced by one for another account.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -21,17 +22,18 @@
 use crate::engine::shard::pool::Pool;
 use crate::engine::waiting::ConnectionRequest;
 
-/// How long a request whose account has no connection waits while those of others
-/// serve who waits for them, several one after the other. Closed for each account
-/// in turn, connections would serve one statement each.
+/// How long a request whose account has no connection waits before an idle connection of
+/// another account is closed for it, although requests of that account wait too. Until then
+/// that connection serves several requests in a row. Without the delay, connections would
+/// be replaced after every statement.
 const REPLACE_DELAY: Duration = Duration::from_millis(40);
 
 impl Inner {
-    /// Takes the idle connections that are over the budget, to close them.
+    /// Takes out the idle connections that exceed the budget, for the caller to close.
     pub(super) fn idle_over_budget(&mut self) -> Vec<PooledConnection> {
         let mut closing = Vec::new();
         for pool in self.pools.values_mut() {
-            while pool.share.open > self.budget {
+            while pool.view.open > self.budget {
                 let Some(connection) = pool.idle.pop() else {
                     break;
                 };
@@ -42,8 +44,8 @@
         closing
     }
 
-    /// Takes the idle connection that fits best, if nobody waits who should
-    /// have it first.
+    /// Takes out the idle connection that needs the fewest setup statements, unless a
+    /// waiting request comes before this one.
     pub(in crate::engine) fn take_idle(
         &mut self,
         now: Moment,
@@ -71,8 +73,8 @@
         }
     }
 
-    /// Takes the idle connection with the smallest `cost` that will do and is still
-    /// open.
+    /// Takes out the idle connection to a server with the smallest `cost`, among those
+    /// that are still open and may serve `owner`.
     pub(super) fn take_from(
         &mut self,
         server: &TargetId,
@@ -83,7 +85,7 @@
         loop {
             let usable = |index: &usize| owner.accepts(pool.idle[*index].account.as_ref());
             let indices = (0..pool.idle.len()).rev().filter(usable);
-            // The last one of the best: it was used most recently.
+            // Among equals the last one wins: it was used most recently.
             let best = indices.min_by_key(|index| cost(&pool.idle[*index]))?;
             let mut connection = pool.idle.swap_remove(best);
             if connection.connection.is_closed() {
@@ -96,26 +98,29 @@
         }
     }
 
-    /// Those who wait could all be waiting for the busiest server.
+    /// Records the current demand for connections to the busiest server. All waiting
+    /// requests count, since each could be waiting for that server.
     pub(super) fn observe_demand(&mut self, now: Moment) {
-        let lent = |pool: &Pool| pool.share.open.saturating_sub(pool.idle.len());
+        let lent = |pool: &Pool| pool.view.open.saturating_sub(pool.idle.len());
         let busiest = self.pools.values().map(lent).max().unwrap_or(0);
         self.demand.observe(now, busiest + self.queue.len());
     }
 
-    /// Chooses a server for a request that has waited this long.
+    /// Chooses a server for a request that has waited for `waited`.
     fn choose(&self, now: Moment, need: &Need, owner: &Owner, waited: Duration) -> Choice {
-        choose(&self.group, now, need, |id| self.share_of(id, owner, waited))
+        choose(&self.group, now, need, |id| self.view_of(id, owner, waited))
     }
 
-    /// How many statements may be at a server at once.
+    /// How many statements may run at a server at the same time.
     pub(in crate::engine) fn limit_of(&self, id: &TargetId) -> f64 {
         self.pools
             .get(id)
-            .map_or_else(|| PoolShare::default().limit.value(), |pool| pool.share.limit.value())
+            .map_or_else(|| PoolShare::default().limit.value(), |pool| pool.view.limit.value())
     }
 
-    fn share_of(&self, id: &TargetId, owner: &Owner, waited: Duration) -> PoolShare {
+    /// The connections to a server as they count for a request of `owner` that has waited
+    /// for `waited`.
+    fn view_of(&self, id: &TargetId, owner: &Owner, waited: Duration) -> PoolShare {
         let Some(pool) = self.pools.get(id) else {
             return PoolShare { budget: self.budget, ..PoolShare::default() };
         };
@@ -126,19 +131,19 @@
             None => 0,
         };
         let own = match owner {
-            Owner::Anybody => pool.share.open,
+            Owner::Anybody => pool.view.open,
             Owner::Account(account) => pool.by_account.get(account).copied().unwrap_or(0),
         };
-        // Accounts need new connections all the time, and each takes a slot like a
-        // statement: uncounted, all holders together opened more than a busy server
-        // has slots, and served nothing.
-        let taking_slots = owner.account().map_or(0, |_| pool.share.opening);
+        // Accounts cause a steady flow of new connections, each of which takes a slot of
+        // the server like a statement. When these were not counted, all holders together
+        // opened more connections than a busy server has slots, and served nothing.
+        let taking_slots = owner.account().map_or(0, |_| pool.view.opening);
         let budget = self.budget;
-        PoolShare { idle, replaceable, own, taking_slots, budget, ..pool.share.clone() }
+        PoolShare { idle, replaceable, own, taking_slots, budget, ..pool.view.clone() }
     }
 
-    /// Index of the idle connection to a server that is least likely to be wanted
-    /// again, to close it for a request that has waited this long.
+    /// Index of the idle connection to a server that is least likely to be needed again
+    /// and may be closed for a request that has waited for `waited`.
     fn victim(&self, server: &TargetId, waited: Duration) -> Option<usize> {
         let at = now();
         let idle = &self.pools.get(server)?.idle;
@@ -158,7 +163,7 @@
         least.map(|(index, _)| index)
     }
 
-    /// Whether a request waits that an idle connection would serve.
+    /// Whether any waiting request could use an idle connection.
     fn is_waited_for(&self, now: Moment, server: &TargetId, pooled: &PooledConnection) -> bool {
         self.queue.iter().any(|(_, waiter)| {
             waiter.owner.accepts(pooled.account.as_ref())
@@ -166,14 +171,15 @@
         })
     }
 
+    /// Assigns connections to all waiting requests, in the order of the queue.
     pub(super) fn assign(&mut self, now: Moment) -> Assignments {
         let mut assignments = Assignments::default();
-        // Openings under way will serve the first of those who wait for them.
-        let mut under_way = self.openings.clone();
+        // Connections that are being opened serve the first requests that wait for them.
+        let mut being_opened = self.openings.clone();
         self.observe_demand(now);
         let places: Vec<_> = self.queue.iter().map(|(place, _)| place).collect();
         for place in places {
-            self.assign_one(now, place, &mut under_way, &mut assignments);
+            self.assign_one(now, place, &mut being_opened, &mut assignments);
         }
         assignments
     }
@@ -182,7 +188,7 @@
         &mut self,
         now: Moment,
         place: Place,
-        under_way: &mut HashMap<(TargetId, Option<AccountId>), usize>,
+        being_opened: &mut HashMap<(TargetId, Option<AccountId>), usize>,
         assignments: &mut Assignments,
     ) {
         let Some(waiter) = self.queue.get(place) else {
@@ -201,7 +207,7 @@
             }
             Choice::Open(server) => {
                 let account = owner.account().cloned();
-                let expected = under_way.entry((server.clone(), account)).or_default();
+                let expected = being_opened.entry((server.clone(), account)).or_default();
                 if *expected > 0 {
                     *expected -= 1;
                     return;
@@ -224,7 +230,8 @@
         }
     }
 
-    /// An opening has ended, either way.
+    /// Records that a connection is no longer being opened, whether it succeeded or
+    /// failed.
     pub(super) fn end_opening(&mut self, server: &TargetId, account: Option<&AccountId>) {
         let key = (server.clone(), account.cloned());
         if let Some(count) = self.openings.get_mut(&key) {
--- a/daemon/src/engine/shard/pool.rs
+++ b/daemon/src/engine/shard/pool.rs
@@ -1,4 +1,4 @@
-//! The connections to one server.
+//! The pool of connections to one server.
 
 use std::collections::HashMap;
 
@@ -8,23 +8,23 @@
 
 use crate::engine::lease::PooledConnection;
 
-/// Connections to one server.
+/// The pool of connections to one server.
 #[derive(Default)]
 pub(super) struct Pool {
     pub(super) idle: Vec<PooledConnection>,
-    pub(super) share: PoolShare,
-    /// Open ones and those being opened, by account.
+    pub(super) view: PoolShare,
+    /// Number of connections that are open or being opened, by account.
     pub(super) by_account: HashMap<Option<AccountId>, usize>,
 }
 
 impl Pool {
-    /// A connection is being opened for an account.
+    /// Counts a connection that is being opened for an account.
     pub(super) fn opening(&mut self, account: Option<&AccountId>) {
-        self.share.opening += 1;
+        self.view.opening += 1;
         *self.by_account.entry(account.cloned()).or_default() += 1;
     }
 
-    /// A connection is closed, or was not opened after all.
+    /// Stops counting a connection for its account: it was closed, or could not be opened.
     pub(super) fn forget(&mut self, account: Option<&AccountId>) {
         let account = account.cloned();
         if let Some(count) = self.by_account.get_mut(&account) {
@@ -35,21 +35,21 @@
         }
     }
 
-    /// Takes out idle connections on which the server has not answered since a moment.
+    /// Takes out the idle connections on which the server has not answered since `since`.
     pub(super) fn take_stale(&mut self, since: Moment) -> Vec<PooledConnection> {
         let idle = std::mem::take(&mut self.idle).into_iter();
-        let (proven, unproven) = idle.partition(|idle| idle.has_answered_since(since));
-        self.idle = proven;
-        let unproven: Vec<PooledConnection> = unproven;
-        for connection in &unproven {
+        let (fresh, stale) = idle.partition(|idle| idle.has_answered_since(since));
+        self.idle = fresh;
+        let stale: Vec<PooledConnection> = stale;
+        for connection in &stale {
             self.closed(connection.account.as_ref());
         }
-        unproven
+        stale
     }
 
-    /// An open connection is closed.
+    /// Stops counting an open connection that is closed.
     pub(super) fn closed(&mut self, account: Option<&AccountId>) {
-        self.share.open = self.share.open.saturating_sub(1);
+        self.view.open = self.view.open.saturating_sub(1);
         self.forget(account);
     }
 }
--- a/daemon/src/engine/single.rs
+++ b/daemon/src/engine/single.rs
@@ -1,4 +1,5 @@
-//! Single statements, outside of transactions.
+//! Single statements, outside of transactions, run on this instance's own connections:
+//! sending them to a server, and retrying them where that is safe.
 
 use std::time::Duration;
 
@@ -26,39 +27,42 @@
 use crate::engine::request::Served;
 use crate::engine::session::Session;
 
-/// A statement as it goes to a server.
+/// A statement in the form in which it is sent to a server.
 #[derive(Clone, Debug)]
 pub struct Work {
-    /// The statement, with the prepared name that servers know.
+    /// The statement. A prepared statement has the name that all sessions share for it
+    /// at the servers, instead of the client's own name.
     pub statement: Statement,
-    /// What it executes, if it is prepared.
+    /// The prepared statement that it executes, if any.
     pub prepared: Option<Prepared>,
 }
 
-/// How a try to run a statement ended.
+/// How an attempt to run a statement ended.
 enum Attempt {
-    /// It ran.
+    /// The statement ran.
     Done(Served),
-    /// It is over, without a result.
+    /// The statement failed and must not be retried.
     Failed(Failure),
-    /// Nothing of it counts; it may be tried again.
+    /// The attempt had no effect, or none that matters; the statement may be retried.
     Retry {
-        /// The last reason.
+        /// Why the attempt failed.
         failure: Failure,
-        /// Pause before the next try.
+        /// Pause before the next attempt.
         pause: Duration,
     },
 }
 
-/// What comes back from sending steps to a server.
+/// The result of sending steps to a server.
 pub enum Sent {
     /// One reply for each step.
     Replies(Vec<StepReply>),
-    /// No whole answer, or a step of our own failed. The lease is gone.
+    /// The exchange failed, so that some or all replies are missing. The connection is
+    /// closed.
     Lost(ExchangeError),
 }
 
-/// Sends steps within `limit`. On any trouble the connection is closed.
+/// Sends steps to the server of a lease and waits at most `limit` for the replies. If the
+/// exchange fails, the connection is closed and the server's state is checked.
 pub async fn send(
     session: &mut Session,
     lease: &mut Option<Lease>,
@@ -111,8 +115,8 @@
     finished.unwrap_or(Err(ExchangeError::Silent))
 }
 
-/// Runs a single read. It may be sent again, to another server: nobody can
-/// tell a second run of a read from the first.
+/// Runs a single read. It may be sent again, to another server: running a read twice
+/// has no visible effect.
 ///
 /// # Errors
 ///
@@ -162,8 +166,8 @@
     let mut steps = session.setup_steps(lease.as_mut(), work.prepared.as_ref());
     let setup = steps.len();
     if floor.is_none() {
-        // Only a transaction that may write is refused by a server that has
-        // lost the lead; a plain read would be answered with old data.
+        // A server that is no longer the primary refuses only transactions that may
+        // write. It would answer a plain read with stale data.
         steps.push(Step::own(Statement::Begin { read_only: false }));
     }
     let main = steps.len();
@@ -215,8 +219,9 @@
     }
 }
 
-/// The right to use the primary ended between the choice of the server and now:
-/// the instance stood still, or the primary is being replaced. Nothing was sent.
+/// Gives back a connection to the primary, since the primary lease ended after the server
+/// was chosen: the process was paused, or the primary is being replaced. Nothing was
+/// sent, so the statement is retried.
 fn retry_without_lease(lease: Option<Lease>) -> Attempt {
     if let Some(lease) = lease {
         lease.give_back();
@@ -224,7 +229,7 @@
     Attempt::Retry { failure: Failure::new(ErrorKind::NoPrimary), pause: waits::BUSY_PAUSE }
 }
 
-/// Gives a connection back if all is over on it.
+/// Gives a connection back if no transaction is open on it. Otherwise it is closed.
 fn give_back(lease: Option<Lease>, replies: &[StepReply]) {
     let idle = replies.last().is_some_and(|reply| reply.state == TransactionState::Idle);
     if let (Some(lease), true) = (lease, idle) {
@@ -232,8 +237,8 @@
     }
 }
 
-/// A step that prepares the connection was refused: the connection is closed
-/// by the caller, since what is set up on it is not known any more.
+/// Reports that the server refused a step that sets up the connection. It is unknown what
+/// is set up on it now, so the caller closes it.
 fn setup_refused(refusal: ServerRefusal) -> Attempt {
     let event = Event::new(EventKind::ConnectionDropped).with("reason", &refusal.text);
     event_log::emit(&event.with("refusal", format_args!("{:?}", refusal.kind)));
@@ -260,25 +265,25 @@
             session.shard().observe_busy(server);
             waits::BUSY_PAUSE
         }
-        // Reads may run again: nobody can tell the second run from the first.
+        // Running a read twice has no visible effect.
         RefusalKind::Failed | RefusalKind::TimedOut => Duration::ZERO,
         _ => return Attempt::Failed(refusal.into()),
     };
     Attempt::Retry { failure: refusal.into(), pause }
 }
 
-/// The first step that was refused.
+/// The refusal of the first step that was refused, if any.
 #[must_use]
 pub fn first_refusal(replies: &[StepReply]) -> Option<ServerRefusal> {
     replies.iter().find_map(|reply| reply.result.as_ref().err().cloned())
 }
 
-/// Runs a single write. It is sent again only after a server's promise that
-/// it did not run.
+/// Runs a single write. It is sent again only if the server guarantees that it did not
+/// run.
 ///
 /// # Errors
 ///
-/// When it did not run, or nobody can tell whether it did.
+/// When it did not run, failed, or has an unknown outcome.
 pub async fn write(
     session: &mut Session,
     request: &Request,
@@ -321,13 +326,13 @@
     let limit = request.time_left(sent_at);
     let replies = match send(session, &mut lease, &steps, limit).await {
         Sent::Replies(replies) => replies,
-        // It may have run; a second run would be a second effect.
+        // It may have run, and a second run could apply its effect twice.
         Sent::Lost(_) => return Attempt::Failed(Failure::new(ErrorKind::OutcomeUnknown)),
     };
     let reply = replies[main].clone();
     if let Some(refusal) = first_refusal(&replies[..main]) {
-        // The write was sent behind the refused step. Only its own reply
-        // tells whether it ran.
+        // The write was sent together with the refused step. Only its own reply
+        // shows whether it ran.
         let ran = reply.result.as_ref().err().is_none_or(|own| !own.kind.promises_no_run());
         return if ran {
             Attempt::Failed(Failure::new(ErrorKind::OutcomeUnknown))
--- a/daemon/src/engine/transaction.rs
+++ b/daemon/src/engine/transaction.rs
@@ -1,4 +1,5 @@
-//! Transactions: one server connection from the first statement to the end.
+//! Transactions. A transaction uses one server connection from its first statement to its
+//! commit or rollback.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -36,41 +37,41 @@
 use crate::engine::single::first_refusal;
 use crate::engine::single::send;
 
-/// What has become of a transaction.
+/// The status of a transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Status {
-    /// It can go on.
+    /// It can run further statements.
     Active,
-    /// It can only be ended, and the client knows.
+    /// It failed and can only be ended. The client has received the failure.
     Failed,
-    /// It was rolled back while the client rested.
+    /// It was rolled back while it was idle, which the client has not been told yet.
     FailedUnreported,
 }
 
 /// A client's open transaction.
 ///
-/// It takes a connection only with its first statement: a client that rests
-/// after BEGIN holds nothing that others need.
+/// It takes a connection only at its first statement, so that a client that stays idle
+/// after BEGIN holds no connection that others need.
 pub struct Transaction {
     /// The route in force when it began.
     pub route: Arc<Route>,
     read_only: bool,
     lease: Option<Lease>,
-    /// The transaction at another instance, which holds the connection.
+    /// The part of the transaction at another instance, if that one holds the connection.
     remote: Option<RemoteTransaction>,
-    /// Whether a statement that writes was sent.
+    /// Whether a statement that may write was sent.
     wrote: bool,
-    /// Term of the primary when it began there.
+    /// The primary's term when the transaction began there; `None` at a replica.
     term: Option<Term>,
     status: Status,
-    /// When the client's last statement was answered.
+    /// When its last statement was answered.
     pub active_at: Moment,
-    /// Whether its account's quota counts it.
+    /// Whether it has been counted against its account's quota.
     pub is_counted: bool,
 }
 
 impl Transaction {
-    /// A transaction that has not run anything yet.
+    /// A transaction that has not run any statement yet.
     #[must_use]
     pub fn new(route: Arc<Route>, read_only: bool) -> Self {
         Self {
@@ -86,60 +87,61 @@
         }
     }
 
-    /// Its state as the client sees it.
+    /// Its state as reported to the client.
     #[must_use]
     pub fn state(&self) -> TransactionState {
         if self.has_failed() { TransactionState::Failed } else { TransactionState::Open }
     }
 
-    /// Whether it can only be ended.
+    /// Whether it failed and can only be ended.
     #[must_use]
     pub fn has_failed(&self) -> bool {
         self.status != Status::Active
     }
 
-    /// Whether it keeps a connection that others could use.
+    /// Whether it holds a connection, here or at another instance.
     #[must_use]
     pub fn holds_connection(&self) -> bool {
         self.lease.is_some() || self.remote.is_some()
     }
 
-    /// Whether its statements go through another instance.
+    /// Whether its statements are forwarded to another instance. A transaction stays where
+    /// its connection is.
     #[must_use]
     pub fn runs_remotely(&self, engine: &Engine, meeting: &Meeting) -> bool {
         let here = self.lease.is_some() || engine.serves_here(&self.route.group, meeting);
         self.remote.is_some() || !here
     }
 
-    /// Whether it may only read.
+    /// Whether it was begun as read-only.
     #[must_use]
     pub fn is_read_only(&self) -> bool {
         self.read_only
     }
 
-    /// A statement of it is sent.
+    /// Records that one of its statements is about to be sent.
     pub fn record_write(&mut self, writes: bool) {
         self.wrote |= writes;
     }
 
-    /// Whether a statement that writes was sent.
+    /// Whether a statement that may write was sent.
     #[must_use]
     pub fn may_have_written(&self) -> bool {
         self.wrote
     }
 
-    /// Takes the transaction at the other instance, for a statement.
+    /// Takes out the part at the other instance, to run a statement there.
     pub fn take_remote(&mut self) -> Option<RemoteTransaction> {
         self.remote.take()
     }
 
-    /// The transaction at the other instance goes on.
+    /// Puts back the part at the other instance after a statement.
     pub fn set_remote(&mut self, remote: RemoteTransaction) {
         self.remote = Some(remote);
     }
 
-    /// Rolls it back while the client rests. The client learns of it from the
-    /// answer to its next statement.
+    /// Rolls it back while it is idle. The reply to the next statement reports that to the
+    /// client.
     pub fn end_idle(&mut self) {
         let unreported = !self.has_failed();
         self.fail();
@@ -148,7 +150,8 @@
         }
     }
 
-    /// Why a statement other than the end of the transaction is refused.
+    /// The error for a statement of a failed transaction, other than COMMIT or ROLLBACK.
+    /// The first one reports that the transaction was lost, if the client has not been told.
     pub fn refusal(&mut self) -> ErrorKind {
         match std::mem::replace(&mut self.status, Status::Failed) {
             Status::FailedUnreported => ErrorKind::TransactionLost,
@@ -156,14 +159,14 @@
         }
     }
 
-    /// Marks it as failed and frees its connection.
+    /// Marks it as failed, rolls it back and frees its connection.
     pub fn fail(&mut self) {
         self.status = Status::Failed;
         self.release();
     }
 
-    /// Rolls back at the server, behind the client's back, and gives the
-    /// connection back.
+    /// Rolls back at the server in a background task, which then gives the connection
+    /// back.
     pub fn release(&mut self) {
         if let Some(remote) = self.remote.take() {
             tokio::spawn(remote.roll_back());
@@ -180,8 +183,8 @@
     }
 }
 
-/// Longest time for a rollback, which a server does at once. A connection on
-/// which it takes longer is closed, which rolls back as well.
+/// How long a rollback may take. Servers roll back at once; a connection on which it takes
+/// longer is closed, which rolls back as well.
 pub const ROLLBACK_LIMIT: Duration = Duration::from_millis(500);
 
 async fn roll_back(mut lease: Lease) {
@@ -189,7 +192,9 @@
     let rolling_back = lease.connection().connection.run(&steps);
     let Ok(Ok(replies)) = tokio::time::timeout(ROLLBACK_LIMIT, rolling_back).await else {
         let event = Event::new(EventKind::ConnectionDropped).with("server", lease.server());
-        event_log::emit(&event.with("reason", "no answer to ROLLBACK; closing rolls back"));
+        event_log::emit(
+            &event.with("reason", "no answer to ROLLBACK; closing the connection rolls back"),
+        );
         return;
     };
     if replies.last().is_some_and(|reply| reply.state == TransactionState::Idle) {
@@ -245,7 +250,7 @@
         let limit = request.time_left(sent_at);
         let replies = match send(session, &mut transaction.lease, &steps, limit).await {
             Sent::Replies(replies) => replies,
-            // Closing the connection rolls back, and COMMIT was never sent.
+            // COMMIT was not sent, and closing the connection rolls back.
             Sent::Lost(_) => return Err(Failure::new(ErrorKind::TransactionLost)),
         };
         let reply = replies[main].clone();
@@ -323,10 +328,10 @@
     transaction.lease.as_ref().map(|lease| lease.server().clone()).unwrap_or_default()
 }
 
-/// Gets a connection and begins there.
+/// Gets a connection and sends BEGIN on it.
 ///
-/// The first statement is sent only after BEGIN was answered: behind a BEGIN
-/// that is refused it would run outside of any transaction.
+/// The first statement is sent only after the reply to BEGIN. Sent together with a
+/// BEGIN that is refused, it would run outside of any transaction.
 async fn begin(
     session: &mut Session,
     transaction: &mut Transaction,
@@ -373,8 +378,8 @@
     let mut lease = Some(lease);
     let mut steps = session.setup_steps(lease.as_mut(), work.prepared.as_ref());
     let setup = steps.len();
-    // A read-only BEGIN at the primary would not be refused after it lost the
-    // lead, so without a floor a transaction that may write is begun.
+    // A server that is no longer the primary does not refuse a read-only BEGIN. So a
+    // transaction without a floor, which needs the primary, begins as one that may write.
     let statement = Statement::Begin { read_only: floor.is_some() };
     steps.push(Step { id: None, floor, statement });
     let limit = session.stall_limit(request, &server);
@@ -425,7 +430,7 @@
 ///
 /// # Errors
 ///
-/// When it was rolled back, or nobody can tell whether it was kept.
+/// When the transaction was rolled back, or when its outcome is unknown.
 pub async fn commit(
     session: &mut Session,
     transaction: &mut Transaction,
@@ -442,7 +447,7 @@
     while now() < request.deadline {
         let server = server_of(transaction);
         if transaction.wrote && !session.may_commit(&server, transaction.term) {
-            // Dropped, the transaction is rolled back.
+            // The caller drops the transaction, which rolls it back.
             return Err(Failure::new(ErrorKind::TransactionLost));
         }
         let steps =
@@ -454,7 +459,7 @@
             Sent::Lost(_) if transaction.wrote => {
                 return Err(Failure::new(ErrorKind::OutcomeUnknown));
             }
-            // Nothing was written, so nothing can have been kept.
+            // Nothing was written, so the loss of the connection loses no effect.
             Sent::Lost(_) => return Err(Failure::new(ErrorKind::TransactionLost)),
         };
         let Some(reply) = replies.pop() else {
