--- a/daemon/src/engine/caller.rs
+++ b/daemon/src/engine/caller.rs
@@ -1,4 +1,5 @@
-//! Who a session's client is: the account that holds its key now.
+//! The client of a session, identified by its key: which account has that key in the
+//! configuration in force.
 
 use std::time::Duration;
 
@@ -20,16 +21,16 @@
 /// A session's client.
 #[derive(Clone, Debug)]
 pub struct Caller {
-    /// What is kept of the key that it showed.
+    /// Digest of the client's key.
     pub key: KeyDigest,
-    /// The account that its statements run for; `None` where clients need no key.
+    /// The account that its statements run for; `None` if clients need no key.
     pub account: Option<AccountId>,
-    /// The configuration that says so.
+    /// Version of the configuration that assigns the key to the account.
     pub configuration_version: ConfigVersion,
 }
 
 impl Caller {
-    /// A client that may use a route.
+    /// A client with a key that may use a route.
     ///
     /// # Errors
     ///
@@ -44,11 +45,11 @@
         Ok(Self { key, account, configuration_version: catalog.version })
     }
 
-    /// The same client by the configuration that is in force now.
+    /// The same client according to `catalog`, or unchanged if `catalog` is not newer.
     ///
     /// # Errors
     ///
-    /// When no account has its key any more.
+    /// When no account has the key any more.
     pub fn check_again(&self, catalog: &Catalog, route: &Route) -> Result<Self, ErrorKind> {
         if catalog.version <= self.configuration_version {
             return Ok(self.clone());
@@ -57,23 +58,23 @@
     }
 }
 
-/// After other instances were asked for a newer configuration they are not asked
-/// again for this long: a flood of wrong keys must not become one of questions.
+/// Shortest interval at which other instances are asked for a newer configuration, so that
+/// a flood of unknown keys does not cause a flood of requests to them.
 const PULL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Instances that are asked for a newer configuration.
+/// Number of instances that are asked for a newer configuration.
 const PULL_PEERS: usize = 2;
 
-/// When others were last asked for a newer configuration.
+/// When other instances were last asked for a newer configuration.
 #[derive(Default)]
 pub struct LastConfigurationPull(Mutex<Option<Moment>>);
 
 impl Engine {
-    /// The client that shows a key, on a route.
+    /// The client with a key, on a route.
     ///
-    /// A key that is not known here may have been added just now: others are asked
-    /// for a newer configuration before the client is told, who takes the answer for
-    /// final.
+    /// A key that this instance does not have may have been added just now. Clients do not
+    /// retry after an unknown key, so other instances are asked for a newer configuration
+    /// first.
     ///
     /// # Errors
     ///
@@ -89,7 +90,7 @@
     }
 
     async fn pull_newer_configuration(&self) {
-        // Those who come meanwhile wait for the answers of the first.
+        // Concurrent callers wait at the lock for the result of the first one.
         let mut asked_at = self.last_configuration_pull().0.lock().await;
         if asked_at.is_some_and(|at| at + PULL_INTERVAL > now()) {
             return;
@@ -99,7 +100,8 @@
         *asked_at = Some(now());
     }
 
-    /// Instances that read the present configuration, near ones first.
+    /// Instances that read the current configuration from the store, those in the same
+    /// failure domain first.
     fn relays_to_ask(&self) -> Vec<InstanceRecord> {
         let home = &self.me().failure_domain;
         let mut relays = self.with_fleet(|fleet| fleet.relays(now()));
--- a/daemon/src/engine/forwarded_session.rs
+++ b/daemon/src/engine/forwarded_session.rs
@@ -1,5 +1,5 @@
-//! Statements that come from another instance, whose client's session they
-//! belong to.
+//! Sessions for forwarded statements: statements that another instance sends for the session
+//! of one of its clients, because this instance holds connections to their group.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -30,14 +30,14 @@
 use crate::engine::shared::Engine;
 use crate::engine::single::Work;
 
-/// A session for statements of another instance, one at a time. Its
-/// transaction is rolled back when the link ends.
+/// Runs the forwarded statements of one link, one at a time. The session is dropped when the
+/// link ends, which rolls back its transaction.
 pub struct ForwardedSession {
     engine: Arc<Engine>,
     session: Option<Session>,
 }
 
-/// What another instance wants done.
+/// The work of a forwarded statement.
 enum ForwardedWork {
     Run(Work, bool),
     Commit,
@@ -45,7 +45,7 @@
 }
 
 impl ForwardedSession {
-    /// A session that has not run anything.
+    /// A session that has not run any statement yet.
     #[must_use]
     pub fn new(engine: Arc<Engine>) -> Self {
         Self { engine, session: None }
@@ -92,8 +92,8 @@
             Session::forwarded_session(engine, &request.route, caller.clone())
         });
         if !continues {
-            // What an earlier user of the link left behind is rolled back: the
-            // statement would run inside that transaction.
+            // Rolls back a transaction that an earlier user of the link left open. The
+            // statement would run inside it otherwise.
             session.drop_transaction();
         }
         session.use_route(&request.id, &request.route, caller);
@@ -115,9 +115,9 @@
         reply
     }
 
-    /// The client, as the newer one of two configurations knows it: the other
-    /// instance may not have heard yet that a key was taken away. `None` if no account
-    /// has its key.
+    /// The client of a statement, according to the newer configuration of the two instances.
+    /// The other instance may not have received yet that a key was removed. `None` if no
+    /// account has the client's key.
     fn caller(&self, statement: &engine_protos::Statement, route: &Route) -> Option<Caller> {
         let key = KeyDigest::from_bytes(&statement.key_digest);
         let account = Some(&*statement.account).filter(|account| !account.is_empty());
@@ -133,14 +133,15 @@
     }
 }
 
-/// A statement of another instance is under way as long as it lives.
+/// Marks a forwarded statement as running until it is dropped.
 struct ArrivedGuard {
     engine: Arc<Engine>,
     ticket: StatementTicket,
 }
 
 impl ArrivedGuard {
-    /// `None` if the statement must not run: its sender was told that it never will.
+    /// Returns `None` if the statement must not run, because it was withdrawn: its sender
+    /// has been told that it will not run.
     fn new(engine: &Arc<Engine>, ticket: StatementTicket) -> Option<Self> {
         let may_run = ticket == 0 || engine.with_arrivals(|arrivals| arrivals.begin(now(), ticket));
         may_run.then(|| Self { engine: engine.clone(), ticket })
@@ -185,9 +186,9 @@
     }
 }
 
-/// The session's floor goes back as it came: the other instance takes over what
-/// the reply says, and without it later reads of the session could miss its own
-/// commit.
+/// The reply that refuses a statement. It returns the session's floor unchanged, since the
+/// other instance adopts the floor of the reply. Without it, later reads of the session could
+/// miss its own commit.
 fn refusal(kind: ErrorKind, floor: Position) -> StatementReply {
     let failure = Failure::new(kind);
     StatementReply {
--- a/daemon/src/engine/holders.rs
+++ b/daemon/src/engine/holders.rs
@@ -1,4 +1,5 @@
-//! Which instances hold the connections to a group, as this instance sees it.
+//! The holders of each group: the instances that hold connections to the group's servers,
+//! computed from the list of instances and the configuration that this instance has.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -21,33 +22,34 @@
 use crate::engine::shard::Shard;
 use crate::engine::shared::Engine;
 
-/// How often it is looked whether the instances changed. They come and go in
-/// seconds; looking for each statement would cost more than the statement.
+/// Interval at which the list of instances is checked for changes. Instances come and go
+/// within seconds; a check for each statement would cost more than the statement.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A holder that could not serve a statement of a group is passed over there for
-/// this long: it may be able to after the next heartbeats.
+/// How long a holder that could not serve a statement of a group is avoided for that group.
+/// It may be able to serve it after the next heartbeats.
 const UNABLE_DURATION: Duration = Duration::from_millis(500);
 
 #[derive(Default)]
 struct Inner {
-    /// When it was last looked whether `staying` is still true.
+    /// When `staying` was last checked for changes.
     checked_at: Option<Moment>,
-    /// Instances that can hold connections.
+    /// Instances that can hold connections: those that are not about to leave.
     staying: Arc<Vec<InstanceRecord>>,
     /// Version of the configuration that the lists were computed from.
     configuration_version: u64,
-    /// Lists computed for these instances and this configuration. They are
-    /// many where there are many groups: computed anew every 200 ms they took
-    /// a quarter of a core with 64 groups and 31 instances.
+    /// Lists of holders by group, computed for `staying` and `configuration_version`. They
+    /// are cached since computing them every 200 ms took a quarter of a core with 64
+    /// groups and 31 instances.
     cached: HashMap<GroupId, Arc<Vec<InstanceRecord>>>,
     /// Groups that this instance holds connections to.
     held: Option<Arc<Vec<GroupId>>>,
-    /// Holders that could not serve, by group.
+    /// Holders that could not serve a statement of a group, with the time until which they
+    /// are avoided.
     unable_until: HashMap<(GroupId, InstanceId), Moment>,
 }
 
-/// Lists of holders, by group.
+/// Cached lists of holders, by group.
 #[derive(Default)]
 pub struct Holders {
     inner: Mutex<Inner>,
@@ -58,8 +60,8 @@
         self.inner.lock().expect("never poisoned")
     }
 
-    /// A holder could not serve a statement of a group, which another one may
-    /// be able to.
+    /// Records that a holder could not serve a statement of a group that another holder may
+    /// be able to serve.
     pub fn observe_unable(&self, group: &GroupId, id: &InstanceId) {
         let at = now();
         let mut inner = self.lock();
@@ -67,8 +69,7 @@
         inner.unable_until.insert((group.clone(), id.clone()), at + UNABLE_DURATION);
     }
 
-    /// The instances or the configuration may have changed: looks at the next
-    /// use.
+    /// Makes the next use check the list of instances and the configuration for changes.
     pub fn check_again(&self) {
         self.lock().checked_at = None;
     }
@@ -79,7 +80,8 @@
         self.checked_at.is_some_and(|checked_at| checked_at + CHECK_INTERVAL > at)
     }
 
-    /// Drops the lists if they were computed from something else.
+    /// Drops the cached lists if they were computed from other instances or another
+    /// configuration.
     fn check(&mut self, at: Moment, staying: Vec<InstanceRecord>, configuration_version: u64) {
         self.checked_at = Some(at);
         if *self.staying == staying && self.configuration_version == configuration_version {
@@ -93,7 +95,7 @@
 }
 
 impl Engine {
-    /// Instances that hold the connections to a group.
+    /// Instances that hold connections to a group.
     #[must_use]
     pub fn holders(&self, group: &GroupId) -> Arc<Vec<InstanceRecord>> {
         self.check_holders();
@@ -115,9 +117,9 @@
         if self.holder_lists().lock().is_fresh(at) {
             return;
         }
-        // An instance that has just started would take itself for the only one:
-        // after a power loss each of 72 opened connections to all servers, each
-        // of which takes a slot for 12 to 27 ms.
+        // An instance that has just started would compute that it is the only one. After a
+        // power loss each of 72 instances opened connections to all servers, and each
+        // connection took a slot of the server for 12 to 27 ms.
         let holders_known = self.knows_who_holds();
         let staying = self.with_fleet(|fleet| {
             let record = |id: &InstanceId| match fleet.record(id) {
@@ -138,8 +140,8 @@
         let cached = self.holder_lists().lock().held.clone();
         let held = cached.unwrap_or_else(|| {
             let shards = self.shards();
-            // Anybody may list servers of a group that the configuration does not
-            // name: they are neither asked for their state nor replaced.
+            // Servers may be listed for a group that the configuration does not name.
+            // Those are neither probed nor replaced.
             let catalog = self.catalog();
             let known = shards.iter().map(|shard| shard.id());
             let known = known.filter(|id| catalog.groups.contains_key(*id));
@@ -151,9 +153,9 @@
         held.iter().map(|group| self.shard(group)).collect()
     }
 
-    /// Shards of the groups that this instance holds connections to, or still has
-    /// connections in use of: a transaction that began before the holders changed
-    /// needs the right to use its primary until it ends.
+    /// Shards of the groups that this instance holds connections to, and of those of which
+    /// it still has connections in use. A transaction that began before the holders
+    /// changed needs the primary lease until it ends.
     #[must_use]
     pub fn used_shards(&self) -> Vec<Arc<Shard>> {
         let mut used = self.held_shards();
@@ -163,7 +165,7 @@
         used
     }
 
-    /// A group was added.
+    /// Drops the cached list of held groups, since a group was added.
     pub(crate) fn invalidate_held(&self) {
         self.holder_lists().lock().held = None;
     }
@@ -181,8 +183,9 @@
         holders.iter().filter(|record| record.id != self.me().id).cloned().collect()
     }
 
-    /// Whether a statement for a group is served by the connections of this instance:
-    /// it holds the group, and is the best of its holders for those who should meet.
+    /// Whether this instance serves a statement for a group with its own connections. It
+    /// has to be a holder of the group. For an account, it also has to be the holder that is
+    /// chosen for all statements of that account.
     #[must_use]
     pub fn serves_here(&self, group: &GroupId, meeting: &Meeting) -> bool {
         if !self.is_holder(group) {
@@ -198,8 +201,8 @@
         best.is_none_or(|candidate| candidate.record.id == self.me().id)
     }
 
-    /// The holders of a group that a statement could go through, but for those
-    /// that it tried.
+    /// The other holders of a group that a statement could be forwarded to, without those in
+    /// `tried`.
     #[must_use]
     pub fn candidates(&self, group: &GroupId, tried: &[InstanceId]) -> Vec<Candidate> {
         let at = now();
--- a/daemon/src/engine/remote.rs
+++ b/daemon/src/engine/remote.rs
@@ -1,5 +1,5 @@
-//! Statements that go through another instance, which holds the connections to
-//! their group.
+//! Forwarding of statements to another instance that holds connections to their group (a
+//! holder). The other instance runs them in a forwarded session.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -43,19 +43,20 @@
 use crate::engine::transaction::ROLLBACK_LIMIT;
 use crate::engine::transaction::Transaction;
 
-/// Part of the time that is kept back for the way to the other instance and
+/// Part of a request's time that is reserved for the network trip to the other instance and
 /// back.
 const PEER_TRIP_RESERVE: Duration = Duration::from_millis(10);
 
-/// Pause between two questions to an instance at which a statement takes long: a
-/// few times the usual statement, since it is known to be alive.
+/// Interval at which an instance is asked about the state of a statement that takes long
+/// there. It is several times the usual duration of a statement, since the instance is
+/// known to be reachable.
 const STATUS_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Links kept open to one instance. More are opened when more statements are
-/// under way, and closed afterwards.
+/// How many idle links to one instance are kept open. Further links are opened while more
+/// statements run at once, and closed afterwards.
 const KEPT_LINKS: usize = 4;
 
-/// Idle links for statements, by address.
+/// Idle links for forwarded statements, by address of the other instance.
 #[derive(Default)]
 pub struct StatementLinks {
     idle: Mutex<HashMap<SocketAddr, Vec<PeerLink>>>,
@@ -73,12 +74,12 @@
         PeerLink::default()
     }
 
-    /// Closes idle links to an address: one went silent, and they are as old.
+    /// Closes the idle links to an address, after one of the same age stopped working.
     fn close_idle(&self, address: SocketAddr) {
         self.idle.lock().expect("never poisoned").remove(&address);
     }
 
-    /// Closes links to addresses that are not in use any more.
+    /// Closes links to all addresses except these.
     pub fn keep_only(&self, addresses: &[SocketAddr]) {
         let mut idle = self.idle.lock().expect("never poisoned");
         idle.retain(|address, _| addresses.contains(address));
@@ -93,7 +94,7 @@
     }
 }
 
-/// A transaction at another instance.
+/// A transaction that runs at another instance, bound to one link.
 pub struct RemoteTransaction {
     links: Arc<StatementLinks>,
     holder: InstanceRecord,
@@ -101,8 +102,8 @@
 }
 
 impl RemoteTransaction {
-    /// Rolls back. A link that cannot carry that is closed, which rolls back
-    /// as well.
+    /// Rolls back the transaction. If the other instance does not confirm in time, the link
+    /// is closed, which rolls back as well.
     pub async fn roll_back(mut self) {
         let statement = engine_protos::Statement {
             work: Some(WireWork::Rollback(true)),
@@ -115,18 +116,18 @@
     }
 }
 
-/// Runs a single statement through a holder.
+/// Runs a single statement at a holder.
 ///
 /// # Errors
 ///
-/// When it did not run, or nobody can tell whether it did.
+/// When it did not run, failed, or has an unknown outcome.
 pub async fn single(
     session: &mut Session,
     request: &Request,
     work: &Work,
     writes: bool,
 ) -> Result<Served, Failure> {
-    // Reads may run twice: nobody can tell.
+    // Running a read twice has no visible effect.
     let abandoning = if writes { Abandoning::LosesOutcome } else { Abandoning::LosesNothing };
     let mut search = HolderSearch::default();
     while let Some(holder) = search.next(session, request).await {
@@ -143,8 +144,8 @@
     Err(search.into_failure())
 }
 
-/// Runs a statement of a transaction through its holder; the first one picks
-/// it.
+/// Runs a statement of a transaction at the transaction's holder, which is chosen for its
+/// first statement.
 ///
 /// # Errors
 ///
@@ -180,8 +181,8 @@
                 let remote = RemoteTransaction { links, holder, link };
                 return finish_statement(session, transaction, reply, remote);
             }
-            // Where it did get there it is rolled back when the link ends: only
-            // a COMMIT keeps anything.
+            // If the statement arrived, the transaction is rolled back when the link is
+            // closed: only a COMMIT makes changes permanent.
             Err(_) => search.unanswered(session, &holder),
         }
     }
@@ -198,7 +199,7 @@
 ) -> Result<Served, Failure> {
     let statement = encode(session, request, work, Begin::No);
     let holder = remote.holder.clone();
-    // Only a COMMIT that wrote may be kept.
+    // Only the COMMIT of a transaction that wrote may take effect.
     let may_be_kept = work.statement == Statement::Commit && transaction.may_have_written();
     let abandoning = if may_be_kept { Abandoning::LosesOutcome } else { Abandoning::LosesNothing };
     let sent = send(session, request, &holder, &mut remote.link, statement, abandoning).await;
@@ -223,7 +224,7 @@
     if reply.in_transaction && !reply.failed {
         transaction.set_remote(remote);
     } else if reply.failed || !reply.error.is_empty() {
-        // The link is closed, and with it what is left of the transaction.
+        // The link is closed, which rolls back what is left of the transaction.
         transaction.fail();
     } else {
         remote.links.give_back(remote.holder.peer_address, remote.link);
@@ -235,35 +236,37 @@
 #[derive(Default)]
 struct HolderSearch {
     tried: Vec<InstanceId>,
-    /// Why the last one that was tried could not.
+    /// Why the last holder that was tried did not serve the request.
     last: Option<Failure>,
 }
 
 impl HolderSearch {
-    /// The next holder to try; `None` if there is none that could, or the time
-    /// is over.
+    /// The next holder to try; `None` if no holder is left that may serve the request, or
+    /// its time is over.
     async fn next(&mut self, session: &Session, request: &Request) -> Option<InstanceRecord> {
         if now() >= request.deadline {
             return None;
         }
         let group = &request.route.group;
         let found = session.engine().find_holder(group, &session.meeting(), &self.tried).await?;
-        // One that just refused is asked again, but only one: it is known not to
-        // be servable here, and another instance may be able to.
-        let hopeless = found.unable && self.last.is_some();
-        (!hopeless).then_some(found.record)
+        // If the chosen holder recently refused statements of this group, all reachable ones
+        // that are left did. Only one of them is tried, since the client can retry at another
+        // instance, which may be able to serve the request.
+        let give_up = found.unable && self.last.is_some();
+        (!give_up).then_some(found.record)
     }
 
-    /// A holder could not serve it; nothing ran.
+    /// Records that a holder refused the request. Nothing ran.
     fn refused(&mut self, session: &mut Session, holder: &InstanceRecord, reply: StatementReply) {
         session.engine().holder_lists().observe_unable(session.shard().id(), &holder.id);
-        // It holds no answer.
+        // The reply is always an error here.
         if let Err(failure) = decode(session, reply) {
             self.skip_holder(session, holder, failure);
         }
     }
 
-    /// A holder did not answer; what it may have done can be done again.
+    /// Records that a holder did not answer. The statement may have run there, but may run
+    /// again.
     fn unanswered(&mut self, session: &Session, holder: &InstanceRecord) {
         self.skip_holder(session, holder, Failure::new(ErrorKind::HolderSilent));
     }
@@ -279,34 +282,36 @@
     }
 }
 
-/// Whether another instance has to be asked; nothing ran.
+/// Whether a reply says that another holder may serve the statement. Nothing ran.
 fn needs_other_holder(reply: &StatementReply) -> bool {
     let kind = ErrorKind::from_name(&reply.error);
     let elsewhere = matches!(kind, ErrorKind::NotOwner | ErrorKind::Stopping | ErrorKind::CutOff);
     !reply.error.is_empty() && elsewhere
 }
 
+/// Why a forwarded statement got no reply.
 enum SendError {
-    /// The statement cannot have reached the other instance.
+    /// The statement did not reach the other instance.
     NotSent,
-    /// The link went silent. The other instance lives, and the statement will not run
-    /// there, or can be sent again though it did.
+    /// The link stopped working, but the other instance is reachable. Either the statement
+    /// will not run there, or running it again does no harm.
     LinkSilent,
-    /// It may have.
+    /// The statement may have run at the other instance.
     Lost,
 }
 
-/// What is lost when a statement that was sent is not waited for any more.
+/// What is lost if the sender stops waiting for the reply to a statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Abandoning {
-    /// Nothing: it can be sent again, or what it belongs to is rolled back.
+    /// Nothing: the statement can be sent again, or its transaction is rolled back.
     LosesNothing,
-    /// Whether it was kept. It is waited for as long as there is time.
+    /// Whether it took effect. So the reply is awaited until the deadline.
     LosesOutcome,
 }
 
-/// Sends a statement that is bound to no link. Where the link went silent it is sent
-/// again on a new one. Returns the link as well.
+/// Sends a single statement, or the first one of a transaction, on any link to a holder. If
+/// that link turns out to be dead, it is sent again on a new one. Returns the link with the
+/// reply.
 async fn send_first(
     session: &mut Session,
     request: &Request,
@@ -381,8 +386,9 @@
     }
 }
 
-/// Ends when the link to an instance is silent, with what became of the statement that
-/// was sent on it; `None` if the instance gives no sign of life.
+/// Asks an instance, on another link, about a statement that it has not answered. Returns
+/// when the link of the statement turns out to be dead, with what became of the statement;
+/// `None` if the instance is unreachable.
 async fn detect_dead_link(
     engine: &Engine,
     holder: &InstanceRecord,
@@ -397,11 +403,11 @@
             continue;
         }
         if fate == Fate::Ended {
-            // Its answer may be on the way.
+            // The reply may still be on its way.
             tokio::time::sleep(SIGN_LIMIT).await;
         }
         let event = Event::new(EventKind::PeerFailed).with("peer", &holder.id);
-        event_log::emit(&event.with("reason", "a link went silent"));
+        event_log::emit(&event.with("reason", "a link to the instance stopped responding"));
         return Some(fate);
     }
 }
--- a/daemon/src/engine/trace.rs
+++ b/daemon/src/engine/trace.rs
@@ -1,4 +1,4 @@
-//! What happened to one statement on its way, for logs and metrics.
+//! Traces of statements: the attempts and times of one statement, for logs and metrics.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,42 +14,44 @@
 use crate::engine::event_log;
 use crate::engine::request::Failure;
 
-/// What happened to one statement so far.
+/// What has happened to one statement so far.
 #[derive(Clone, Debug, Default)]
 pub struct StatementTrace {
     /// The statement's id.
     pub id: RequestId,
     /// Database name of its session.
     pub database: Arc<str>,
-    /// Account of its session; `None` where clients have none.
+    /// Account of its session; `None` if clients have no accounts.
     pub account: Option<AccountId>,
-    /// Tries that reached a server.
+    /// Number of times it was sent to a server or to another instance.
     pub tries: usize,
-    /// The last server.
+    /// The server or instance that it was last sent to.
     pub server: Option<TargetId>,
-    /// Time spent waiting for connections.
+    /// Total time spent waiting for connections.
     pub waited: Duration,
-    /// Time spent at servers.
+    /// Total time between sending it and the replies.
     pub at_server: Duration,
-    /// Position that the last server had to have applied.
+    /// Lowest position that the last server had to have applied; `None` if the statement
+    /// needed the primary.
     pub floor: Option<Position>,
 }
 
 impl StatementTrace {
-    /// It was sent to a server, which took this long.
+    /// Records that it was sent to a server or instance, and how long the exchange took.
     pub fn record_attempt(&mut self, server: TargetId, took: Duration) {
         self.tries += 1;
         self.server = Some(server);
         self.at_server += took;
     }
 
-    /// A try failed, and another one follows.
+    /// Logs that an attempt failed and another one follows.
     pub fn log_retry(&self, group: &str, failure: &Failure) {
         let event = self.event(EventKind::RequestMoved, group);
         event_log::emit(&event.with("reason", failure.kind.name()).with("text", &failure.text));
     }
 
-    /// It failed for good.
+    /// Logs that the statement failed. `waiting` is the number of requests that wait for a
+    /// connection to the group.
     pub fn log_failure(&self, group: &str, failure: &Failure, took: Duration, waiting: usize) {
         let unknown = matches!(
             failure.kind,
@@ -69,7 +71,7 @@
         event_log::emit(&event);
     }
 
-    /// It was served later than its objective.
+    /// Logs that the statement was served later than its objective.
     pub fn log_late(&self, group: &str, took: Duration, objective: Duration) {
         let event = self.event(EventKind::RequestLate, group).with_ms("took_ms", took);
         event_log::emit(&event.with_ms("objective_ms", objective));
--- a/daemon/src/engine/waiting.rs
+++ b/daemon/src/engine/waiting.rs
@@ -1,4 +1,8 @@
-//! Requests that wait for a connection to a group.
+//! The queue of requests that wait for a connection to a group.
+//!
+//! The queue has two tiers. A request waits in time while it can still meet its objective.
+//! One that cannot waits late, behind all requests in time, until its deadline, or is
+//! refused at once if its expected wait is too long.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -28,23 +32,22 @@
 use crate::engine::shard::Inner;
 use crate::engine::shard::Shard;
 
-/// What a request wants of a connection.
+/// A request for a connection.
 #[derive(Clone, Debug)]
 pub struct ConnectionRequest<'a> {
-    /// Which servers will do.
+    /// Which servers can serve it.
     pub need: Need,
-    /// Whose connections will do.
+    /// The account whose connections can serve it.
     pub owner: Owner,
-    /// Order of service.
+    /// Its priority in the queue.
     pub priority: Priority,
-    /// When the request stops waiting.
+    /// When the request stops waiting, at the latest.
     pub give_up_at: Moment,
-    /// Until when the request is worth more than one that comes later: served
-    /// after this it misses its objective.
+    /// Until when the request waits in time. Served later, it misses its objective.
     pub in_time_until: Moment,
-    /// Values of its session, to choose a connection that has them.
+    /// Values of its session, to choose a connection on which they are set up.
     pub values: &'a SessionValues,
-    /// What it is about to execute.
+    /// The prepared statement that it is about to execute, if any.
     pub prepared: Option<&'a Prepared>,
 }
 
@@ -58,17 +61,17 @@
     }
 }
 
-/// Part of a request's time that a late wait leaves for the statement itself:
-/// what one takes at a server with a queue.
+/// Part of a request's time that a late wait reserves for the statement itself: about what
+/// a statement takes at a server that is under load.
 const LATE_RESERVE: Duration = Duration::from_millis(100);
 
-/// Until when a request waits that cannot meet its objective any more.
+/// Until when a request waits that can no longer meet its objective.
 fn late_until(request: &ConnectionRequest<'_>) -> Moment {
     request.give_up_at.saturating_sub(LATE_RESERVE)
 }
 
-/// A place in the queue, given up when it is dropped: a client that leaves
-/// while it waits must not stay in the way of others.
+/// Removes a request from the queue when dropped. A request whose client disconnects while it
+/// waits would otherwise delay others.
 struct QueueGuard {
     shard: Arc<Shard>,
     place: Place,
@@ -89,11 +92,12 @@
 }
 
 impl Shard {
-    /// Gets a connection, waiting for its turn if need be.
+    /// Gets a connection, and waits in the queue if none is free.
     ///
     /// # Errors
     ///
-    /// When none could be had in time. Nothing was sent then.
+    /// When none is available in time, or the request is refused at once because its wait
+    /// would be too long. Nothing was sent then.
     pub async fn acquire(
         self: &Arc<Self>,
         request: &ConnectionRequest<'_>,
@@ -114,13 +118,14 @@
             inner.admit(began_at, request, request.in_time_until.saturating_sub(began_at))?
         };
         if tier == Tier::InTime {
-            // Without a primary that answers there is nobody to be impatient
-            // with: another one will lead soon. Where only the right to use it is
-            // missing, that is back at once, or another instance has to serve.
+            // While the primary does not answer, the request waits until its deadline,
+            // since another server will be promoted soon. If only the primary lease is
+            // missing, it is either renewed quickly, or another instance has to serve
+            // the request.
             let (answers, lacks_right) = self
                 .with_group(|group| (group.leader_answers(began_at), group.lacks_right(began_at)));
-            let patient = answers || lacks_right;
-            let until = if patient { request.in_time_until } else { request.give_up_at };
+            let in_time_only = answers || lacks_right;
+            let until = if in_time_only { request.in_time_until } else { request.give_up_at };
             if let Some(lease) = self.wait(request, Tier::InTime, until).await {
                 return Ok(lease);
             }
@@ -133,8 +138,8 @@
         late.ok_or_else(|| Failure::new(self.shortage(&request.need)))
     }
 
-    /// The primary can neither be reached nor replaced from here: those who wait
-    /// for it are told so.
+    /// Sets that the primary `id` can neither be reached nor replaced from here, and refuses
+    /// the requests that wait for it; `None` if that is no longer so.
     pub fn set_out_of_reach(&self, id: Option<&TargetId>) {
         let mut inner = self.lock();
         if !inner.group.set_out_of_reach(id) {
@@ -142,7 +147,7 @@
         }
         let waiting = inner.queue.iter().filter(|(_, waiter)| waiter.need == Need::Leader);
         let places: Vec<_> = waiting.map(|(place, _)| place).collect();
-        // Without somebody who grants, the wait is over.
+        // Dropping the sender of the grant ends the wait.
         let refused = places.into_iter().filter_map(|place| inner.queue.remove(place)).count();
         drop(inner);
         let event = Event::new(EventKind::PrimaryOutOfReach).with("group", self.id());
@@ -172,10 +177,11 @@
         let wait = until.saturating_sub(began_at);
         let in_time = tokio::time::timeout(wait, &mut granted).await;
         drop(place);
-        // It may have been granted at the last moment.
+        // The connection may have been granted just before the timeout.
         let lease = in_time.ok().and_then(Result::ok).or_else(|| granted.try_recv().ok());
         let ended_at = now();
-        // Who is left over at the end of a late wait was not served at all.
+        // A request whose late wait ended without a connection was not served at all, so its
+        // whole wait counts for a single place.
         let ahead = if lease.is_none() && tier == Tier::Late { 0 } else { ahead };
         let waited = ended_at.saturating_sub(began_at);
         let mut inner = self.lock();
@@ -186,6 +192,7 @@
         lease
     }
 
+    /// Why a request got no connection.
     fn shortage(&self, need: &Need) -> ErrorKind {
         let inner = self.lock();
         match need {
@@ -197,7 +204,7 @@
 }
 
 impl Inner {
-    /// Decides whether a request waits, and in which line, or is refused.
+    /// Decides whether a request waits, and in which tier, or is refused.
     /// `patience` is how long it can wait and still meet its objective.
     fn admit(
         &self,
@@ -231,14 +238,15 @@
         }
     }
 
-    /// Whether a request waits for a primary that does not answer. How long
-    /// that takes is no matter of the queue: it is neither measured nor
-    /// expected, or requests would be refused that the next primary serves.
+    /// Whether a request waits for a primary that does not answer. That wait does not
+    /// depend on the length of the queue, so it is neither measured nor estimated.
+    /// Otherwise requests would be refused that the next primary can serve in time.
     fn awaits_primary(&self, now: Moment, need: &Need) -> bool {
         *need == Need::Leader && !self.group.leader_answers(now)
     }
 
-    /// Requests that go before this one in a tier, and want one of its servers.
+    /// The number of requests in a tier that come before this one and can be served by
+    /// one of `servers`.
     fn competitors(
         &self,
         now: Moment,
@@ -252,15 +260,16 @@
         self.queue.ahead_of(request.rank(tier)).filter(competes).count()
     }
 
-    /// Servers whose connections would serve a request.
+    /// Servers that can serve a request.
     fn servers_for(&self, now: Moment, need: &Need) -> Vec<TargetId> {
         let accepted =
             self.group.servers().filter(|view| need.accepts(&self.group, now, &view.info.id));
         accepted.map(|view| view.info.id.clone()).collect()
     }
 
-    /// How long a request for these servers would wait by what runs now; `None`
-    /// if nobody can serve it now, but somebody may soon.
+    /// Estimated wait for one of these servers, from the usual duration of statements and the
+    /// number that the servers run at the same time; `None` if no server can serve the
+    /// request now, though one may soon.
     fn computed_wait(&self, servers: &[TargetId], ahead: usize) -> Option<Duration> {
         let capacity: f64 = servers.iter().map(|id| self.limit_of(id)).sum();
         let places = f64::from(u32::try_from(ahead + 1).unwrap_or(u32::MAX));
