--- a/daemon/tests/test_guest.rs
+++ b/daemon/tests/test_forwarded_session.rs
@@ -1,4 +1,4 @@
-//! What an instance answers to statements of another one's sessions.
+//! Replies to statements that another instance forwards.
 
 mod stubs;
 
@@ -38,11 +38,10 @@
     }
 }
 
-/// Symptom: a session that had committed read a replica without its commit.
-/// Sequence: a statement of the session is refused by the instance that it goes
-/// through, which does not hold the group, or has lost the transaction; the next
-/// read goes to a replica that is a little behind. Cause: the refusal told the
-/// session that it had no commit of its own.
+/// Guards against a session that reads a replica without its own commit. The instance that
+/// a statement is forwarded to refuses it, since it does not hold the group or has lost the
+/// transaction. If the refusal returned no floor, the session would lose the position of its
+/// commit, and its next read could go to a replica that lags behind.
 #[tokio::test]
 async fn test_refusals_leave_the_sessions_own_commit_known() {
     let engine = Arc::new(Engine::new(instance("one"), Arc::new(NoServer)));
--- a/daemon/tests/test_holding_ends.rs
+++ b/daemon/tests/test_holding_ends.rs
@@ -1,4 +1,4 @@
-//! What becomes of a transaction when its instance ceases to hold the group.
+//! Transactions on an instance that stops being a holder of their group.
 
 mod stubs;
 mod values_world;
@@ -22,10 +22,10 @@
     (1..=72).map(record).collect()
 }
 
-/// Symptom: a transaction is rolled back though nothing failed. Sequence: it runs
-/// at an instance that holds the group; others join, and the instance holds it no
-/// more. Cause: only for groups that it holds the instance kept up who votes, and
-/// asked them for the right to use the primary.
+/// Guards against a transaction that is rolled back though nothing failed. It runs at a holder
+/// of the group; other instances join, and the instance is no longer a holder. If it updated
+/// the voters and renewed the primary lease only for groups that it holds, the lease would
+/// expire and the transaction would be lost.
 #[tokio::test]
 async fn test_group_with_a_transaction_keeps_its_voters_when_it_is_held_no_more() {
     let world = ValuesWorld::new(2, false).await;
@@ -44,7 +44,7 @@
     let voters = engine.voters(&group);
     let shard = engine.shard(&group);
     assert!(shard.with_group(|group| group.right().has_voters(&engine.me().id, &voters)));
-    // Once it is over, the group is others' business.
+    // After the transaction ended, the instance has no connection of the group in use.
     session.run("e".into(), Statement::Rollback).await.result.expect("rolled back");
     assert_eq!(session.state(), TransactionState::Idle);
     while shard.has_lent() {
--- a/daemon/tests/test_session_values.rs
+++ b/daemon/tests/test_session_values.rs
@@ -1,5 +1,5 @@
-//! Statements run with the values of their own session, whatever happens to
-//! the connections that sessions share.
+//! Statements run with the values and the account of their own session, whatever happens to
+//! the pooled connections that sessions share.
 
 mod stubs;
 mod values_world;
@@ -35,7 +35,7 @@
 use values_world::route;
 use values_world::start;
 
-/// A session on the route, with one value.
+/// Begins a session and sets its value `zone`.
 async fn session(world: &ValuesWorld, key: &str, value: &str) -> (Session, SessionValues) {
     let mut session =
         Session::begin(world.engine.clone(), start("app", key)).await.expect("the route is there");
@@ -48,16 +48,16 @@
     Statement::Read { item: "1".into() }
 }
 
-/// Statements after which a connection is handed to somebody who waits.
+/// A write of one item.
 fn write() -> Statement {
     Statement::Write { item_and_data: "1 x".into() }
 }
 
-/// Symptom: a statement ran with the values of another client account's session.
-/// Sequence: a request gets a connection that was set up for another session;
-/// before it is used, the right to use the primary ends, so it is given back
-/// unused; the same session gets it again. Cause: it counted as set up for the
-/// session although the statements that do so had not been sent.
+/// Guards against a statement that runs with the values of another session. A request gets a
+/// connection that was set up for another session. Before the request uses it, the primary
+/// lease ends, so the connection is given back unused, and the same session gets it again. The
+/// connection must not count as set up for that session, since the setup statements were not
+/// sent.
 async fn test_connection_given_back_unused(statement: Statement) {
     let mut world = ValuesWorld::new(1, true).await;
     let (mut first, first_values) = session(&world, "key", "first").await;
@@ -71,13 +71,13 @@
             assert!(poll!(&mut running).is_pending());
             tokio::task::yield_now().await;
         }
-        // The first is at the server, the second waits for its connection.
+        // The first statement is at the server; the second waits for the connection.
         assert!(poll!(&mut running).is_pending());
         assert!(poll!(&mut waiting).is_pending());
         assert_eq!(world.engine.shard(&values_world::GROUP.into()).waiting(), 1);
         world.shared.let_one_end();
         running.await.result.expect("the server answers");
-        // The second has the connection now, and does not know it yet.
+        // The second statement has been granted the connection, but has not been polled yet.
         world.end_term();
         assert!(poll!(&mut waiting).is_pending());
         world.lead_again();
@@ -90,7 +90,7 @@
     assert!(violations.is_empty(), "{violations:?}");
 }
 
-/// Whether a connection is lent.
+/// Whether a statement counts as running at the server.
 fn running_at_server(world: &ValuesWorld) -> bool {
     let shard = world.engine.shard(&values_world::GROUP.into());
     shard.with_group(|group| group.server(values_world::SERVER).is_some_and(|s| s.running > 0))
@@ -106,13 +106,13 @@
     test_connection_given_back_unused(write()).await;
 }
 
-/// Accounts, each with a key of its own name.
+/// Accounts, each with a key that equals its name.
 const ACCOUNTS: [&str; 3] = ["a", "b", "c"];
 
 type Running = Pin<Box<dyn Future<Output = Client>>>;
 
-/// A client that is connected here, or at another instance that sends its
-/// statements on.
+/// A client that is connected to this instance, or to another one that forwards its
+/// statements.
 enum Client {
     Here(Session, Option<AccountId>, SessionValues),
     There(ForwardedSession, Option<AccountId>, SessionValues),
@@ -133,7 +133,7 @@
         Self::Here(session, account, values)
     }
 
-    /// A statement, or a transaction of two.
+    /// Runs a statement, or a transaction of two, as `kind` says.
     async fn operate(self, shared: Arc<values_world::Shared>, key: u64, kind: u32) -> Self {
         match self {
             Self::Here(mut session, account, mut values) => {
@@ -159,7 +159,7 @@
 
 async fn operate_here(session: &mut Session, id: &str, kind: u32) {
     let transaction = kind == 3;
-    // Whatever becomes of the statements, only their values are looked at.
+    // The results are ignored. The server checks the values of each statement.
     if transaction {
         let _begun = session.run("begin".into(), Statement::Begin { read_only: false }).await;
     }
@@ -211,9 +211,9 @@
     }
 }
 
-/// Runs clients against each other in an order drawn from `seed`: exchanges
-/// that are lost or refused, clients that leave at any moment, a right to use
-/// the primary that ends at any moment.
+/// Runs concurrent clients in an order drawn from `seed`, with exchanges that are lost or
+/// refused, clients that disconnect at any moment, and a primary lease that ends at any
+/// moment. Returns the number of statements that ran, and the violations.
 async fn explore(seed: u64, has_accounts: bool) -> (usize, Vec<String>) {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut world = ValuesWorld::new(2, true).await;
@@ -253,7 +253,7 @@
             11 if rng.random_bool(0.4) => {
                 world.end_term();
                 if let Some(first) = running.first_mut() {
-                    // Whoever has a connection and has not used it, finds out now.
+                    // A client that holds an unused connection detects the end of the lease now.
                     if let std::task::Poll::Ready(client) = poll!(first) {
                         drop(running.swap_remove(0));
                         clients.push(client);
@@ -264,7 +264,7 @@
             _ => tokio::task::yield_now().await,
         }
         if key % 40 == 39 {
-            // Pauses of the engine pass.
+            // Lets the engine's pauses between attempts elapse.
             tokio::time::sleep(Duration::from_millis(16)).await;
         }
     }
@@ -276,8 +276,8 @@
     test_any_order(false).await;
 }
 
-/// Three accounts share two connections, so that one of another account is closed
-/// time and again.
+/// Three accounts share two connections, so that connections of one account are repeatedly
+/// closed for another.
 #[tokio::test]
 async fn test_statements_run_in_the_name_of_their_own_account_in_any_order() {
     test_any_order(true).await;
@@ -285,20 +285,20 @@
 
 async fn test_any_order(has_accounts: bool) {
     let mut ran = 0;
-    // Where connections are opened anew for other accounts less runs on each seed.
+    // With accounts, connections are reopened, so fewer statements run for each seed.
     let seeds = if has_accounts { 90 } else { 60 };
     for seed in 0..seeds {
         let (ran_now, violations) = explore(seed, has_accounts).await;
         assert!(violations.is_empty(), "seed {seed}: {violations:?}");
         ran += ran_now;
     }
-    // An exploration in which hardly anything runs would show nothing.
+    // If hardly any statement ran, the test would prove nothing.
     assert!(ran > 1_000, "only {ran} statements ran");
 }
 
-/// Symptom: requests were run for a client whose key had been taken away.
-/// Sequence: a session stands open; a configuration without the key comes into
-/// force; the session goes on. Cause: the key was looked at only at its start.
+/// Guards against statements that run for a client whose key was removed. A session is open
+/// while a configuration without its key comes into force. A check of the key only at the
+/// start of the session would let it continue.
 #[tokio::test]
 async fn test_key_taken_away_ends_the_service_of_open_sessions() {
     let world = ValuesWorld::new(2, false).await;
@@ -323,9 +323,9 @@
     assert_eq!((ran, violations), (2, Vec::new()));
 }
 
-/// Symptom: as above, on a client of an instance that had not heard of the change.
-/// Sequence: the instance that holds the connections has the newer configuration.
-/// Cause: it took the other instance's word for the account.
+/// Guards against the same failure for a forwarded statement. The instance that forwards it
+/// has not received the new configuration yet, but the holder has. The holder must check the
+/// key itself instead of relying on the account that the other instance sent.
 #[tokio::test]
 async fn test_holder_with_a_newer_configuration_decides_on_keys() {
     let world = ValuesWorld::new(2, false).await;
@@ -348,19 +348,19 @@
     let reply = forwarded_session.run(statement("a", 2)).await;
     assert_eq!(reply.error, ErrorKind::UnknownKey.name());
     assert_eq!(forwarded_session.run(statement("b", 2)).await.error, "");
-    // A sender with a newer configuration knows accounts that are new.
+    // A sender with a newer configuration may have accounts that the holder does not have.
     assert_eq!(forwarded_session.run(statement("c", 9)).await.error, "");
     let violations = world.shared.with_checker(|ledger| ledger.violations.clone());
     assert!(violations.is_empty(), "{violations:?}");
 }
 
-/// Connections that are open before they go silent.
+/// Number of connections that are open before they stop responding.
 const OPEN: usize = 3;
 
-/// Guards against connections that went silent together and take one statement after
-/// the other.
+/// Guards against connections that stop responding together, each of which would lose a
+/// statement in turn.
 #[tokio::test]
-async fn test_idle_connections_are_closed_when_one_went_silent() {
+async fn test_idle_connections_are_closed_when_one_stops_responding() {
     let world = ValuesWorld::new(OPEN, true).await;
     let mut sessions = Vec::new();
     for number in 0..OPEN {
@@ -394,7 +394,7 @@
     assert_eq!(idle(&world), 1, "only the new one");
 }
 
-/// Idle connections to the server.
+/// The number of idle connections to the server.
 fn idle(world: &ValuesWorld) -> usize {
     let counts = world.engine.shard(&values_world::GROUP.into()).connection_counts();
     let states = counts.iter().flat_map(ConnectionCounts::by_state);
--- a/daemon/tests/test_waiting.rs
+++ b/daemon/tests/test_waiting.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a connection.
+//! Requests that wait for a connection to the primary.
 
 mod stubs;
 
@@ -19,7 +19,7 @@
 use stubs::shard_with_primary;
 
 /// A group whose primary does not answer.
-fn shard_with_silent_primary() -> Arc<Shard> {
+fn shard_with_unresponsive_primary() -> Arc<Shard> {
     let id = "primary".into();
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
     let shard = shard_with_primary(Arc::new(NoServer), &id, address);
@@ -27,7 +27,7 @@
     shard
 }
 
-/// Waits for the primary, and tells why it was not had.
+/// Waits for a connection to the primary for at most `patience`, and returns the failure.
 async fn failure(shard: &Arc<Shard>, patience: Duration) -> Failure {
     let values = SessionValues::new();
     let want = ConnectionRequest {
@@ -40,35 +40,34 @@
         prepared: None,
     };
     let Err(failure) = shard.acquire(&want).await else {
-        panic!("the primary answers nobody");
+        panic!("the primary does not answer");
     };
     failure
 }
 
 #[tokio::test]
 async fn test_requests_wait_for_the_next_primary_however_long_others_waited() {
-    // Symptom: during a change of primary most requests are refused at once,
-    // though the next primary leads before their deadline.
-    // Sequence: a primary is lost; some requests wait until their deadline,
-    // more arrive.
-    // Cause: the wait for a primary was taken for the pace of the queue.
-    let shard = shard_with_silent_primary();
-    let waited_for_nothing = Failure::new(ErrorKind::Overloaded);
+    // Guards against requests that are refused at once during a change of primary,
+    // though the next primary could serve them before their deadline. The primary
+    // fails; some requests wait until their deadline, and more arrive. If the waits for
+    // the primary counted as waits in the queue, the queue would appear too slow.
+    let shard = shard_with_unresponsive_primary();
+    let waited_in_vain = Failure::new(ErrorKind::Overloaded);
     for (requests, patience_ms) in [(3, 300), (6, 150)] {
         let patience = Duration::from_millis(patience_ms);
         let failures = join_all((0..requests).map(|_| failure(&shard, patience))).await;
-        // Refused at arrival they would be told how long the queue is.
-        assert_eq!(failures, vec![waited_for_nothing.clone(); requests]);
+        // A request that is refused on arrival gets a retry time that depends on the queue.
+        assert_eq!(failures, vec![waited_in_vain.clone(); requests]);
     }
 }
 
-/// Symptom: requests for a primary on the other side of a partition waited for
-/// their whole time, 760 ms and more. Sequence: they wait for it, and it turns out
-/// that it can neither be reached nor replaced from here. Cause: nobody told them;
-/// refused, they reach an instance on the other side.
+/// Guards against requests that wait until their deadline (760 ms and more) for a primary on
+/// the other side of a partition. While they wait, the instance detects that it can neither
+/// reach nor replace the primary. If they are refused at once, their clients can still reach
+/// an instance on the other side.
 #[tokio::test]
 async fn test_requests_for_a_primary_out_of_reach_are_refused_at_once() {
-    let shard = shard_with_silent_primary();
+    let shard = shard_with_unresponsive_primary();
     let long = Duration::from_secs(600);
     let waiting: Vec<_> = (0..3)
         .map(|_| {
@@ -80,7 +79,7 @@
         tokio::task::yield_now().await;
     }
     shard.set_out_of_reach(Some(&"primary".into()));
-    // Both would last ten minutes.
+    // Without the refusal, these requests and the one below would wait for ten minutes.
     for failure in join_all(waiting).await {
         assert_eq!(failure.expect("it ends").kind, ErrorKind::CutOff);
     }
--- a/daemon/tests/values_world/mod.rs
+++ b/daemon/tests/values_world/mod.rs
@@ -1,5 +1,5 @@
-//! Sessions of several clients over few connections to one server that knows
-//! which values each statement has to run with.
+//! A test instance with few connections to one simulated server. The server checks that each
+//! statement runs with the account and the session values that the test expects.
 #![allow(dead_code, reason = "each test binary uses a part of the world")]
 
 use std::collections::BTreeMap;
@@ -51,80 +51,80 @@
 /// The group of all routes.
 pub const GROUP: &str = "db";
 
-/// The one server, which leads.
+/// The only server, which is the primary.
 pub const SERVER: &str = "s1";
 
-/// What a client sends to begin a session.
+/// The start of a session on `database` by a client with `key`.
 pub fn start<'a>(database: &'a str, key: &str) -> SessionStart<'a> {
     SessionStart { database, key: KeyDigest::of(key), client: None }
 }
 
-/// How an exchange with the server goes.
+/// How an exchange with the server ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exchange {
-    /// All of it is answered.
+    /// All statements are answered.
     Answered,
-    /// The server has too much to do for the client's statement.
+    /// The server is too busy and refuses the client's statement.
     Busy,
-    /// The connection ends after the statements ran.
+    /// The connection is closed after the statements ran.
     LostAfter,
-    /// The connection ends before they ran.
+    /// The connection is closed before the statements ran.
     LostBefore,
-    /// Nothing arrives, and nothing is answered.
+    /// The statements do not arrive, and no reply comes.
     Silent,
 }
 
-/// How a statement has to run.
+/// The account and values that a statement has to run with.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Expected {
-    /// In whose name.
+    /// The account of the connection.
     pub account: Option<AccountId>,
-    /// With which values.
+    /// The session values that are set on the connection.
     pub values: SessionValues,
 }
 
-/// What the checker knows.
+/// The state of the checker in the simulated server.
 #[derive(Default)]
 pub struct CheckerState {
-    /// How each statement has to run.
+    /// What each statement has to run with, by its id.
     expected: HashMap<Arc<str>, Expected>,
-    /// How the next exchanges go; answered when there is none.
+    /// How the next exchanges end. Without an entry, an exchange is answered.
     script: Vec<Exchange>,
-    /// Statements that ran with other values.
+    /// Descriptions of statements that ran with another account or other values.
     pub violations: Vec<String>,
-    /// Client statements that ran.
+    /// Number of client statements that ran.
     pub ran: usize,
 }
 
-/// What test and server share.
+/// State that the test and the simulated server share.
 #[derive(Default)]
 pub struct Shared {
     ledger: Mutex<CheckerState>,
-    /// Exchanges may only end while there are permits, if this is set.
+    /// If set, each exchange needs a permit to end.
     gate: Option<Semaphore>,
     position: AtomicU64,
 }
 
 impl Shared {
-    /// Reads or updates what the checker knows.
+    /// Reads or updates the state of the checker.
     pub fn with_checker<R>(&self, f: impl FnOnce(&mut CheckerState) -> R) -> R {
         f(&mut self.ledger.lock().expect("never poisoned"))
     }
 
-    /// One exchange that waits at the gate may end.
+    /// Adds a permit, so that one exchange may end.
     pub fn let_one_end(&self) {
         if let Some(gate) = &self.gate {
             gate.add_permits(1);
         }
     }
 
-    /// A client is about to run a statement like this.
+    /// Expects the statement `id` to run with an account and values.
     pub fn expect(&self, id: &str, account: Option<&AccountId>, values: &SessionValues) {
         let expected = Expected { account: account.cloned(), values: values.clone() };
         self.with_checker(|ledger| ledger.expected.insert(id.into(), expected));
     }
 
-    /// The exchange after those already set goes like this.
+    /// Sets how the exchange after those that are already set ends.
     pub fn next_exchange(&self, exchange: Exchange) {
         self.with_checker(|ledger| ledger.script.push(exchange));
     }
@@ -259,14 +259,14 @@
 pub struct ValuesWorld {
     /// The instance.
     pub engine: Arc<Engine>,
-    /// What test and server share.
+    /// State that the test and the simulated server share.
     pub shared: Arc<Shared>,
     term: u64,
 }
 
 impl ValuesWorld {
-    /// An instance that may have `connections` open. With `gated`, exchanges
-    /// end only when they are let.
+    /// Creates an instance that may have `connections` open. With `gated`, each exchange
+    /// ends only after a call of [`Shared::let_one_end`].
     pub async fn new(connections: usize, gated: bool) -> Self {
         let gate = gated.then(|| Semaphore::new(0));
         let shared = Arc::new(Shared { gate, ..Shared::default() });
@@ -283,7 +283,7 @@
         engine.set_knows_orders();
         engine.set_registered();
         engine.know_fleet();
-        // Two are kept back for probes.
+        // Two connections are reserved for probes.
         let settings = GroupSettings { max_connections: connections + 2, sync_replicas: 0 };
         let route = route();
         let catalog = Catalog {
@@ -304,7 +304,8 @@
         world
     }
 
-    /// From now on clients show the keys of these accounts, each named like its key.
+    /// Puts a configuration in force with these accounts, each with a key that equals its
+    /// name.
     pub fn set_accounts(&self, names: &[&str]) {
         let mut catalog = (*self.engine.catalog()).clone();
         catalog.version += 1;
@@ -316,7 +317,7 @@
         assert!(self.engine.set_catalog(&Arc::new(catalog)));
     }
 
-    /// The server leads in the next term, and may be used.
+    /// Makes the server the primary of the next term, with a valid primary lease.
     pub fn lead_again(&mut self) {
         self.term += 1;
         self.engine.take_primary_news(&PrimaryNews {
@@ -327,7 +328,7 @@
         });
     }
 
-    /// The right to use the server ends.
+    /// Ends the primary lease of the current term.
     pub fn end_term(&self) {
         let reply = self.engine.end_term(&TermEnd {
             group: GROUP.to_owned(),
@@ -342,7 +343,7 @@
     }
 }
 
-/// The route of all sessions: reads have to see every commit.
+/// The route of all sessions, on which reads have to see every commit.
 pub fn route() -> Arc<Route> {
     Arc::new(Route {
         database: "app".into(),
