--- a/daemon/src/engine/holders.rs
+++ b/daemon/src/engine/holders.rs
@@ -1,5 +1,6 @@
-//! The holders of each group: the instances that hold connections to the group's servers,
-//! computed from the list of instances and the configuration that this instance has.
+//! The connection holders of each group, called holders: the instances that hold connections
+//! to the group's servers. They are computed from the list of instances and the configuration
+//! that this instance has. All other instances forward statements for the group to them.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -28,7 +29,7 @@
 
 /// How long a holder that could not serve a statement of a group is avoided for that group.
 /// It may be able to serve it after the next heartbeats.
-const UNABLE_DURATION: Duration = Duration::from_millis(500);
+const SKIP_DURATION: Duration = Duration::from_millis(500);
 
 #[derive(Default)]
 struct Inner {
@@ -45,8 +46,8 @@
     /// Groups that this instance holds connections to.
     held: Option<Arc<Vec<GroupId>>>,
     /// Holders that could not serve a statement of a group, with the time until which they
-    /// are avoided.
-    unable_until: HashMap<(GroupId, InstanceId), Moment>,
+    /// are avoided for it.
+    skip_until: HashMap<(GroupId, InstanceId), Moment>,
 }
 
 /// Cached lists of holders, by group.
@@ -62,11 +63,11 @@
 
     /// Records that a holder could not serve a statement of a group that another holder may
     /// be able to serve.
-    pub fn observe_unable(&self, group: &GroupId, id: &InstanceId) {
+    pub fn observe_refusal(&self, group: &GroupId, id: &InstanceId) {
         let at = now();
         let mut inner = self.lock();
-        inner.unable_until.retain(|_, until| *until > at);
-        inner.unable_until.insert((group.clone(), id.clone()), at + UNABLE_DURATION);
+        inner.skip_until.retain(|_, until| *until > at);
+        inner.skip_until.insert((group.clone(), id.clone()), at + SKIP_DURATION);
     }
 
     /// Makes the next use check the list of instances and the configuration for changes.
@@ -210,7 +211,7 @@
         holders.retain(|record| !tried.contains(&record.id));
         let inner = self.holder_lists().lock();
         let unable = |id: &InstanceId| {
-            let until = inner.unable_until.get(&(group.clone(), id.clone()));
+            let until = inner.skip_until.get(&(group.clone(), id.clone()));
             until.is_some_and(|until| *until > at)
         };
         let candidate = |record: InstanceRecord| Candidate {
--- a/daemon/src/engine/remote.rs
+++ b/daemon/src/engine/remote.rs
@@ -258,7 +258,7 @@
 
     /// Records that a holder refused the request. Nothing ran.
     fn refused(&mut self, session: &mut Session, holder: &InstanceRecord, reply: StatementReply) {
-        session.engine().holder_lists().observe_unable(session.shard().id(), &holder.id);
+        session.engine().holder_lists().observe_refusal(session.shard().id(), &holder.id);
         // The reply is always an error here.
         if let Err(failure) = decode(session, reply) {
             self.skip_holder(session, holder, failure);
@@ -295,7 +295,7 @@
     NotSent,
     /// The link stopped working, but the other instance is reachable. Either the statement
     /// will not run there, or running it again does no harm.
-    LinkSilent,
+    LinkDead,
     /// The statement may have run at the other instance.
     Lost,
 }
@@ -324,7 +324,7 @@
     let mut link = links.take(holder.peer_address);
     let statement = encode(session, request, work, begin);
     let mut sent = send(session, request, holder, &mut link, statement, abandoning).await;
-    if matches!(sent, Err(SendError::LinkSilent)) {
+    if matches!(sent, Err(SendError::LinkDead)) {
         links.close_idle(holder.peer_address);
         link = PeerLink::default();
         let statement = encode(session, request, work, begin);
@@ -373,7 +373,7 @@
         result = &mut exchange => result,
         fate = detect_dead_link(engine, holder, ticket, sent_at) => match (fate, abandoning) {
             (Some(Fate::Withdrawn), _) | (Some(_), Abandoning::LosesNothing) => {
-                return Err(SendError::LinkSilent);
+                return Err(SendError::LinkDead);
             }
             (None, Abandoning::LosesNothing) => return Err(SendError::Lost),
             (_, Abandoning::LosesOutcome) => exchange.await,
--- a/daemon/src/engine/session.rs
+++ b/daemon/src/engine/session.rs
@@ -93,11 +93,12 @@
     /// Whether a statement of the transaction is running.
     in_transaction: bool,
     trace: StatementTrace,
-    /// Random number below [`SPREAD_STEPS`]. It sets when a planned stop closes the
-    /// session, and which holder its statements go to.
+    /// Random number below [`SPREAD_STEPS`], or 0 in a forwarded session. It sets when a
+    /// planned stop closes the session, and which holder its statements go to if the client
+    /// has no account.
     spread: u32,
     /// Counts the session as open at this instance.
-    session_guard: Option<SessionGuard>,
+    open_guard: Option<SessionGuard>,
     /// Whether the session closes at the end of its operation, because a statement failed
     /// in a way that ends sessions (`ErrorKind::ends_session`).
     closes_after_failure: bool,
@@ -194,7 +195,7 @@
             in_transaction: false,
             trace: StatementTrace::default(),
             spread,
-            session_guard: Some(engine.count_session()),
+            open_guard: Some(engine.count_session()),
             closes_after_failure: false,
             engine,
         }
@@ -204,8 +205,8 @@
     /// client, database or group than the one before.
     pub fn use_route(&mut self, id: &RequestId, route: &Route, caller: Caller) {
         self.caller = caller;
-        if self.session_guard.is_none() {
-            self.session_guard = Some(self.engine.count_session());
+        if self.open_guard.is_none() {
+            self.open_guard = Some(self.engine.count_session());
         }
         if *self.shard.id() != route.group {
             self.shard = self.engine.shard(&route.group);
@@ -219,7 +220,7 @@
     /// Stops counting the session as open, so that a planned stop does not wait for it.
     /// The next forwarded statement counts it again.
     pub fn stop_counting(&mut self) {
-        self.session_guard = None;
+        self.open_guard = None;
     }
 
     /// Sets the values of the client's session, which the forwarding instance sent.
--- a/daemon/src/engine/session/account.rs
+++ b/daemon/src/engine/session/account.rs
@@ -11,8 +11,8 @@
 use crate::engine::request::Failure;
 use crate::engine::session::Session;
 
-/// How long an operation waits to be counted while no instance keeps the account's
-/// quota: a few rounds of votes after all instances were killed.
+/// How long an operation waits until its account has a keeper, the instance that counts its
+/// operations. It covers a few rounds of votes after all instances were killed.
 const KEEPER_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl Session {
@@ -59,8 +59,8 @@
         counted
     }
 
-    /// Returns the quota of a single statement that failed without having run, if the
-    /// failure counts against the proxy's error budget.
+    /// Stops counting a single statement against its account's quota, if it failed
+    /// without having run and the failure counts against the proxy's error budget.
     pub(super) fn refund_operation(&self, failure: &Failure) {
         let rule = failure.kind.rule();
         if let (Some(account), Outcome::NotRun, true) =
--- a/daemon/src/engine/shard.rs
+++ b/daemon/src/engine/shard.rs
@@ -1,6 +1,9 @@
 //! A shard: one group of replicated servers as this instance sees it. It holds the
 //! observed state of the servers, the pooled connections to them, and the queue of
 //! requests that wait for a connection.
+//!
+//! An instance may use the primary of a group only under the primary lease, a lease on the
+//! primary's term that half of the voting instances, or the platform's store, grant to it.
 
 mod assign;
 mod pool;
--- a/daemon/src/engine/single.rs
+++ b/daemon/src/engine/single.rs
@@ -43,7 +43,7 @@
     Done(Served),
     /// The statement failed and must not be retried.
     Failed(Failure),
-    /// The attempt had no effect, or none that matters; the statement may be retried.
+    /// The attempt failed without a lasting effect, so the statement may be retried.
     Retry {
         /// Why the attempt failed.
         failure: Failure,
--- a/daemon/src/engine/transaction.rs
+++ b/daemon/src/engine/transaction.rs
@@ -459,7 +459,7 @@
             Sent::Lost(_) if transaction.wrote => {
                 return Err(Failure::new(ErrorKind::OutcomeUnknown));
             }
-            // Nothing was written, so the loss of the connection loses no effect.
+            // Nothing was written, so the outcome is known: there is nothing to commit.
             Sent::Lost(_) => return Err(Failure::new(ErrorKind::TransactionLost)),
         };
         let Some(reply) = replies.pop() else {
--- a/daemon/src/engine/waiting.rs
+++ b/daemon/src/engine/waiting.rs
@@ -1,8 +1,10 @@
 //! The queue of requests that wait for a connection to a group.
 //!
-//! The queue has two tiers. A request waits in time while it can still meet its objective.
-//! One that cannot waits late, behind all requests in time, until its deadline, or is
-//! refused at once if its expected wait is too long.
+//! The queue has two tiers. A request waits in the first tier, in time, while it can still
+//! meet its objective, the response time that its route sets as a goal. A request that cannot
+//! waits in the second tier, late, behind all requests in time, and is served if that is
+//! possible before its deadline. A request whose expected wait is too long for both is refused
+//! at once.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -138,8 +140,8 @@
         late.ok_or_else(|| Failure::new(self.shortage(&request.need)))
     }
 
-    /// Sets that the primary `id` can neither be reached nor replaced from here, and refuses
-    /// the requests that wait for it; `None` if that is no longer so.
+    /// Records that the primary `id` can neither be reached nor replaced from here, and
+    /// refuses the requests that wait for it. `None` clears that record.
     pub fn set_out_of_reach(&self, id: Option<&TargetId>) {
         let mut inner = self.lock();
         if !inner.group.set_out_of_reach(id) {
--- a/daemon/tests/test_holding_ends.rs
+++ b/daemon/tests/test_holding_ends.rs
@@ -31,14 +31,14 @@
     let world = ValuesWorld::new(2, false).await;
     let (engine, group) = (&world.engine, GROUP.into());
     let mut session =
-        Session::begin(engine.clone(), start("app", "key")).await.expect("the route is there");
+        Session::begin(engine.clone(), start("app", "key")).await.expect("the route exists");
     session.run("b".into(), Statement::Begin { read_only: false }).await.result.expect("begun");
     let read = Statement::Read { item: "1".into() };
     world.shared.expect("r", None, session.values());
-    session.run("r".into(), read).await.result.expect("it is served");
+    session.run("r".into(), read).await.result.expect("the read is served");
     engine.take_instances(others());
     engine.share_connections();
-    assert!(!engine.is_holder(&group), "others hold it now");
+    assert!(!engine.is_holder(&group), "other instances hold it now");
     let in_use: Vec<_> = engine.used_shards().iter().map(|shard| shard.id().clone()).collect();
     assert_eq!(in_use, vec![group.clone()]);
     let voters = engine.voters(&group);
--- a/daemon/tests/test_session_values.rs
+++ b/daemon/tests/test_session_values.rs
@@ -38,9 +38,9 @@
 /// Begins a session and sets its value `zone`.
 async fn session(world: &ValuesWorld, key: &str, value: &str) -> (Session, SessionValues) {
     let mut session =
-        Session::begin(world.engine.clone(), start("app", key)).await.expect("the route is there");
+        Session::begin(world.engine.clone(), start("app", key)).await.expect("the route exists");
     let set = Statement::Set { name: "zone".into(), value: value.into() };
-    session.run("set".into(), set).await.result.expect("a value of the session");
+    session.run("set".into(), set).await.result.expect("the value is set");
     (session, BTreeMap::from([("zone".into(), value.into())]))
 }
 
@@ -67,7 +67,7 @@
     {
         let mut running = Box::pin(first.run("a".into(), read()));
         let mut waiting = Box::pin(second.run("b".into(), statement));
-        while !running_at_server(&world) {
+        while !is_running_at_server(&world) {
             assert!(poll!(&mut running).is_pending());
             tokio::task::yield_now().await;
         }
@@ -84,14 +84,14 @@
         for _ in 0..8 {
             world.shared.let_one_end();
         }
-        waiting.await.result.expect("the server leads again");
+        waiting.await.result.expect("the server is the primary again");
     }
-    let violations = world.shared.with_checker(|ledger| ledger.violations.clone());
+    let violations = world.shared.with_checker(|checker| checker.violations.clone());
     assert!(violations.is_empty(), "{violations:?}");
 }
 
 /// Whether a statement counts as running at the server.
-fn running_at_server(world: &ValuesWorld) -> bool {
+fn is_running_at_server(world: &ValuesWorld) -> bool {
     let shard = world.engine.shard(&values_world::GROUP.into());
     shard.with_group(|group| group.server(values_world::SERVER).is_some_and(|s| s.running > 0))
 }
@@ -114,8 +114,8 @@
 /// A client that is connected to this instance, or to another one that forwards its
 /// statements.
 enum Client {
-    Here(Session, Option<AccountId>, SessionValues),
-    There(ForwardedSession, Option<AccountId>, SessionValues),
+    Local(Session, Option<AccountId>, SessionValues),
+    Forwarded(ForwardedSession, Option<AccountId>, SessionValues),
 }
 
 impl Client {
@@ -127,37 +127,38 @@
         let key = account;
         let account = has_accounts.then(|| account.into());
         if rng.random_bool(0.5) {
-            return Self::There(ForwardedSession::new(world.engine.clone()), account, values);
+            return Self::Forwarded(ForwardedSession::new(world.engine.clone()), account, values);
         }
         let (session, values) = session(world, key, &values["zone"]).await;
-        Self::Here(session, account, values)
+        Self::Local(session, account, values)
     }
 
     /// Runs a statement, or a transaction of two, as `kind` says.
     async fn operate(self, shared: Arc<values_world::Shared>, key: u64, kind: u32) -> Self {
         match self {
-            Self::Here(mut session, account, mut values) => {
+            Self::Local(mut session, account, mut values) => {
                 if kind == 4 {
                     values.insert("unit".into(), key.to_string().into());
                     let set = Statement::Set { name: "unit".into(), value: values["unit"].clone() };
-                    session.run("set".into(), set).await.result.expect("a value of the session");
+                    session.run("set".into(), set).await.result.expect("the value is set");
                 }
                 let id = format!("{key}");
                 shared.expect(&id, account.as_ref(), &values);
-                operate_here(&mut session, &id, kind).await;
-                Self::Here(session, account, values)
+                operate_locally(&mut session, &id, kind).await;
+                Self::Local(session, account, values)
             }
-            Self::There(mut forwarded_session, account, values) => {
+            Self::Forwarded(mut forwarded_session, account, values) => {
                 let id = format!("{key}");
                 shared.expect(&id, account.as_ref(), &values);
-                operate_there(&mut forwarded_session, &id, kind, account.as_ref(), &values).await;
-                Self::There(forwarded_session, account, values)
+                operate_forwarded(&mut forwarded_session, &id, kind, account.as_ref(), &values)
+                    .await;
+                Self::Forwarded(forwarded_session, account, values)
             }
         }
     }
 }
 
-async fn operate_here(session: &mut Session, id: &str, kind: u32) {
+async fn operate_locally(session: &mut Session, id: &str, kind: u32) {
     let transaction = kind == 3;
     // The results are ignored. The server checks the values of each statement.
     if transaction {
@@ -170,7 +171,7 @@
     }
 }
 
-async fn operate_there(
+async fn operate_forwarded(
     forwarded_session: &mut ForwardedSession,
     id: &str,
     kind: u32,
@@ -268,7 +269,7 @@
             tokio::time::sleep(Duration::from_millis(16)).await;
         }
     }
-    world.shared.with_checker(|ledger| (ledger.ran, std::mem::take(&mut ledger.violations)))
+    world.shared.with_checker(|checker| (checker.ran, std::mem::take(&mut checker.violations)))
 }
 
 #[tokio::test]
@@ -309,17 +310,17 @@
     world.shared.expect("t", Some(&"a".into()), &values);
     world.shared.expect("o", Some(&"b".into()), &other_values);
     open.run("begin".into(), Statement::Begin { read_only: false }).await.result.expect("begun");
-    open.run("t".into(), read()).await.result.expect("it runs");
+    open.run("t".into(), read()).await.result.expect("the read runs");
     world.set_accounts(&["b"]);
     let kind = |reply: Reply| reply.result.err().map(|failure| failure.kind);
     assert_eq!(kind(single.run("s".into(), read()).await), Some(ErrorKind::UnknownKey));
     assert_eq!(kind(open.run("u".into(), read()).await), Some(ErrorKind::UnknownKey));
     assert_eq!(open.state(), TransactionState::Failed);
-    other.run("o".into(), read()).await.result.expect("the key is still there");
+    other.run("o".into(), read()).await.result.expect("the key is still valid");
     let begun = Session::begin(world.engine.clone(), start("app", "a")).await;
     assert_eq!(begun.err().map(|failure| failure.kind), Some(ErrorKind::UnknownKey));
     let (ran, violations) =
-        world.shared.with_checker(|ledger| (ledger.ran, std::mem::take(&mut ledger.violations)));
+        world.shared.with_checker(|checker| (checker.ran, std::mem::take(&mut checker.violations)));
     assert_eq!((ran, violations), (2, Vec::new()));
 }
 
@@ -350,7 +351,7 @@
     assert_eq!(forwarded_session.run(statement("b", 2)).await.error, "");
     // A sender with a newer configuration may have accounts that the holder does not have.
     assert_eq!(forwarded_session.run(statement("c", 9)).await.error, "");
-    let violations = world.shared.with_checker(|ledger| ledger.violations.clone());
+    let violations = world.shared.with_checker(|checker| checker.violations.clone());
     assert!(violations.is_empty(), "{violations:?}");
 }
 
--- a/daemon/tests/test_waiting.rs
+++ b/daemon/tests/test_waiting.rs
@@ -81,7 +81,7 @@
     shard.set_out_of_reach(Some(&"primary".into()));
     // Without the refusal, these requests and the one below would wait for ten minutes.
     for failure in join_all(waiting).await {
-        assert_eq!(failure.expect("it ends").kind, ErrorKind::CutOff);
+        assert_eq!(failure.expect("the task ends").kind, ErrorKind::CutOff);
     }
     assert_eq!(failure(&shard, long).await.kind, ErrorKind::CutOff);
 }
--- a/daemon/tests/values_world/mod.rs
+++ b/daemon/tests/values_world/mod.rs
@@ -99,7 +99,7 @@
 /// State that the test and the simulated server share.
 #[derive(Default)]
 pub struct Shared {
-    ledger: Mutex<CheckerState>,
+    checker: Mutex<CheckerState>,
     /// If set, each exchange needs a permit to end.
     gate: Option<Semaphore>,
     position: AtomicU64,
@@ -108,7 +108,7 @@
 impl Shared {
     /// Reads or updates the state of the checker.
     pub fn with_checker<R>(&self, f: impl FnOnce(&mut CheckerState) -> R) -> R {
-        f(&mut self.ledger.lock().expect("never poisoned"))
+        f(&mut self.checker.lock().expect("never poisoned"))
     }
 
     /// Adds a permit, so that one exchange may end.
@@ -121,12 +121,12 @@
     /// Expects the statement `id` to run with an account and values.
     pub fn expect(&self, id: &str, account: Option<&AccountId>, values: &SessionValues) {
         let expected = Expected { account: account.cloned(), values: values.clone() };
-        self.with_checker(|ledger| ledger.expected.insert(id.into(), expected));
+        self.with_checker(|checker| checker.expected.insert(id.into(), expected));
     }
 
     /// Sets how the exchange after those that are already set ends.
     pub fn next_exchange(&self, exchange: Exchange) {
-        self.with_checker(|ledger| ledger.script.push(exchange));
+        self.with_checker(|checker| checker.script.push(exchange));
     }
 }
 
@@ -165,16 +165,16 @@
     fn check(&self, id: &str, statement: &Statement) {
         let unprepared =
             matches!(statement, Statement::Execute { name, .. } if !self.prepared.contains(name));
-        self.shared.with_checker(|ledger| {
-            ledger.ran += 1;
-            let expected = ledger.expected.get(id);
+        self.shared.with_checker(|checker| {
+            checker.ran += 1;
+            let expected = checker.expected.get(id);
             let found = Expected { account: self.account.clone(), values: self.values.clone() };
             if expected != Some(&found) {
                 let (expected, found) = (format!("{expected:?}"), format!("{found:?}"));
-                ledger.violations.push(format!("{id}: {found} in place of {expected}"));
+                checker.violations.push(format!("{id}: {found} in place of {expected}"));
             }
             if unprepared {
-                ledger.violations.push(format!("{id}: {statement:?} is not prepared"));
+                checker.violations.push(format!("{id}: {statement:?} is not prepared"));
             }
         });
     }
@@ -211,9 +211,9 @@
 #[async_trait]
 impl ServerConnection for ValuesConnection {
     async fn run(&mut self, steps: &[Step]) -> Result<Vec<StepReply>, ExchangeError> {
-        let how = self.shared.with_checker(|ledger| {
-            let how = ledger.script.first().copied().unwrap_or(Exchange::Answered);
-            ledger.script.drain(..ledger.script.len().min(1));
+        let how = self.shared.with_checker(|checker| {
+            let how = checker.script.first().copied().unwrap_or(Exchange::Answered);
+            checker.script.drain(..checker.script.len().min(1));
             how
         });
         if let Some(gate) = &self.shared.gate {
