--- a/daemon/src/engine/caller.rs
+++ b/daemon/src/engine/caller.rs
@@ -85,7 +85,7 @@
                 self.pull_newer_configuration().await;
                 Caller::new(&self.catalog(), route, key)
             }
-            known => known,
+            result => result,
         }
     }
 
--- a/daemon/src/engine/holders.rs
+++ b/daemon/src/engine/holders.rs
@@ -144,10 +144,10 @@
             // Servers may be listed for a group that the configuration does not name.
             // Those are neither probed nor replaced.
             let catalog = self.catalog();
-            let known = shards.iter().map(|shard| shard.id());
-            let known = known.filter(|id| catalog.groups.contains_key(*id));
-            let ids = known.filter(|id| self.is_holder(id));
-            let held = Arc::new(ids.cloned().collect::<Vec<_>>());
+            let ids = shards.iter().map(|shard| shard.id());
+            let configured = ids.filter(|id| catalog.groups.contains_key(*id));
+            let held = configured.filter(|id| self.is_holder(id));
+            let held = Arc::new(held.cloned().collect::<Vec<_>>());
             self.holder_lists().lock().held = Some(held.clone());
             held
         });
--- a/daemon/src/engine/session.rs
+++ b/daemon/src/engine/session.rs
@@ -146,7 +146,7 @@
     ///
     /// An instance that has just started has no configuration yet and waits for it
     /// instead of reporting an unknown database. Clients do not retry after that
-    /// error: after a restart of all instances, the first clients gave up for good.
+    /// error: after a restart of all instances, the first clients never connected.
     ///
     /// # Errors
     ///
--- a/daemon/src/engine/shard.rs
+++ b/daemon/src/engine/shard.rs
@@ -58,7 +58,7 @@
     pub(super) service_time: Duration,
     demand: Demand,
     /// How often each account requests a connection.
-    pub(super) wanted: AccountRates,
+    pub(super) request_rates: AccountRates,
     /// Connections being opened, by server and account.
     openings: HashMap<(TargetId, Option<AccountId>), usize>,
     /// Servers that this instance cannot reach directly, with the detour to each.
@@ -469,15 +469,15 @@
         let now = now();
         let mut inner = self.lock();
         inner.end_opening(server, account.as_ref());
-        let known = inner.group.takes_work(server);
+        let usable = inner.group.takes_work(server);
         let pool = inner.pools.entry(server.clone()).or_default();
         pool.view.opening = pool.view.opening.saturating_sub(1);
-        let opened = known && result.is_ok();
+        let opened = usable && result.is_ok();
         if !opened {
             pool.forget(account.as_ref());
         }
         match result {
-            Ok(connection) if known => {
+            Ok(connection) if usable => {
                 pool.view.open += 1;
                 pool.idle.push(PooledConnection::new(account, connection));
                 inner.group.observe_answer(now, server, None);
--- a/daemon/src/engine/shard/assign.rs
+++ b/daemon/src/engine/shard/assign.rs
@@ -52,7 +52,7 @@
         request: &ConnectionRequest<'_>,
     ) -> Option<(TargetId, PooledConnection)> {
         if let Some(account) = request.owner.account() {
-            self.wanted.observe(now, account);
+            self.request_rates.observe(now, account);
         }
         loop {
             let Choice::Idle(server) =
@@ -152,7 +152,7 @@
             f64::from(u32::try_from(others.count()).unwrap_or(u32::MAX))
         };
         let worth = |pooled: &PooledConnection| {
-            let rate = pooled.account.as_ref().map_or(0.0, |id| self.wanted.of(at, id));
+            let rate = pooled.account.as_ref().map_or(0.0, |id| self.request_rates.of(at, id));
             rate / same(&pooled.account)
         };
         let may_close = |pooled: &PooledConnection| {
--- a/daemon/tests/test_session_values.rs
+++ b/daemon/tests/test_session_values.rs
@@ -48,7 +48,6 @@
     Statement::Read { item: "1".into() }
 }
 
-/// A write of one item.
 fn write() -> Statement {
     Statement::Write { item_and_data: "1 x".into() }
 }
