--- a/daemon/src/engine/holders.rs
+++ b/daemon/src/engine/holders.rs
@@ -10,8 +10,8 @@
 use std::time::Duration;
 
 use chervilwharf_lib::fleet::InstanceRecord;
+use chervilwharf_lib::holder_choice::Affinity;
 use chervilwharf_lib::holder_choice::Candidate;
-use chervilwharf_lib::holder_choice::Meeting;
 use chervilwharf_lib::holder_choice::choose;
 use chervilwharf_lib::holders::holders;
 use chervilwharf_lib::id::GroupId;
@@ -188,17 +188,17 @@
     /// has to be a holder of the group. For an account, it also has to be the holder that is
     /// chosen for all statements of that account.
     #[must_use]
-    pub fn serves_here(&self, group: &GroupId, meeting: &Meeting) -> bool {
+    pub fn serves_here(&self, group: &GroupId, affinity: &Affinity) -> bool {
         if !self.is_holder(group) {
             return false;
         }
-        if let Meeting::Session(_) = meeting {
+        if let Affinity::Session(_) = affinity {
             return true;
         }
         let mut candidates = self.candidates(group, &[]);
         let (record, contact) = (self.me().clone(), Contact::Heard);
-        candidates.push(Candidate { record, contact, unable: false, near: true });
-        let best = choose(&candidates, meeting);
+        candidates.push(Candidate { record, contact, recently_refused: false, near: true });
+        let best = choose(&candidates, affinity);
         best.is_none_or(|candidate| candidate.record.id == self.me().id)
     }
 
@@ -210,13 +210,13 @@
         let mut holders = self.co_holders(group);
         holders.retain(|record| !tried.contains(&record.id));
         let inner = self.holder_lists().lock();
-        let unable = |id: &InstanceId| {
+        let recently_refused = |id: &InstanceId| {
             let until = inner.skip_until.get(&(group.clone(), id.clone()));
             until.is_some_and(|until| *until > at)
         };
         let candidate = |record: InstanceRecord| Candidate {
             contact: self.contacts().of(&record.id),
-            unable: unable(&record.id),
+            recently_refused: recently_refused(&record.id),
             near: record.failure_domain == self.me().failure_domain,
             record,
         };
--- a/daemon/src/engine/peers.rs
+++ b/daemon/src/engine/peers.rs
@@ -17,7 +17,7 @@
 use chervilwharf_lib::engine_protos::engine_frame::Body;
 use chervilwharf_lib::event::Event;
 use chervilwharf_lib::event::EventKind;
-use chervilwharf_lib::peer_contact::SIGN_LIMIT;
+use chervilwharf_lib::peer_contact::LIVENESS_TIMEOUT;
 use displaydoc::Display;
 use futures::SinkExt;
 use futures::StreamExt;
@@ -171,7 +171,7 @@
     }
     let on_kept = body.clone();
     let mut asking = Box::pin(async move { link.lock().await.exchange(address, on_kept).await });
-    if let Ok(answer) = tokio::time::timeout(SIGN_LIMIT, &mut asking).await {
+    if let Ok(answer) = tokio::time::timeout(LIVENESS_TIMEOUT, &mut asking).await {
         return answer;
     }
     let mut fresh = PeerLink::default();
--- a/daemon/src/engine/remote.rs
+++ b/daemon/src/engine/remote.rs
@@ -22,8 +22,8 @@
 use chervilwharf_lib::fleet::InstanceRecord;
 use chervilwharf_lib::id::InstanceId;
 use chervilwharf_lib::moment::Moment;
-use chervilwharf_lib::peer_contact::SIGN_AFTER;
-use chervilwharf_lib::peer_contact::SIGN_LIMIT;
+use chervilwharf_lib::peer_contact::LIVENESS_CHECK_AFTER;
+use chervilwharf_lib::peer_contact::LIVENESS_TIMEOUT;
 use chervilwharf_lib::position::Position;
 use chervilwharf_lib::statement::Access;
 use chervilwharf_lib::statement::Answer;
@@ -248,11 +248,11 @@
             return None;
         }
         let group = &request.route.group;
-        let found = session.engine().find_holder(group, &session.meeting(), &self.tried).await?;
+        let found = session.engine().find_holder(group, &session.affinity(), &self.tried).await?;
         // If the chosen holder recently refused statements of this group, all reachable ones
         // that are left did. Only one of them is tried, since the client can retry at another
         // instance, which may be able to serve the request.
-        let give_up = found.unable && self.last.is_some();
+        let give_up = found.recently_refused && self.last.is_some();
         (!give_up).then_some(found.record)
     }
 
@@ -360,7 +360,7 @@
     abandoning: Abandoning,
 ) -> Result<StatementReply, SendError> {
     let sent_at = now();
-    let limit = SIGN_LIMIT.min(request.time_left(sent_at));
+    let limit = LIVENESS_TIMEOUT.min(request.time_left(sent_at));
     let Ok(Ok(())) = tokio::time::timeout(limit, link.open(holder.peer_address)).await else {
         engine.contacts().missed(sent_at, &holder.id);
         return Err(SendError::NotSent);
@@ -395,7 +395,7 @@
     ticket: StatementTicket,
     sent_at: Moment,
 ) -> Option<Fate> {
-    tokio::time::sleep(SIGN_AFTER).await;
+    tokio::time::sleep(LIVENESS_CHECK_AFTER).await;
     loop {
         let fate = engine.ask_for_statement(holder, ticket, sent_at).await?;
         if fate == Fate::Open {
@@ -404,7 +404,7 @@
         }
         if fate == Fate::Ended {
             // The reply may still be on its way.
-            tokio::time::sleep(SIGN_LIMIT).await;
+            tokio::time::sleep(LIVENESS_TIMEOUT).await;
         }
         let event = Event::new(EventKind::PeerFailed).with("peer", &holder.id);
         event_log::emit(&event.with("reason", "a link to the instance stopped responding"));
--- a/daemon/src/engine/session.rs
+++ b/daemon/src/engine/session.rs
@@ -20,7 +20,7 @@
 use chervilwharf_lib::error_kind::ErrorKind;
 use chervilwharf_lib::event::Event;
 use chervilwharf_lib::event::EventKind;
-use chervilwharf_lib::holder_choice::Meeting;
+use chervilwharf_lib::holder_choice::Affinity;
 use chervilwharf_lib::id::RequestId;
 use chervilwharf_lib::id::TargetId;
 use chervilwharf_lib::id::Term;
@@ -271,10 +271,10 @@
     /// of an account share the connections of one holder, or else the session itself. A
     /// forwarded session always uses the latter, since the sender has chosen the holder.
     #[must_use]
-    pub fn meeting(&self) -> Meeting {
+    pub fn affinity(&self) -> Affinity {
         match &self.caller.account {
-            Some(account) if !self.is_forwarded => Meeting::Account(account.clone()),
-            _ => Meeting::Session(self.spread),
+            Some(account) if !self.is_forwarded => Affinity::Account(account.clone()),
+            _ => Affinity::Session(self.spread),
         }
     }
 
@@ -575,7 +575,7 @@
         writes: bool,
     ) -> Result<Served, Failure> {
         let Some(mut transaction) = self.transaction.take() else {
-            if !self.engine.serves_here(&request.route.group, &self.meeting()) {
+            if !self.engine.serves_here(&request.route.group, &self.affinity()) {
                 return remote::single(self, request, work, writes).await;
             }
             return if writes {
@@ -585,7 +585,7 @@
             };
         };
         self.in_transaction = true;
-        let result = if transaction.runs_remotely(&self.engine, &self.meeting()) {
+        let result = if transaction.runs_remotely(&self.engine, &self.affinity()) {
             transaction.record_write(writes);
             remote::in_transaction(self, &mut transaction, request, work).await
         } else {
@@ -618,7 +618,7 @@
         if transaction.has_failed() {
             return Err(Failure::new(ErrorKind::TransactionLost));
         }
-        if !transaction.runs_remotely(&self.engine, &self.meeting()) {
+        if !transaction.runs_remotely(&self.engine, &self.affinity()) {
             return transaction::commit(self, &mut transaction, request).await;
         }
         let work = Work { statement: Statement::Commit, prepared: None };
--- a/daemon/src/engine/shard.rs
+++ b/daemon/src/engine/shard.rs
@@ -197,7 +197,7 @@
         loop {
             let changed = self.primary_lease_changed.notified();
             let (holds, retired) = self.with_group(|group| {
-                (group.right().holds(now(), term), group.right().retired() >= term)
+                (group.primary_lease().holds(now(), term), group.primary_lease().retired() >= term)
             });
             if holds || retired || now() >= until {
                 return holds;
--- a/daemon/src/engine/transaction.rs
+++ b/daemon/src/engine/transaction.rs
@@ -9,7 +9,7 @@
 use chervilwharf_lib::error_kind::ErrorKind;
 use chervilwharf_lib::event::Event;
 use chervilwharf_lib::event::EventKind;
-use chervilwharf_lib::holder_choice::Meeting;
+use chervilwharf_lib::holder_choice::Affinity;
 use chervilwharf_lib::id::TargetId;
 use chervilwharf_lib::id::Term;
 use chervilwharf_lib::moment::Moment;
@@ -108,8 +108,8 @@
     /// Whether its statements are forwarded to another instance. A transaction stays where
     /// its connection is.
     #[must_use]
-    pub fn runs_remotely(&self, engine: &Engine, meeting: &Meeting) -> bool {
-        let here = self.lease.is_some() || engine.serves_here(&self.route.group, meeting);
+    pub fn runs_remotely(&self, engine: &Engine, affinity: &Affinity) -> bool {
+        let here = self.lease.is_some() || engine.serves_here(&self.route.group, affinity);
         self.remote.is_some() || !here
     }
 
--- a/daemon/src/engine/waiting.rs
+++ b/daemon/src/engine/waiting.rs
@@ -124,9 +124,10 @@
             // since another server will be promoted soon. If only the primary lease is
             // missing, it is either renewed quickly, or another instance has to serve
             // the request.
-            let (answers, lacks_right) = self
-                .with_group(|group| (group.leader_answers(began_at), group.lacks_right(began_at)));
-            let in_time_only = answers || lacks_right;
+            let (answers, lacks_primary_lease) = self.with_group(|group| {
+                (group.leader_answers(began_at), group.lacks_primary_lease(began_at))
+            });
+            let in_time_only = answers || lacks_primary_lease;
             let until = if in_time_only { request.in_time_until } else { request.give_up_at };
             if let Some(lease) = self.wait(request, Tier::InTime, until).await {
                 return Ok(lease);
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -42,7 +42,7 @@
 pub mod pool;
 pub mod pool_share;
 pub mod position;
-pub mod primary_right;
+pub mod primary_lease;
 pub mod quota;
 pub mod retry;
 pub mod revision;
