--- a/daemon/src/engine/remote.rs
+++ b/daemon/src/engine/remote.rs
@@ -1,5 +1,5 @@
-//! Statements that go through another instance, which holds the connections to
-//! their group.
+//! Forwarding of statements to another instance that holds connections to their group (a
+//! holder). The other instance runs them in a forwarded session.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -43,19 +43,20 @@
 use crate::engine::transaction::ROLLBACK_LIMIT;
 use crate::engine::transaction::Transaction;
 
-/// Part of the time that is kept back for the way to the other instance and
+/// Part of a request's time that is reserved for the network trip to the other instance and
 /// back.
 const PEER_TRIP_RESERVE: Duration = Duration::from_millis(10);
 
-/// Pause between two questions to an instance at which a statement takes long: a
-/// few times the usual statement, since it is known to be alive.
+/// Interval at which an instance is asked about the state of a statement that takes long
+/// there. It is several times the usual duration of a statement, since the instance is
+/// known to be reachable.
 const STATUS_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Links kept open to one instance. More are opened when more statements are
-/// under way, and closed afterwards.
+/// How many idle links to one instance are kept open. Further links are opened while more
+/// statements run at once, and closed afterwards.
 const KEPT_LINKS: usize = 4;
 
-/// Idle links for statements, by address.
+/// Idle links for forwarded statements, by address of the other instance.
 #[derive(Default)]
 pub struct StatementLinks {
     idle: Mutex<HashMap<SocketAddr, Vec<PeerLink>>>,
@@ -73,12 +74,12 @@
         PeerLink::default()
     }
 
-    /// Closes idle links to an address: one went silent, and they are as old.
+    /// Closes the idle links to an address, after one of the same age stopped working.
     fn close_idle(&self, address: SocketAddr) {
         self.idle.lock().expect("never poisoned").remove(&address);
     }
 
-    /// Closes links to addresses that are not in use any more.
+    /// Closes links to all addresses except these.
     pub fn keep_only(&self, addresses: &[SocketAddr]) {
         let mut idle = self.idle.lock().expect("never poisoned");
         idle.retain(|address, _| addresses.contains(address));
@@ -93,7 +94,7 @@
     }
 }
 
-/// A transaction at another instance.
+/// A transaction that runs at another instance, bound to one link.
 pub struct RemoteTransaction {
     links: Arc<StatementLinks>,
     holder: InstanceRecord,
@@ -101,8 +102,8 @@
 }
 
 impl RemoteTransaction {
-    /// Rolls back. A link that cannot carry that is closed, which rolls back
-    /// as well.
+    /// Rolls back the transaction. If the other instance does not confirm in time, the link
+    /// is closed, which rolls back as well.
     pub async fn roll_back(mut self) {
         let statement = engine_protos::Statement {
             work: Some(WireWork::Rollback(true)),
@@ -115,36 +116,36 @@
     }
 }
 
-/// Runs a single statement through a holder.
+/// Runs a single statement at a holder.
 ///
 /// # Errors
 ///
-/// When it did not run, or nobody can tell whether it did.
+/// When it did not run, failed, or has an unknown outcome.
 pub async fn single(
     session: &mut Session,
     request: &Request,
     work: &Work,
     writes: bool,
 ) -> Result<Served, Failure> {
-    // Reads may run twice: nobody can tell.
-    let leaving = if writes { Leaving::LosesOutcome } else { Leaving::LosesNothing };
-    let mut search = Search::default();
+    // Running a read twice has no visible effect.
+    let abandoning = if writes { Abandoning::LosesOutcome } else { Abandoning::LosesNothing };
+    let mut search = HolderSearch::default();
     while let Some(holder) = search.next(session, request).await {
-        match send_first(session, request, &holder, work, Begin::No, leaving).await {
+        match send_first(session, request, &holder, work, Begin::No, abandoning).await {
             Ok((reply, _)) if needs_other_holder(&reply) => search.refused(session, &holder, reply),
             Ok((reply, link)) => {
                 session.engine().statement_links().give_back(holder.peer_address, link);
                 return decode(session, reply);
             }
             Err(SendError::Lost) if writes => return Err(Failure::new(ErrorKind::OutcomeUnknown)),
-            Err(_) => search.silent(session, &holder),
+            Err(_) => search.unanswered(session, &holder),
         }
     }
     Err(search.into_failure())
 }
 
-/// Runs a statement of a transaction through its holder; the first one picks
-/// it.
+/// Runs a statement of a transaction at the transaction's holder, which is chosen for its
+/// first statement.
 ///
 /// # Errors
 ///
@@ -156,7 +157,7 @@
     work: &Work,
 ) -> Result<Served, Failure> {
     let result = match transaction.take_remote() {
-        Some(remote) => go_on(session, transaction, request, work, remote).await,
+        Some(remote) => continue_transaction(session, transaction, request, work, remote).await,
         None => begin(session, transaction, request, work).await,
     };
     transaction.active_at = now();
@@ -170,26 +171,26 @@
     work: &Work,
 ) -> Result<Served, Failure> {
     let mode = if transaction.is_read_only() { Begin::ReadOnly } else { Begin::ReadWrite };
-    let mut search = Search::default();
+    let mut search = HolderSearch::default();
     while let Some(holder) = search.next(session, request).await {
-        let leaving = Leaving::LosesNothing;
-        match send_first(session, request, &holder, work, mode, leaving).await {
+        let abandoning = Abandoning::LosesNothing;
+        match send_first(session, request, &holder, work, mode, abandoning).await {
             Ok((reply, _)) if needs_other_holder(&reply) => search.refused(session, &holder, reply),
             Ok((reply, link)) => {
                 let links = session.engine().statement_links().clone();
                 let remote = RemoteTransaction { links, holder, link };
-                return settle(session, transaction, reply, remote);
+                return finish_statement(session, transaction, reply, remote);
             }
-            // Where it did get there it is rolled back when the link ends: only
-            // a COMMIT keeps anything.
-            Err(_) => search.silent(session, &holder),
+            // If the statement arrived, the transaction is rolled back when the link is
+            // closed: only a COMMIT makes changes permanent.
+            Err(_) => search.unanswered(session, &holder),
         }
     }
     transaction.fail();
     Err(search.into_failure())
 }
 
-async fn go_on(
+async fn continue_transaction(
     session: &mut Session,
     transaction: &mut Transaction,
     request: &Request,
@@ -198,12 +199,12 @@
 ) -> Result<Served, Failure> {
     let statement = encode(session, request, work, Begin::No);
     let holder = remote.holder.clone();
-    // Only a COMMIT that wrote may be kept.
+    // Only the COMMIT of a transaction that wrote may take effect.
     let may_be_kept = work.statement == Statement::Commit && transaction.may_have_written();
-    let leaving = if may_be_kept { Leaving::LosesOutcome } else { Leaving::LosesNothing };
-    let sent = send(session, request, &holder, &mut remote.link, statement, leaving).await;
+    let abandoning = if may_be_kept { Abandoning::LosesOutcome } else { Abandoning::LosesNothing };
+    let sent = send(session, request, &holder, &mut remote.link, statement, abandoning).await;
     let error = match sent {
-        Ok(reply) => return settle(session, transaction, reply, remote),
+        Ok(reply) => return finish_statement(session, transaction, reply, remote),
         Err(error) => error,
     };
     transaction.fail();
@@ -214,7 +215,7 @@
     Err(Failure::new(kind))
 }
 
-fn settle(
+fn finish_statement(
     session: &mut Session,
     transaction: &mut Transaction,
     reply: StatementReply,
@@ -223,7 +224,7 @@
     if reply.in_transaction && !reply.failed {
         transaction.set_remote(remote);
     } else if reply.failed || !reply.error.is_empty() {
-        // The link is closed, and with it what is left of the transaction.
+        // The link is closed, which rolls back what is left of the transaction.
         transaction.fail();
     } else {
         remote.links.give_back(remote.holder.peer_address, remote.link);
@@ -233,38 +234,40 @@
 
 /// The search for a holder that can serve a request.
 #[derive(Default)]
-struct Search {
+struct HolderSearch {
     tried: Vec<InstanceId>,
-    /// Why the last one that was tried could not.
+    /// Why the last holder that was tried did not serve the request.
     last: Option<Failure>,
 }
 
-impl Search {
-    /// The next holder to try; `None` if there is none that could, or the time
-    /// is over.
+impl HolderSearch {
+    /// The next holder to try; `None` if no holder is left that may serve the request, or
+    /// its time is over.
     async fn next(&mut self, session: &Session, request: &Request) -> Option<InstanceRecord> {
         if now() >= request.deadline {
             return None;
         }
         let group = &request.route.group;
         let found = session.engine().find_holder(group, &session.affinity(), &self.tried).await?;
-        // One that just refused is asked again, but only one: it is known not to
-        // be servable here, and another instance may be able to.
-        let hopeless = found.recently_refused && self.last.is_some();
-        (!hopeless).then_some(found.record)
+        // If the chosen holder recently refused statements of this group, all reachable ones
+        // that are left did. Only one of them is tried, since the client can retry at another
+        // instance, which may be able to serve the request.
+        let give_up = found.recently_refused && self.last.is_some();
+        (!give_up).then_some(found.record)
     }
 
-    /// A holder could not serve it; nothing ran.
+    /// Records that a holder refused the request. Nothing ran.
     fn refused(&mut self, session: &mut Session, holder: &InstanceRecord, reply: StatementReply) {
-        session.engine().holder_lists().observe_unable(session.shard().id(), &holder.id);
-        // It holds no answer.
+        session.engine().holder_lists().observe_refusal(session.shard().id(), &holder.id);
+        // The reply is always an error here.
         if let Err(failure) = decode(session, reply) {
             self.skip_holder(session, holder, failure);
         }
     }
 
-    /// A holder did not answer; what it may have done can be done again.
-    fn silent(&mut self, session: &Session, holder: &InstanceRecord) {
+    /// Records that a holder did not answer. The statement may have run there, but may run
+    /// again.
+    fn unanswered(&mut self, session: &Session, holder: &InstanceRecord) {
         self.skip_holder(session, holder, Failure::new(ErrorKind::HolderSilent));
     }
 
@@ -279,51 +282,53 @@
     }
 }
 
-/// Whether another instance has to be asked; nothing ran.
+/// Whether a reply says that another holder may serve the statement. Nothing ran.
 fn needs_other_holder(reply: &StatementReply) -> bool {
     let kind = ErrorKind::from_name(&reply.error);
     let elsewhere = matches!(kind, ErrorKind::NotOwner | ErrorKind::Stopping | ErrorKind::CutOff);
     !reply.error.is_empty() && elsewhere
 }
 
+/// Why a forwarded statement got no reply.
 enum SendError {
-    /// The statement cannot have reached the other instance.
+    /// The statement did not reach the other instance.
     NotSent,
-    /// The link went silent. The other instance lives, and the statement will not run
-    /// there, or can be sent again though it did.
-    LinkSilent,
-    /// It may have.
+    /// The link stopped working, but the other instance is reachable. Either the statement
+    /// will not run there, or running it again does no harm.
+    LinkDead,
+    /// The statement may have run at the other instance.
     Lost,
 }
 
-/// What is lost when a statement that was sent is not waited for any more.
+/// What is lost if the sender stops waiting for the reply to a statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Leaving {
-    /// Nothing: it can be sent again, or what it belongs to is rolled back.
+enum Abandoning {
+    /// Nothing: the statement can be sent again, or its transaction is rolled back.
     LosesNothing,
-    /// Whether it was kept. It is waited for as long as there is time.
+    /// Whether it took effect. So the reply is awaited until the deadline.
     LosesOutcome,
 }
 
-/// Sends a statement that is bound to no link. Where the link went silent it is sent
-/// again on a new one. Returns the link as well.
+/// Sends a single statement, or the first one of a transaction, on any link to a holder. If
+/// that link turns out to be dead, it is sent again on a new one. Returns the link with the
+/// reply.
 async fn send_first(
     session: &mut Session,
     request: &Request,
     holder: &InstanceRecord,
     work: &Work,
     begin: Begin,
-    leaving: Leaving,
+    abandoning: Abandoning,
 ) -> Result<(StatementReply, PeerLink), SendError> {
     let links = session.engine().statement_links().clone();
     let mut link = links.take(holder.peer_address);
     let statement = encode(session, request, work, begin);
-    let mut sent = send(session, request, holder, &mut link, statement, leaving).await;
-    if matches!(sent, Err(SendError::LinkSilent)) {
+    let mut sent = send(session, request, holder, &mut link, statement, abandoning).await;
+    if matches!(sent, Err(SendError::LinkDead)) {
         links.close_idle(holder.peer_address);
         link = PeerLink::default();
         let statement = encode(session, request, work, begin);
-        sent = send(session, request, holder, &mut link, statement, leaving).await;
+        sent = send(session, request, holder, &mut link, statement, abandoning).await;
     }
     sent.map(|reply| (reply, link))
 }
@@ -334,12 +339,12 @@
     holder: &InstanceRecord,
     link: &mut PeerLink,
     statement: engine_protos::Statement,
-    leaving: Leaving,
+    abandoning: Abandoning,
 ) -> Result<StatementReply, SendError> {
     let sent_at = now();
     let engine = session.engine().clone();
-    let result = exchange(&engine, request, holder, link, statement, leaving).await;
-    session.trace_mut().sent(holder.id.clone(), now().saturating_sub(sent_at));
+    let result = exchange(&engine, request, holder, link, statement, abandoning).await;
+    session.trace_mut().record_attempt(holder.id.clone(), now().saturating_sub(sent_at));
     if result.is_ok() {
         engine.contacts().heard(sent_at, &holder.id);
     }
@@ -352,7 +357,7 @@
     holder: &InstanceRecord,
     link: &mut PeerLink,
     statement: engine_protos::Statement,
-    leaving: Leaving,
+    abandoning: Abandoning,
 ) -> Result<StatementReply, SendError> {
     let sent_at = now();
     let limit = LIVENESS_TIMEOUT.min(request.time_left(sent_at));
@@ -366,12 +371,12 @@
     let mut exchange = std::pin::pin!(tokio::time::timeout(time_left, exchange));
     let result = tokio::select! {
         result = &mut exchange => result,
-        fate = detect_dead_link(engine, holder, ticket, sent_at) => match (fate, leaving) {
-            (Some(Fate::Withdrawn), _) | (Some(_), Leaving::LosesNothing) => {
-                return Err(SendError::LinkSilent);
+        fate = detect_dead_link(engine, holder, ticket, sent_at) => match (fate, abandoning) {
+            (Some(Fate::Withdrawn), _) | (Some(_), Abandoning::LosesNothing) => {
+                return Err(SendError::LinkDead);
             }
-            (None, Leaving::LosesNothing) => return Err(SendError::Lost),
-            (_, Leaving::LosesOutcome) => exchange.await,
+            (None, Abandoning::LosesNothing) => return Err(SendError::Lost),
+            (_, Abandoning::LosesOutcome) => exchange.await,
         },
     };
     match result {
@@ -381,8 +386,9 @@
     }
 }
 
-/// Ends when the link to an instance is silent, with what became of the statement that
-/// was sent on it; `None` if the instance gives no sign of life.
+/// Asks an instance, on another link, about a statement that it has not answered. Returns
+/// when the link of the statement turns out to be dead, with what became of the statement;
+/// `None` if the instance is unreachable.
 async fn detect_dead_link(
     engine: &Engine,
     holder: &InstanceRecord,
@@ -397,11 +403,11 @@
             continue;
         }
         if fate == Fate::Ended {
-            // Its answer may be on the way.
+            // The reply may still be on its way.
             tokio::time::sleep(LIVENESS_TIMEOUT).await;
         }
         let event = Event::new(EventKind::PeerFailed).with("peer", &holder.id);
-        event_log::emit(&event.with("reason", "a link went silent"));
+        event_log::emit(&event.with("reason", "a link to the instance stopped responding"));
         return Some(fate);
     }
 }
--- a/daemon/src/engine/single.rs
+++ b/daemon/src/engine/single.rs
@@ -1,4 +1,5 @@
-//! Single statements, outside of transactions.
+//! Single statements, outside of transactions, run on this instance's own connections:
+//! sending them to a server, and retrying them where that is safe.
 
 use std::time::Duration;
 
@@ -26,39 +27,42 @@
 use crate::engine::request::Served;
 use crate::engine::session::Session;
 
-/// A statement as it goes to a server.
+/// A statement in the form in which it is sent to a server.
 #[derive(Clone, Debug)]
 pub struct Work {
-    /// The statement, with the prepared name that servers know.
+    /// The statement. A prepared statement has the name that all sessions share for it
+    /// at the servers, instead of the client's own name.
     pub statement: Statement,
-    /// What it executes, if it is prepared.
+    /// The prepared statement that it executes, if any.
     pub prepared: Option<Prepared>,
 }
 
-/// How a try to run a statement ended.
-enum Try {
-    /// It ran.
+/// How an attempt to run a statement ended.
+enum Attempt {
+    /// The statement ran.
     Done(Served),
-    /// It is over, without a result.
+    /// The statement failed and must not be retried.
     Failed(Failure),
-    /// Nothing of it counts; it may be tried again.
-    Again {
-        /// The last reason.
+    /// The attempt failed without a lasting effect, so the statement may be retried.
+    Retry {
+        /// Why the attempt failed.
         failure: Failure,
-        /// Pause before the next try.
+        /// Pause before the next attempt.
         pause: Duration,
     },
 }
 
-/// What comes back from sending steps to a server.
+/// The result of sending steps to a server.
 pub enum Sent {
     /// One reply for each step.
     Replies(Vec<StepReply>),
-    /// No whole answer, or a step of our own failed. The lease is gone.
+    /// The exchange failed, so that some or all replies are missing. The connection is
+    /// closed.
     Lost(ExchangeError),
 }
 
-/// Sends steps within `limit`. On any trouble the connection is closed.
+/// Sends steps to the server of a lease and waits at most `limit` for the replies. If the
+/// exchange fails, the connection is closed and the server's state is checked.
 pub async fn send(
     session: &mut Session,
     lease: &mut Option<Lease>,
@@ -70,7 +74,7 @@
     };
     let sent_at = now();
     let result = exchange(session, &mut open, steps, limit).await;
-    session.trace_mut().sent(open.server().clone(), now().saturating_sub(sent_at));
+    session.trace_mut().record_attempt(open.server().clone(), now().saturating_sub(sent_at));
     match result {
         Ok(replies) => {
             open.connection().settle();
@@ -111,8 +115,8 @@
     finished.unwrap_or(Err(ExchangeError::Silent))
 }
 
-/// Runs a single read. It may be sent again, to another server: nobody can
-/// tell a second run of a read from the first.
+/// Runs a single read. It may be sent again, to another server: running a read twice
+/// has no visible effect.
 ///
 /// # Errors
 ///
@@ -126,9 +130,9 @@
     let mut last = Failure::new(ErrorKind::DeadlineBeforeStart);
     while now() < request.deadline {
         match try_read(session, request, work, &mut shunned).await {
-            Try::Done(served) => return Ok(served),
-            Try::Failed(failure) => return Err(failure),
-            Try::Again { failure, pause } => {
+            Attempt::Done(served) => return Ok(served),
+            Attempt::Failed(failure) => return Err(failure),
+            Attempt::Retry { failure, pause } => {
                 session.report_retry(&failure);
                 last = failure;
                 tokio::time::sleep(pause.min(request.time_left(now()))).await;
@@ -143,7 +147,7 @@
     request: &Request,
     work: &Work,
     shunned: &mut Option<TargetId>,
-) -> Try {
+) -> Attempt {
     let consistency = request.route.consistency;
     let floor = session.floor_for(request.arrived_at, consistency);
     session.trace_mut().floor = floor;
@@ -153,7 +157,7 @@
     };
     let mut lease = match session.acquire(request, need, work.prepared.as_ref()).await {
         Ok(lease) => Some(lease),
-        Err(failure) => return Try::Failed(failure),
+        Err(failure) => return Attempt::Failed(failure),
     };
     let server = lease.as_ref().map(|lease| lease.server().clone()).unwrap_or_default();
     if floor.is_none() && session.shard().term_of(&server).is_none() {
@@ -162,8 +166,8 @@
     let mut steps = session.setup_steps(lease.as_mut(), work.prepared.as_ref());
     let setup = steps.len();
     if floor.is_none() {
-        // Only a transaction that may write is refused by a server that has
-        // lost the lead; a plain read would be answered with old data.
+        // A server that is no longer the primary refuses only transactions that may
+        // write. It would answer a plain read with stale data.
         steps.push(Step::own(Statement::Begin { read_only: false }));
     }
     let main = steps.len();
@@ -180,11 +184,11 @@
         Sent::Lost(_) => {
             *shunned = Some(server);
             let failure = Failure::new(ErrorKind::ServerTimedOut);
-            return Try::Again { failure, pause: Duration::ZERO };
+            return Attempt::Retry { failure, pause: Duration::ZERO };
         }
     };
     if let Some(refusal) = first_refusal(&replies[..setup]) {
-        return unprepared(refusal);
+        return setup_refused(refusal);
     }
     if let Some(refusal) = first_refusal(&replies[setup..main]) {
         give_back(lease, &replies);
@@ -204,7 +208,7 @@
             });
             let took = now().saturating_sub(sent_at);
             session.shard().observe_time(&server, took, slow_from);
-            Try::Done(Served { answer, position: reply.position })
+            Attempt::Done(Served { answer, position: reply.position })
         }
         Err(refusal) => {
             if refusal.kind == RefusalKind::Failed || refusal.kind == RefusalKind::TimedOut {
@@ -215,16 +219,17 @@
     }
 }
 
-/// The right to use the primary ended between the choice of the server and now:
-/// the instance stood still, or the primary is being replaced. Nothing was sent.
-fn retry_without_lease(lease: Option<Lease>) -> Try {
+/// Gives back a connection to the primary, since the primary lease ended after the server
+/// was chosen: the process was paused, or the primary is being replaced. Nothing was
+/// sent, so the statement is retried.
+fn retry_without_lease(lease: Option<Lease>) -> Attempt {
     if let Some(lease) = lease {
         lease.give_back();
     }
-    Try::Again { failure: Failure::new(ErrorKind::NoPrimary), pause: waits::BUSY_PAUSE }
+    Attempt::Retry { failure: Failure::new(ErrorKind::NoPrimary), pause: waits::BUSY_PAUSE }
 }
 
-/// Gives a connection back if all is over on it.
+/// Gives a connection back if no transaction is open on it. Otherwise it is closed.
 fn give_back(lease: Option<Lease>, replies: &[StepReply]) {
     let idle = replies.last().is_some_and(|reply| reply.state == TransactionState::Idle);
     if let (Some(lease), true) = (lease, idle) {
@@ -232,12 +237,12 @@
     }
 }
 
-/// A step that prepares the connection was refused: the connection is closed
-/// by the caller, since what is set up on it is not known any more.
-fn unprepared(refusal: ServerRefusal) -> Try {
+/// Reports that the server refused a step that sets up the connection. It is unknown what
+/// is set up on it now, so the caller closes it.
+fn setup_refused(refusal: ServerRefusal) -> Attempt {
     let event = Event::new(EventKind::ConnectionDropped).with("reason", &refusal.text);
     event_log::emit(&event.with("refusal", format_args!("{:?}", refusal.kind)));
-    Try::Again { failure: refusal.into(), pause: waits::BUSY_PAUSE }
+    Attempt::Retry { failure: refusal.into(), pause: waits::BUSY_PAUSE }
 }
 
 fn refused_read(
@@ -246,7 +251,7 @@
     refusal: ServerRefusal,
     floor: Option<Position>,
     position: Option<Position>,
-) -> Try {
+) -> Attempt {
     let pause = match refusal.kind {
         RefusalKind::Lagging => {
             session.observe_lagging(server, floor, position);
@@ -260,25 +265,25 @@
             session.shard().observe_busy(server);
             waits::BUSY_PAUSE
         }
-        // Reads may run again: nobody can tell the second run from the first.
+        // Running a read twice has no visible effect.
         RefusalKind::Failed | RefusalKind::TimedOut => Duration::ZERO,
-        _ => return Try::Failed(refusal.into()),
+        _ => return Attempt::Failed(refusal.into()),
     };
-    Try::Again { failure: refusal.into(), pause }
+    Attempt::Retry { failure: refusal.into(), pause }
 }
 
-/// The first step that was refused.
+/// The refusal of the first step that was refused, if any.
 #[must_use]
 pub fn first_refusal(replies: &[StepReply]) -> Option<ServerRefusal> {
     replies.iter().find_map(|reply| reply.result.as_ref().err().cloned())
 }
 
-/// Runs a single write. It is sent again only after a server's promise that
-/// it did not run.
+/// Runs a single write. It is sent again only if the server guarantees that it did not
+/// run.
 ///
 /// # Errors
 ///
-/// When it did not run, or nobody can tell whether it did.
+/// When it did not run, failed, or has an unknown outcome.
 pub async fn write(
     session: &mut Session,
     request: &Request,
@@ -287,14 +292,14 @@
     let mut last = Failure::new(ErrorKind::DeadlineBeforeStart);
     while now() < request.deadline {
         match try_write(session, request, work).await {
-            Try::Done(served) => {
+            Attempt::Done(served) => {
                 if let Some(position) = served.position {
                     session.raise_floor(position);
                 }
                 return Ok(served);
             }
-            Try::Failed(failure) => return Err(failure),
-            Try::Again { failure, pause } => {
+            Attempt::Failed(failure) => return Err(failure),
+            Attempt::Retry { failure, pause } => {
                 session.report_retry(&failure);
                 last = failure;
                 tokio::time::sleep(pause.min(request.time_left(now()))).await;
@@ -304,10 +309,10 @@
     Err(last)
 }
 
-async fn try_write(session: &mut Session, request: &Request, work: &Work) -> Try {
+async fn try_write(session: &mut Session, request: &Request, work: &Work) -> Attempt {
     let mut lease = match session.acquire(request, Need::Leader, work.prepared.as_ref()).await {
         Ok(lease) => Some(lease),
-        Err(failure) => return Try::Failed(failure),
+        Err(failure) => return Attempt::Failed(failure),
     };
     let server = lease.as_ref().map(|lease| lease.server().clone()).unwrap_or_default();
     let Some(term) = session.shard().term_of(&server) else {
@@ -321,18 +326,18 @@
     let limit = request.time_left(sent_at);
     let replies = match send(session, &mut lease, &steps, limit).await {
         Sent::Replies(replies) => replies,
-        // It may have run; a second run would be a second effect.
-        Sent::Lost(_) => return Try::Failed(Failure::new(ErrorKind::OutcomeUnknown)),
+        // It may have run, and a second run could apply its effect twice.
+        Sent::Lost(_) => return Attempt::Failed(Failure::new(ErrorKind::OutcomeUnknown)),
     };
     let reply = replies[main].clone();
     if let Some(refusal) = first_refusal(&replies[..main]) {
-        // The write was sent behind the refused step. Only its own reply
-        // tells whether it ran.
+        // The write was sent together with the refused step. Only its own reply
+        // shows whether it ran.
         let ran = reply.result.as_ref().err().is_none_or(|own| !own.kind.promises_no_run());
         return if ran {
-            Try::Failed(Failure::new(ErrorKind::OutcomeUnknown))
+            Attempt::Failed(Failure::new(ErrorKind::OutcomeUnknown))
         } else {
-            unprepared(refusal)
+            setup_refused(refusal)
         };
     }
     give_back(lease, &replies);
@@ -342,7 +347,7 @@
             let slow_from = waits::slow_from(request.route.objective);
             session.shard().observe_time(&server, took, slow_from);
             if !session.is_confirmed(request, &server, term).await {
-                return Try::Failed(Failure::new(ErrorKind::OutcomeUnknown));
+                return Attempt::Failed(Failure::new(ErrorKind::OutcomeUnknown));
             }
             let position = reply.position;
             if let Some(position) = position {
@@ -350,22 +355,22 @@
                     .shard()
                     .with_group(|group| group.observe_leading(sent_at, now(), &server, position));
             }
-            Try::Done(Served { answer, position })
+            Attempt::Done(Served { answer, position })
         }
         Err(refusal) => refused_write(session, &server, refusal),
     }
 }
 
-fn refused_write(session: &Session, server: &TargetId, refusal: ServerRefusal) -> Try {
+fn refused_write(session: &Session, server: &TargetId, refusal: ServerRefusal) -> Attempt {
     match refusal.kind {
         RefusalKind::NotLeading => {
             session.shard().lost_lead(server);
-            Try::Again { failure: refusal.into(), pause: Duration::ZERO }
+            Attempt::Retry { failure: refusal.into(), pause: Duration::ZERO }
         }
         RefusalKind::Busy => {
             session.shard().observe_busy(server);
-            Try::Again { failure: refusal.into(), pause: waits::BUSY_PAUSE }
+            Attempt::Retry { failure: refusal.into(), pause: waits::BUSY_PAUSE }
         }
-        _ => Try::Failed(refusal.into()),
+        _ => Attempt::Failed(refusal.into()),
     }
 }
--- a/daemon/src/engine/waiting.rs
+++ b/daemon/src/engine/waiting.rs
@@ -1,4 +1,10 @@
-//! Requests that wait for a connection to a group.
+//! The queue of requests that wait for a connection to a group.
+//!
+//! The queue has two tiers. A request waits in the first tier, in time, while it can still
+//! meet its objective, the response time that its route sets as a goal. A request that cannot
+//! waits in the second tier, late, behind all requests in time, and is served if that is
+//! possible before its deadline. A request whose expected wait is too long for both is refused
+//! at once.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -28,23 +34,22 @@
 use crate::engine::shard::Inner;
 use crate::engine::shard::Shard;
 
-/// What a request wants of a connection.
+/// A request for a connection.
 #[derive(Clone, Debug)]
 pub struct ConnectionRequest<'a> {
-    /// Which servers will do.
+    /// Which servers can serve it.
     pub need: Need,
-    /// Whose connections will do.
+    /// The account whose connections can serve it.
     pub owner: Owner,
-    /// Order of service.
+    /// Its priority in the queue.
     pub priority: Priority,
-    /// When the request stops waiting.
+    /// When the request stops waiting, at the latest.
     pub give_up_at: Moment,
-    /// Until when the request is worth more than one that comes later: served
-    /// after this it misses its objective.
+    /// Until when the request waits in time. Served later, it misses its objective.
     pub in_time_until: Moment,
-    /// Values of its session, to choose a connection that has them.
+    /// Values of its session, to choose a connection on which they are set up.
     pub values: &'a SessionValues,
-    /// What it is about to execute.
+    /// The prepared statement that it is about to execute, if any.
     pub prepared: Option<&'a Prepared>,
 }
 
@@ -58,17 +63,17 @@
     }
 }
 
-/// Part of a request's time that a late wait leaves for the statement itself:
-/// what one takes at a server with a queue.
+/// Part of a request's time that a late wait reserves for the statement itself: about what
+/// a statement takes at a server that is under load.
 const LATE_RESERVE: Duration = Duration::from_millis(100);
 
-/// Until when a request waits that cannot meet its objective any more.
-fn late_until(want: &ConnectionRequest<'_>) -> Moment {
-    want.give_up_at.saturating_sub(LATE_RESERVE)
+/// Until when a request waits that can no longer meet its objective.
+fn late_until(request: &ConnectionRequest<'_>) -> Moment {
+    request.give_up_at.saturating_sub(LATE_RESERVE)
 }
 
-/// A place in the queue, given up when it is dropped: a client that leaves
-/// while it waits must not stay in the way of others.
+/// Removes a request from the queue when dropped. A request whose client disconnects while it
+/// waits would otherwise delay others.
 struct QueueGuard {
     shard: Arc<Shard>,
     place: Place,
@@ -89,50 +94,55 @@
 }
 
 impl Shard {
-    /// Gets a connection, waiting for its turn if need be.
+    /// Gets a connection, and waits in the queue if none is free.
     ///
     /// # Errors
     ///
-    /// When none could be had in time. Nothing was sent then.
-    pub async fn acquire(self: &Arc<Self>, want: &ConnectionRequest<'_>) -> Result<Lease, Failure> {
+    /// When none is available in time, or the request is refused at once because its wait
+    /// would be too long. Nothing was sent then.
+    pub async fn acquire(
+        self: &Arc<Self>,
+        request: &ConnectionRequest<'_>,
+    ) -> Result<Lease, Failure> {
         let began_at = now();
-        if want.need == Need::Leader {
+        if request.need == Need::Leader {
             self.want_leader();
         }
         let tier = {
             let mut inner = self.lock();
-            if want.need == Need::Leader && inner.group.is_cut_off(began_at) {
+            if request.need == Need::Leader && inner.group.is_cut_off(began_at) {
                 return Err(Failure::new(ErrorKind::CutOff));
             }
-            if let Some((server, connection)) = inner.take_idle(began_at, want) {
+            if let Some((server, connection)) = inner.take_idle(began_at, request) {
                 drop(inner);
                 return Ok(Lease::new(self.clone(), server, connection));
             }
-            inner.admit(began_at, want, want.in_time_until.saturating_sub(began_at))?
+            inner.admit(began_at, request, request.in_time_until.saturating_sub(began_at))?
         };
         if tier == Tier::InTime {
-            // Without a primary that answers there is nobody to be impatient
-            // with: another one will lead soon. Where only the right to use it is
-            // missing, that is back at once, or another instance has to serve.
+            // While the primary does not answer, the request waits until its deadline,
+            // since another server will be promoted soon. If only the primary lease is
+            // missing, it is either renewed quickly, or another instance has to serve
+            // the request.
             let (answers, lacks_primary_lease) = self.with_group(|group| {
                 (group.leader_answers(began_at), group.lacks_primary_lease(began_at))
             });
-            let patient = answers || lacks_primary_lease;
-            let until = if patient { want.in_time_until } else { want.give_up_at };
-            if let Some(lease) = self.wait(want, Tier::InTime, until).await {
+            let in_time_only = answers || lacks_primary_lease;
+            let until = if in_time_only { request.in_time_until } else { request.give_up_at };
+            if let Some(lease) = self.wait(request, Tier::InTime, until).await {
                 return Ok(lease);
             }
-            let shortage = Failure::new(self.shortage(&want.need));
-            if !answers || self.lock().admit(now(), want, Duration::ZERO).is_err() {
+            let shortage = Failure::new(self.shortage(&request.need));
+            if !answers || self.lock().admit(now(), request, Duration::ZERO).is_err() {
                 return Err(shortage);
             }
         }
-        let late = self.wait(want, Tier::Late, late_until(want)).await;
-        late.ok_or_else(|| Failure::new(self.shortage(&want.need)))
+        let late = self.wait(request, Tier::Late, late_until(request)).await;
+        late.ok_or_else(|| Failure::new(self.shortage(&request.need)))
     }
 
-    /// The primary can neither be reached nor replaced from here: those who wait
-    /// for it are told so.
+    /// Records that the primary `id` can neither be reached nor replaced from here, and
+    /// refuses the requests that wait for it. `None` clears that record.
     pub fn set_out_of_reach(&self, id: Option<&TargetId>) {
         let mut inner = self.lock();
         if !inner.group.set_out_of_reach(id) {
@@ -140,7 +150,7 @@
         }
         let waiting = inner.queue.iter().filter(|(_, waiter)| waiter.need == Need::Leader);
         let places: Vec<_> = waiting.map(|(place, _)| place).collect();
-        // Without somebody who grants, the wait is over.
+        // Dropping the sender of the grant ends the wait.
         let refused = places.into_iter().filter_map(|place| inner.queue.remove(place)).count();
         drop(inner);
         let event = Event::new(EventKind::PrimaryOutOfReach).with("group", self.id());
@@ -150,7 +160,7 @@
     /// Waits for a connection in the queue.
     async fn wait(
         self: &Arc<Self>,
-        want: &ConnectionRequest<'_>,
+        request: &ConnectionRequest<'_>,
         tier: Tier,
         until: Moment,
     ) -> Option<Lease> {
@@ -158,32 +168,34 @@
         let (grant, mut granted) = oneshot::channel();
         let (place, ahead, measures) = {
             let mut inner = self.lock();
-            let measures = !inner.awaits_primary(began_at, &want.need);
-            let servers = inner.servers_for(began_at, &want.need);
-            let ahead = inner.competitors(began_at, want, &servers, tier);
-            let (need, owner) = (want.need.clone(), want.owner.clone());
+            let measures = !inner.awaits_primary(began_at, &request.need);
+            let servers = inner.servers_for(began_at, &request.need);
+            let ahead = inner.competitors(began_at, request, &servers, tier);
+            let (need, owner) = (request.need.clone(), request.owner.clone());
             let waiter = Waiter { need, owner, since: began_at, grant };
-            let place = inner.queue.push(want.rank(tier), waiter);
+            let place = inner.queue.push(request.rank(tier), waiter);
             (QueueGuard { shard: self.clone(), place }, ahead, measures)
         };
         self.pump();
         let wait = until.saturating_sub(began_at);
         let in_time = tokio::time::timeout(wait, &mut granted).await;
         drop(place);
-        // It may have been granted at the last moment.
+        // The connection may have been granted just before the timeout.
         let lease = in_time.ok().and_then(Result::ok).or_else(|| granted.try_recv().ok());
         let ended_at = now();
-        // Who is left over at the end of a late wait was not served at all.
+        // A request whose late wait ended without a connection was not served at all, so its
+        // whole wait counts for a single place.
         let ahead = if lease.is_none() && tier == Tier::Late { 0 } else { ahead };
         let waited = ended_at.saturating_sub(began_at);
         let mut inner = self.lock();
-        if measures && !inner.awaits_primary(ended_at, &want.need) {
-            inner.pace.observe(ended_at, want.line(tier), ahead, waited);
+        if measures && !inner.awaits_primary(ended_at, &request.need) {
+            inner.pace.observe(ended_at, request.line(tier), ahead, waited);
         }
         drop(inner);
         lease
     }
 
+    /// Why a request got no connection.
     fn shortage(&self, need: &Need) -> ErrorKind {
         let inner = self.lock();
         match need {
@@ -195,31 +207,31 @@
 }
 
 impl Inner {
-    /// Decides whether a request waits, and in which line, or is refused.
+    /// Decides whether a request waits, and in which tier, or is refused.
     /// `patience` is how long it can wait and still meet its objective.
     fn admit(
         &self,
         now: Moment,
-        want: &ConnectionRequest<'_>,
+        request: &ConnectionRequest<'_>,
         patience: Duration,
     ) -> Result<Tier, Failure> {
-        if want.need == Need::Leader && self.group.is_cut_off(now) {
+        if request.need == Need::Leader && self.group.is_cut_off(now) {
             return Err(Failure::new(ErrorKind::CutOff));
         }
-        if self.awaits_primary(now, &want.need) {
+        if self.awaits_primary(now, &request.need) {
             return Ok(Tier::InTime);
         }
-        let servers = self.servers_for(now, &want.need);
-        let ahead = self.competitors(now, want, &servers, Tier::InTime);
-        let late_waiting = self.competitors(now, want, &servers, Tier::Late);
-        let measured = |tier, ahead| self.pace.expected_wait(now, want.line(tier), ahead);
+        let servers = self.servers_for(now, &request.need);
+        let ahead = self.competitors(now, request, &servers, Tier::InTime);
+        let late_waiting = self.competitors(now, request, &servers, Tier::Late);
+        let measured = |tier, ahead| self.pace.expected_wait(now, request.line(tier), ahead);
         let in_time = measured(Tier::InTime, ahead);
         let prospect = Prospect {
             in_time: in_time.or_else(|| self.computed_wait(&servers, ahead)),
             late: measured(Tier::Late, late_waiting),
             late_waiting,
             patience,
-            time_left: late_until(want).saturating_sub(now),
+            time_left: late_until(request).saturating_sub(now),
         };
         match prospect.decide() {
             Arrival::Wait(tier) => Ok(tier),
@@ -229,36 +241,38 @@
         }
     }
 
-    /// Whether a request waits for a primary that does not answer. How long
-    /// that takes is no matter of the queue: it is neither measured nor
-    /// expected, or requests would be refused that the next primary serves.
+    /// Whether a request waits for a primary that does not answer. That wait does not
+    /// depend on the length of the queue, so it is neither measured nor estimated.
+    /// Otherwise requests would be refused that the next primary can serve in time.
     fn awaits_primary(&self, now: Moment, need: &Need) -> bool {
         *need == Need::Leader && !self.group.leader_answers(now)
     }
 
-    /// Requests that go before this one in a tier, and want one of its servers.
+    /// The number of requests in a tier that come before this one and can be served by
+    /// one of `servers`.
     fn competitors(
         &self,
         now: Moment,
-        want: &ConnectionRequest<'_>,
+        request: &ConnectionRequest<'_>,
         servers: &[TargetId],
         tier: Tier,
     ) -> usize {
         let competes = |(rank, waiter): &(Rank, &Waiter)| {
             rank.tier == tier && servers.iter().any(|id| waiter.need.accepts(&self.group, now, id))
         };
-        self.queue.ahead_of(want.rank(tier)).filter(competes).count()
+        self.queue.ahead_of(request.rank(tier)).filter(competes).count()
     }
 
-    /// Servers whose connections would serve a request.
+    /// Servers that can serve a request.
     fn servers_for(&self, now: Moment, need: &Need) -> Vec<TargetId> {
         let accepted =
             self.group.servers().filter(|view| need.accepts(&self.group, now, &view.info.id));
         accepted.map(|view| view.info.id.clone()).collect()
     }
 
-    /// How long a request for these servers would wait by what runs now; `None`
-    /// if nobody can serve it now, but somebody may soon.
+    /// Estimated wait for one of these servers, from the usual duration of statements and the
+    /// number that the servers run at the same time; `None` if no server can serve the
+    /// request now, though one may soon.
     fn computed_wait(&self, servers: &[TargetId], ahead: usize) -> Option<Duration> {
         let capacity: f64 = servers.iter().map(|id| self.limit_of(id)).sum();
         let places = f64::from(u32::try_from(ahead + 1).unwrap_or(u32::MAX));
