--- a/daemon/src/engine/request.rs
+++ b/daemon/src/engine/request.rs
@@ -35,8 +35,8 @@
     /// for a new connection there.
     #[must_use]
     pub fn in_time_until(&self, now: Moment) -> Moment {
-        let patience = waits::patience(self.route.objective);
-        (self.arrived_at + patience).max(now + patience / 2).min(self.deadline)
+        let max_wait = waits::max_wait(self.route.objective);
+        (self.arrived_at + max_wait).max(now + max_wait / 2).min(self.deadline)
     }
 
     /// Time left until the deadline.
--- a/daemon/src/engine/shard.rs
+++ b/daemon/src/engine/shard.rs
@@ -29,7 +29,7 @@
 use chervilwharf_lib::id::Term;
 use chervilwharf_lib::moment::Moment;
 use chervilwharf_lib::server_refusal::RefusalKind;
-use chervilwharf_lib::wait_pace::WaitPace;
+use chervilwharf_lib::wait_estimator::WaitEstimator;
 use chervilwharf_lib::wait_queue::WaitQueue;
 use tokio::sync::Notify;
 use tokio::sync::oneshot;
@@ -52,7 +52,7 @@
     pub(super) group: Group,
     pools: HashMap<TargetId, Pool>,
     pub(super) queue: WaitQueue<Waiter>,
-    pub(super) pace: WaitPace,
+    pub(super) pace: WaitEstimator,
     budget: usize,
     /// Smoothed duration of statements at the servers.
     pub(super) service_time: Duration,
@@ -314,15 +314,15 @@
         self.lock().group.end_running(server);
     }
 
-    /// Records how long a statement took at a server. From `slow_from` on, the duration
+    /// Records how long a statement took at a server. From `slow_threshold` on, the duration
     /// indicates that statements queue at the server.
-    pub fn observe_time(&self, server: &TargetId, took: Duration, slow_from: Duration) {
+    pub fn observe_time(&self, server: &TargetId, took: Duration, slow_threshold: Duration) {
         let mut inner = self.lock();
         let running = inner.group.server(server).map_or(0, |view| view.running);
         let kept = inner.service_time * (SERVICE_TIME_SMOOTHING - 1);
         inner.service_time = (kept + took) / SERVICE_TIME_SMOOTHING;
         if let Some(pool) = inner.pools.get_mut(server) {
-            pool.view.limit.answered(now(), running, took, slow_from);
+            pool.view.limit.answered(now(), running, took, slow_threshold);
         }
     }
 
--- a/daemon/src/engine/shard/assign.rs
+++ b/daemon/src/engine/shard/assign.rs
@@ -7,11 +7,11 @@
 use chervilwharf_lib::id::AccountId;
 use chervilwharf_lib::id::TargetId;
 use chervilwharf_lib::moment::Moment;
-use chervilwharf_lib::pool_share::Choice;
-use chervilwharf_lib::pool_share::Need;
-use chervilwharf_lib::pool_share::Owner;
-use chervilwharf_lib::pool_share::PoolShare;
-use chervilwharf_lib::pool_share::choose;
+use chervilwharf_lib::server_choice::Choice;
+use chervilwharf_lib::server_choice::Need;
+use chervilwharf_lib::server_choice::Owner;
+use chervilwharf_lib::server_choice::PoolView;
+use chervilwharf_lib::server_choice::choose;
 use chervilwharf_lib::wait_queue::Place;
 use chervilwharf_lib::wait_queue::Tier;
 
@@ -115,14 +115,14 @@
     pub(in crate::engine) fn limit_of(&self, id: &TargetId) -> f64 {
         self.pools
             .get(id)
-            .map_or_else(|| PoolShare::default().limit.value(), |pool| pool.view.limit.value())
+            .map_or_else(|| PoolView::default().limit.value(), |pool| pool.view.limit.value())
     }
 
     /// The connections to a server as they count for a request of `owner` that has waited
     /// for `waited`.
-    fn view_of(&self, id: &TargetId, owner: &Owner, waited: Duration) -> PoolShare {
+    fn view_of(&self, id: &TargetId, owner: &Owner, waited: Duration) -> PoolView {
         let Some(pool) = self.pools.get(id) else {
-            return PoolShare { budget: self.budget, ..PoolShare::default() };
+            return PoolView { budget: self.budget, ..PoolView::default() };
         };
         let usable = pool.idle.iter().filter(|idle| owner.accepts(idle.account.as_ref()));
         let idle = usable.count();
@@ -131,7 +131,7 @@
             None => 0,
         };
         let own = match owner {
-            Owner::Anybody => pool.view.open,
+            Owner::AnyAccount => pool.view.open,
             Owner::Account(account) => pool.by_account.get(account).copied().unwrap_or(0),
         };
         // Accounts cause a steady flow of new connections, each of which takes a slot of
@@ -139,7 +139,7 @@
         // opened more connections than a busy server has slots, and served nothing.
         let taking_slots = owner.account().map_or(0, |_| pool.view.opening);
         let budget = self.budget;
-        PoolShare { idle, replaceable, own, taking_slots, budget, ..pool.view.clone() }
+        PoolView { idle, replaceable, own, taking_slots, budget, ..pool.view.clone() }
     }
 
     /// Index of the idle connection to a server that is least likely to be needed again
--- a/daemon/src/engine/shard/pool.rs
+++ b/daemon/src/engine/shard/pool.rs
@@ -4,7 +4,7 @@
 
 use chervilwharf_lib::id::AccountId;
 use chervilwharf_lib::moment::Moment;
-use chervilwharf_lib::pool_share::PoolShare;
+use chervilwharf_lib::server_choice::PoolView;
 
 use crate::engine::lease::PooledConnection;
 
@@ -12,7 +12,7 @@
 #[derive(Default)]
 pub(super) struct Pool {
     pub(super) idle: Vec<PooledConnection>,
-    pub(super) view: PoolShare,
+    pub(super) view: PoolView,
     /// Number of connections that are open or being opened, by account.
     pub(super) by_account: HashMap<Option<AccountId>, usize>,
 }
--- a/daemon/tests/test_waiting.rs
+++ b/daemon/tests/test_waiting.rs
@@ -12,8 +12,8 @@
 use chervilwharf_daemon::engine::waiting::ConnectionRequest;
 use chervilwharf_lib::error_kind::ErrorKind;
 use chervilwharf_lib::layout::SessionValues;
-use chervilwharf_lib::pool_share::Need;
-use chervilwharf_lib::pool_share::Owner;
+use chervilwharf_lib::server_choice::Need;
+use chervilwharf_lib::server_choice::Owner;
 use futures::future::join_all;
 use stubs::NoServer;
 use stubs::shard_with_primary;
@@ -27,15 +27,15 @@
     shard
 }
 
-/// Waits for a connection to the primary for at most `patience`, and returns the failure.
-async fn failure(shard: &Arc<Shard>, patience: Duration) -> Failure {
+/// Waits for a connection to the primary for at most `max_wait`, and returns the failure.
+async fn failure(shard: &Arc<Shard>, max_wait: Duration) -> Failure {
     let values = SessionValues::new();
     let want = ConnectionRequest {
         owner: Owner::Account(None),
         need: Need::Leader,
         priority: 1,
-        give_up_at: now() + patience,
-        in_time_until: now() + patience,
+        give_up_at: now() + max_wait,
+        in_time_until: now() + max_wait,
         values: &values,
         prepared: None,
     };
@@ -54,8 +54,8 @@
     let shard = shard_with_unresponsive_primary();
     let waited_in_vain = Failure::new(ErrorKind::Overloaded);
     for (requests, patience_ms) in [(3, 300), (6, 150)] {
-        let patience = Duration::from_millis(patience_ms);
-        let failures = join_all((0..requests).map(|_| failure(&shard, patience))).await;
+        let max_wait = Duration::from_millis(patience_ms);
+        let failures = join_all((0..requests).map(|_| failure(&shard, max_wait))).await;
         // A request that is refused on arrival gets a retry time that depends on the queue.
         assert_eq!(failures, vec![waited_in_vain.clone(); requests]);
     }
--- a/lib/src/holders.rs
+++ b/lib/src/holders.rs
@@ -7,7 +7,7 @@
 
 use std::collections::HashMap;
 
-use crate::connection_budget::RESERVE;
+use crate::connection_budget::RESERVED_CONNECTIONS;
 use crate::fleet::InstanceRecord;
 use crate::id::FailureDomainId;
 use crate::id::GroupId;
@@ -55,7 +55,7 @@
     groups: usize,
     staying: &[InstanceRecord],
 ) -> Vec<InstanceRecord> {
-    let shared = max_connections.saturating_sub(RESERVE);
+    let shared = max_connections.saturating_sub(RESERVED_CONNECTIONS);
     if staying.len() <= MAX_HOLDERS && staying.len() * MIN_CONNECTIONS_PER_HOLDER <= shared {
         return staying.to_vec();
     }
--- a/lib/src/ownership.rs
+++ b/lib/src/ownership.rs
@@ -266,7 +266,7 @@
     pub fn clear_term_confirmations(&mut self) {
         for view in self.servers.values_mut() {
             view.confirmed_sent_at = None;
-            view.detector.forgive();
+            view.detector.clear_misses();
         }
     }
 
@@ -413,7 +413,7 @@
             return;
         }
         for view in self.servers.values_mut() {
-            view.detector.forgive();
+            view.detector.clear_misses();
         }
         self.majority_reached_at = Some(now);
     }
