--- a/daemon/src/engine/contacts.rs
+++ b/daemon/src/engine/contacts.rs
@@ -5,8 +5,6 @@
 use std::sync::MutexGuard;
 use std::time::Duration;
 
-use chervilwharf_lib::arrivals::Fate;
-use chervilwharf_lib::arrivals::StatementTicket;
 use chervilwharf_lib::engine_protos::SignOfLife;
 use chervilwharf_lib::engine_protos::SignOfLifeReply;
 use chervilwharf_lib::engine_protos::engine_frame::Body;
@@ -22,6 +20,8 @@
 use chervilwharf_lib::peer_contact::Contact;
 use chervilwharf_lib::peer_contact::PeerContacts;
 use chervilwharf_lib::peer_contact::SIGN_LIMIT;
+use chervilwharf_lib::received_statements::Fate;
+use chervilwharf_lib::received_statements::StatementTicket;
 use futures::StreamExt;
 use futures::stream::FuturesUnordered;
 
@@ -126,8 +126,9 @@
             return SignOfLifeReply::default();
         }
         let sent_ago = Duration::from_millis(question.sent_ms_ago);
-        let fate =
-            self.with_arrivals(|arrivals| arrivals.withdraw(now(), question.ticket, sent_ago));
+        let fate = self.with_arrivals(|received_statements| {
+            received_statements.withdraw(now(), question.ticket, sent_ago)
+        });
         SignOfLifeReply { withdrawn: fate == Fate::Withdrawn, ended: fate == Fate::Ended }
     }
 
--- a/daemon/src/engine/guest.rs
+++ b/daemon/src/engine/guest.rs
@@ -6,7 +6,6 @@
 
 use async_trait::async_trait;
 use chervilwharf_lib::account::KeyDigest;
-use chervilwharf_lib::arrivals::StatementTicket;
 use chervilwharf_lib::catalog::Route;
 use chervilwharf_lib::engine_protos;
 use chervilwharf_lib::engine_protos::StatementReply;
@@ -14,6 +13,7 @@
 use chervilwharf_lib::engine_protos::statement::Work as WireWork;
 use chervilwharf_lib::error_kind::ErrorKind;
 use chervilwharf_lib::position::Position;
+use chervilwharf_lib::received_statements::StatementTicket;
 use chervilwharf_lib::statement::Access;
 use chervilwharf_lib::statement::Prepared;
 use chervilwharf_lib::statement::Statement;
@@ -142,7 +142,8 @@
 impl ArrivedGuard {
     /// `None` if the statement must not run: its sender was told that it never will.
     fn new(engine: &Arc<Engine>, ticket: StatementTicket) -> Option<Self> {
-        let may_run = ticket == 0 || engine.with_arrivals(|arrivals| arrivals.begin(now(), ticket));
+        let may_run = ticket == 0
+            || engine.with_arrivals(|received_statements| received_statements.begin(now(), ticket));
         may_run.then(|| Self { engine: engine.clone(), ticket })
     }
 }
@@ -150,7 +151,8 @@
 impl Drop for ArrivedGuard {
     fn drop(&mut self) {
         if self.ticket != 0 {
-            self.engine.with_arrivals(|arrivals| arrivals.end(now(), self.ticket));
+            self.engine
+                .with_arrivals(|received_statements| received_statements.end(now(), self.ticket));
         }
     }
 }
--- a/daemon/src/engine/probe.rs
+++ b/daemon/src/engine/probe.rs
@@ -9,8 +9,8 @@
 use chervilwharf_lib::id::TargetId;
 use chervilwharf_lib::layout::SessionValues;
 use chervilwharf_lib::moment::Moment;
-use chervilwharf_lib::pool_share::Need;
-use chervilwharf_lib::pool_share::Owner;
+use chervilwharf_lib::server_choice::Need;
+use chervilwharf_lib::server_choice::Owner;
 use chervilwharf_lib::server_refusal::RefusalKind;
 
 use crate::engine::border::ConnectError;
@@ -106,7 +106,7 @@
     let values = SessionValues::new();
     let asked_at = now();
     let want = Want {
-        owner: Owner::Anybody,
+        owner: Owner::AnyAccount,
         need: Need::Server(id.clone()),
         priority: SAMPLE_PRIORITY,
         give_up_at: asked_at + PROBE_TIMEOUT,
--- a/daemon/src/engine/quota_control.rs
+++ b/daemon/src/engine/quota_control.rs
@@ -30,9 +30,9 @@
 use chervilwharf_lib::moment::Moment;
 use chervilwharf_lib::quota::Admission;
 use chervilwharf_lib::quota::Allowance;
+use chervilwharf_lib::quota::EnforcedQuota;
 use chervilwharf_lib::quota::QuotaAnswer;
-use chervilwharf_lib::quota::QuotaBook;
-use chervilwharf_lib::quota::QuotaGrant;
+use chervilwharf_lib::quota::QuotaCounters;
 use chervilwharf_lib::quota::ask_again_after;
 use futures::future::join_all;
 
@@ -61,7 +61,7 @@
     voters: Arc<Vec<InstanceRecord>>,
     lease: KeeperLease,
     renewed_at: Moment,
-    book: QuotaBook,
+    book: QuotaCounters,
     /// The instance that answered last as the keeper.
     keeper: Option<InstanceRecord>,
 }
@@ -207,7 +207,7 @@
             let shard = inner.shard(number);
             let gained = shard.lease.check(at, &voters);
             if gained {
-                shard.book.begin_again();
+                shard.book.restart_counts();
             }
             (gained, shard.lease.is_held(at))
         };
@@ -307,12 +307,12 @@
     }
 
     /// What an account with this limit is let begin.
-    fn tolerated(&self, limit: QuotaLimit) -> QuotaGrant {
+    fn tolerated(&self, limit: QuotaLimit) -> EnforcedQuota {
         self.quota_tolerance().map_or(limit.into(), |tolerance| tolerance.applied_to(limit))
     }
 
     /// The limit of an account by the newer one of two configurations.
-    fn newest_limit(&self, account: &AccountId, question: &QuotaQuestion) -> Option<QuotaGrant> {
+    fn newest_limit(&self, account: &AccountId, question: &QuotaQuestion) -> Option<EnforcedQuota> {
         let catalog = self.catalog();
         if question.configuration_version > catalog.version {
             let (rate_per_s, burst) = (question.rate_per_s, question.burst);
@@ -329,7 +329,7 @@
     pub async fn admit_operation(
         &self,
         account: &AccountId,
-        patience: Duration,
+        max_wait: Duration,
     ) -> Result<(), Failure> {
         let catalog = self.catalog();
         let Some(limit) = catalog.accounts.as_ref().and_then(|all| all.limit(account)) else {
@@ -351,11 +351,11 @@
         };
         let instances = self.with_fleet(|fleet| fleet.others().count() + 1);
         let asked_at = now();
-        let Some(reply) = self.find_keeper(account, question, asked_at + patience).await else {
+        let Some(reply) = self.find_keeper(account, question, asked_at + max_wait).await else {
             let mut inner = self.quota().lock();
             let at = now();
             let instances = if self.is_fleet_listed() { instances } else { UNKNOWN_FLEET };
-            let admitted = inner.allowance(at, account).admit_alone(at, limit, instances);
+            let admitted = inner.allowance(at, account).admit_without_keeper(at, limit, instances);
             return admitted.then_some(()).ok_or_else(|| Failure::new(ErrorKind::QuotaUnknown));
         };
         let at = now();
--- a/daemon/src/engine/remote.rs
+++ b/daemon/src/engine/remote.rs
@@ -7,8 +7,6 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-use chervilwharf_lib::arrivals::Fate;
-use chervilwharf_lib::arrivals::StatementTicket;
 use chervilwharf_lib::engine_protos;
 use chervilwharf_lib::engine_protos::Execution;
 use chervilwharf_lib::engine_protos::SessionValue;
@@ -25,6 +23,8 @@
 use chervilwharf_lib::peer_contact::SIGN_AFTER;
 use chervilwharf_lib::peer_contact::SIGN_LIMIT;
 use chervilwharf_lib::position::Position;
+use chervilwharf_lib::received_statements::Fate;
+use chervilwharf_lib::received_statements::StatementTicket;
 use chervilwharf_lib::statement::Access;
 use chervilwharf_lib::statement::Answer;
 use chervilwharf_lib::statement::Statement;
--- a/daemon/src/engine/shard.rs
+++ b/daemon/src/engine/shard.rs
@@ -25,7 +25,7 @@
 use chervilwharf_lib::id::Term;
 use chervilwharf_lib::moment::Moment;
 use chervilwharf_lib::server_refusal::RefusalKind;
-use chervilwharf_lib::wait_pace::WaitPace;
+use chervilwharf_lib::wait_estimator::WaitEstimator;
 use chervilwharf_lib::wait_queue::WaitQueue;
 use tokio::sync::Notify;
 use tokio::sync::oneshot;
@@ -48,7 +48,7 @@
     pub(super) group: Group,
     pools: HashMap<TargetId, Pool>,
     pub(super) queue: WaitQueue<Waiter>,
-    pub(super) pace: WaitPace,
+    pub(super) pace: WaitEstimator,
     budget: usize,
     /// Smoothed time between a grant and the end of the statement.
     pub(super) service_time: Duration,
@@ -301,15 +301,15 @@
         self.lock().group.end_running(server);
     }
 
-    /// A statement took this long at a server. From `slow_from` on that is a
+    /// A statement took this long at a server. From `slow_threshold` on that is a
     /// sign of a queue there.
-    pub fn observe_time(&self, server: &TargetId, took: Duration, slow_from: Duration) {
+    pub fn observe_time(&self, server: &TargetId, took: Duration, slow_threshold: Duration) {
         let mut inner = self.lock();
         let running = inner.group.server(server).map_or(0, |view| view.running);
         let kept = inner.service_time * (SERVICE_TIME_SMOOTHING - 1);
         inner.service_time = (kept + took) / SERVICE_TIME_SMOOTHING;
         if let Some(pool) = inner.pools.get_mut(server) {
-            pool.share.limit.answered(now(), running, took, slow_from);
+            pool.share.limit.answered(now(), running, took, slow_threshold);
         }
     }
 
--- a/daemon/src/engine/shard/assign.rs
+++ b/daemon/src/engine/shard/assign.rs
@@ -6,11 +6,11 @@
 use chervilwharf_lib::id::AccountId;
 use chervilwharf_lib::id::TargetId;
 use chervilwharf_lib::moment::Moment;
-use chervilwharf_lib::pool_share::Choice;
-use chervilwharf_lib::pool_share::Need;
-use chervilwharf_lib::pool_share::Owner;
-use chervilwharf_lib::pool_share::PoolShare;
-use chervilwharf_lib::pool_share::choose;
+use chervilwharf_lib::server_choice::Choice;
+use chervilwharf_lib::server_choice::Need;
+use chervilwharf_lib::server_choice::Owner;
+use chervilwharf_lib::server_choice::PoolView;
+use chervilwharf_lib::server_choice::choose;
 use chervilwharf_lib::wait_queue::Place;
 use chervilwharf_lib::wait_queue::Tier;
 
@@ -111,12 +111,12 @@
     pub(in crate::engine) fn limit_of(&self, id: &TargetId) -> f64 {
         self.pools
             .get(id)
-            .map_or_else(|| PoolShare::default().limit.value(), |pool| pool.share.limit.value())
+            .map_or_else(|| PoolView::default().limit.value(), |pool| pool.share.limit.value())
     }
 
-    fn share_of(&self, id: &TargetId, owner: &Owner, waited: Duration) -> PoolShare {
+    fn share_of(&self, id: &TargetId, owner: &Owner, waited: Duration) -> PoolView {
         let Some(pool) = self.pools.get(id) else {
-            return PoolShare { budget: self.budget, ..PoolShare::default() };
+            return PoolView { budget: self.budget, ..PoolView::default() };
         };
         let usable = pool.idle.iter().filter(|idle| owner.accepts(idle.account.as_ref()));
         let idle = usable.count();
@@ -125,7 +125,7 @@
             None => 0,
         };
         let own = match owner {
-            Owner::Anybody => pool.share.open,
+            Owner::AnyAccount => pool.share.open,
             Owner::Account(account) => pool.by_account.get(account).copied().unwrap_or(0),
         };
         // Accounts need new connections all the time, and each takes a slot like a
@@ -133,7 +133,7 @@
         // has slots, and served nothing.
         let taking_slots = owner.account().map_or(0, |_| pool.share.opening);
         let budget = self.budget;
-        PoolShare { idle, replaceable, own, taking_slots, budget, ..pool.share.clone() }
+        PoolView { idle, replaceable, own, taking_slots, budget, ..pool.share.clone() }
     }
 
     /// Index of the idle connection to a server that is least likely to be wanted
--- a/daemon/src/engine/shared.rs
+++ b/daemon/src/engine/shared.rs
@@ -12,11 +12,10 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use chervilwharf_lib::arrivals::Arrivals;
 use chervilwharf_lib::catalog::Catalog;
 use chervilwharf_lib::catalog::Route;
+use chervilwharf_lib::connection_budget::account_connection_budget;
 use chervilwharf_lib::connection_budget::budget;
-use chervilwharf_lib::connection_budget::kept_for_accounts;
 use chervilwharf_lib::engine_protos::DirectoryTaken;
 use chervilwharf_lib::engine_protos::PrimaryNewsTaken;
 use chervilwharf_lib::engine_protos::Tunnel;
@@ -28,6 +27,7 @@
 use chervilwharf_lib::moment::Moment;
 use chervilwharf_lib::primary_right::PrimaryRight;
 use chervilwharf_lib::quota::QuotaTolerance;
+use chervilwharf_lib::received_statements::ReceivedStatements;
 use chervilwharf_lib::server_list::ServerList;
 use chervilwharf_lib::silence::SilenceLimits;
 use chervilwharf_lib::stop_plan::StopPlan;
@@ -118,7 +118,7 @@
     newer_configuration: NewerConfiguration,
     store_era: Arc<StoreEra>,
     silence_limits: SilenceLimits,
-    arrivals: Mutex<Arrivals>,
+    received_statements: Mutex<ReceivedStatements>,
 }
 
 impl Engine {
@@ -161,7 +161,7 @@
             newer_configuration: NewerConfiguration::default(),
             store_era: Arc::default(),
             silence_limits: SilenceLimits::within(CONFIGURATION_BOUND),
-            arrivals: Mutex::new(Arrivals::new(now())),
+            received_statements: Mutex::new(ReceivedStatements::new(now())),
         }
     }
 
@@ -173,8 +173,8 @@
     }
 
     /// Reads or updates which statements of other instances have arrived.
-    pub fn with_arrivals<R>(&self, f: impl FnOnce(&mut Arrivals) -> R) -> R {
-        f(&mut self.arrivals.lock().expect("never poisoned"))
+    pub fn with_arrivals<R>(&self, f: impl FnOnce(&mut ReceivedStatements) -> R) -> R {
+        f(&mut self.received_statements.lock().expect("never poisoned"))
     }
 
     /// How soon silence of the store is noticed.
@@ -351,7 +351,7 @@
             shard.set_budget(match catalog.accounts {
                 Some(_) => {
                     let earlier_lives = at < self.started_at + DEAD_FOR;
-                    kept_for_accounts(granted, if earlier_lives { 0.0 } else { own })
+                    account_connection_budget(granted, if earlier_lives { 0.0 } else { own })
                 }
                 None => granted,
             });
--- a/daemon/src/engine/single.rs
+++ b/daemon/src/engine/single.rs
@@ -6,8 +6,8 @@
 use chervilwharf_lib::event::Event;
 use chervilwharf_lib::event::EventKind;
 use chervilwharf_lib::id::TargetId;
-use chervilwharf_lib::pool_share::Need;
 use chervilwharf_lib::position::Position;
+use chervilwharf_lib::server_choice::Need;
 use chervilwharf_lib::server_refusal::RefusalKind;
 use chervilwharf_lib::server_refusal::ServerRefusal;
 use chervilwharf_lib::statement::Prepared;
@@ -101,7 +101,7 @@
     let usual_time = session.shard().with_group(|group| group.read_time(&server));
     let running = lease.connection().connection.run(steps);
     let mut running = std::pin::pin!(tokio::time::timeout(limit, running));
-    let early = tokio::time::timeout(waits::doubt_after(usual_time), &mut running).await;
+    let early = tokio::time::timeout(waits::liveness_check_after(usual_time), &mut running).await;
     let finished = if let Ok(finished) = early {
         finished
     } else {
@@ -122,10 +122,10 @@
     request: &Request,
     work: &Work,
 ) -> Result<Served, Failure> {
-    let mut shunned = None;
+    let mut failed_server = None;
     let mut last = Failure::new(ErrorKind::DeadlineBeforeStart);
     while now() < request.deadline {
-        match try_read(session, request, work, &mut shunned).await {
+        match try_read(session, request, work, &mut failed_server).await {
             Try::Done(served) => return Ok(served),
             Try::Failed(failure) => return Err(failure),
             Try::Again { failure, pause } => {
@@ -142,13 +142,13 @@
     session: &mut Session,
     request: &Request,
     work: &Work,
-    shunned: &mut Option<TargetId>,
+    failed_server: &mut Option<TargetId>,
 ) -> Try {
     let consistency = request.route.consistency;
     let floor = session.floor_for(request.arrived_at, consistency);
     session.trail_mut().floor = floor;
     let need = match floor {
-        Some(floor) => Need::Reader { floor, shunned: shunned.clone() },
+        Some(floor) => Need::Reader { floor, failed_server: failed_server.clone() },
         None => Need::Leader,
     };
     let mut lease = match session.acquire(request, need, work.prepared.as_ref()).await {
@@ -173,12 +173,12 @@
         steps.push(Step::own(Statement::Rollback));
     }
     let sent_at = now();
-    let slow_from = waits::slow_from(request.route.objective);
+    let slow_threshold = waits::slow_threshold(request.route.objective);
     let limit = session.stall_limit(request, &server);
     let replies = match send(session, &mut lease, &steps, limit).await {
         Sent::Replies(replies) => replies,
         Sent::Lost(_) => {
-            *shunned = Some(server);
+            *failed_server = Some(server);
             let failure = Failure::new(ErrorKind::ServerTimedOut);
             return Try::Again { failure, pause: Duration::ZERO };
         }
@@ -203,12 +203,12 @@
                 group.observe_read_time(&server, now().saturating_sub(sent_at));
             });
             let took = now().saturating_sub(sent_at);
-            session.shard().observe_time(&server, took, slow_from);
+            session.shard().observe_time(&server, took, slow_threshold);
             Try::Done(Served { answer, position: reply.position })
         }
         Err(refusal) => {
             if refusal.kind == RefusalKind::Failed || refusal.kind == RefusalKind::TimedOut {
-                *shunned = Some(server.clone());
+                *failed_server = Some(server.clone());
             }
             refused_read(session, &server, refusal, floor, reply.position)
         }
@@ -339,8 +339,8 @@
     match reply.result {
         Ok(answer) => {
             let took = now().saturating_sub(sent_at);
-            let slow_from = waits::slow_from(request.route.objective);
-            session.shard().observe_time(&server, took, slow_from);
+            let slow_threshold = waits::slow_threshold(request.route.objective);
+            session.shard().observe_time(&server, took, slow_threshold);
             if !session.is_confirmed(request, &server, term).await {
                 return Try::Failed(Failure::new(ErrorKind::OutcomeUnknown));
             }
--- a/daemon/src/engine/transaction.rs
+++ b/daemon/src/engine/transaction.rs
@@ -12,8 +12,8 @@
 use chervilwharf_lib::id::TargetId;
 use chervilwharf_lib::id::Term;
 use chervilwharf_lib::moment::Moment;
-use chervilwharf_lib::pool_share::Need;
 use chervilwharf_lib::position::Position;
+use chervilwharf_lib::server_choice::Need;
 use chervilwharf_lib::server_refusal::RefusalKind;
 use chervilwharf_lib::server_refusal::ServerRefusal;
 use chervilwharf_lib::statement::Statement;
@@ -259,7 +259,7 @@
                 session.shard().observe_time(
                     &server,
                     took,
-                    waits::slow_from(request.route.objective),
+                    waits::slow_threshold(request.route.objective),
                 );
                 observe(session, transaction, sent_at, &server, reply.position);
                 return Ok(Served { answer, position: reply.position });
@@ -358,7 +358,7 @@
     let at_replica = transaction.read_only && consistency != Consistency::Latest;
     let floor = at_replica.then(|| session.floor_for(request.arrived_at, consistency)).flatten();
     let need = match floor {
-        Some(floor) => Need::Reader { floor, shunned: None },
+        Some(floor) => Need::Reader { floor, failed_server: None },
         None => Need::Leader,
     };
     session.trail_mut().floor = floor;
--- a/daemon/src/engine/waiting.rs
+++ b/daemon/src/engine/waiting.rs
@@ -4,18 +4,18 @@
 use std::time::Duration;
 
 use chervilwharf_lib::admission::Priority;
-use chervilwharf_lib::arrival::Arrival;
-use chervilwharf_lib::arrival::Prospect;
 use chervilwharf_lib::error_kind::ErrorKind;
 use chervilwharf_lib::event::Event;
 use chervilwharf_lib::event::EventKind;
 use chervilwharf_lib::id::TargetId;
 use chervilwharf_lib::layout::SessionValues;
+use chervilwharf_lib::load_shedding::QueueDecision;
+use chervilwharf_lib::load_shedding::WaitForecast;
 use chervilwharf_lib::moment::Moment;
-use chervilwharf_lib::pool_share::Need;
-use chervilwharf_lib::pool_share::Owner;
+use chervilwharf_lib::server_choice::Need;
+use chervilwharf_lib::server_choice::Owner;
 use chervilwharf_lib::statement::Prepared;
-use chervilwharf_lib::wait_pace::WaitLine;
+use chervilwharf_lib::wait_estimator::SubQueue;
 use chervilwharf_lib::wait_queue::Place;
 use chervilwharf_lib::wait_queue::Rank;
 use chervilwharf_lib::wait_queue::Tier;
@@ -53,8 +53,8 @@
         Rank { tier, priority: self.priority, deadline: self.give_up_at }
     }
 
-    fn line(&self, tier: Tier) -> WaitLine {
-        WaitLine { class: self.need.class(), tier, priority: self.priority }
+    fn line(&self, tier: Tier) -> SubQueue {
+        SubQueue { class: self.need.class(), tier, priority: self.priority }
     }
 }
 
@@ -190,8 +190,8 @@
 
 impl Inner {
     /// Decides whether a request waits, and in which line, or is refused.
-    /// `patience` is how long it can wait and still meet its objective.
-    fn admit(&self, now: Moment, want: &Want<'_>, patience: Duration) -> Result<Tier, Failure> {
+    /// `max_wait` is how long it can wait and still meet its objective.
+    fn admit(&self, now: Moment, want: &Want<'_>, max_wait: Duration) -> Result<Tier, Failure> {
         if want.need == Need::Leader && self.group.is_cut_off(now) {
             return Err(Failure::new(ErrorKind::CutOff));
         }
@@ -203,16 +203,16 @@
         let late_waiting = self.competitors(now, want, &servers, Tier::Late);
         let measured = |tier, ahead| self.pace.expected_wait(now, want.line(tier), ahead);
         let in_time = measured(Tier::InTime, ahead);
-        let prospect = Prospect {
+        let prospect = WaitForecast {
             in_time: in_time.or_else(|| self.computed_wait(&servers, ahead)),
             late: measured(Tier::Late, late_waiting),
             late_waiting,
-            patience,
+            max_wait,
             time_left: late_until(want).saturating_sub(now),
         };
         match prospect.decide() {
-            Arrival::Wait(tier) => Ok(tier),
-            Arrival::Refuse(after) => {
+            QueueDecision::Wait(tier) => Ok(tier),
+            QueueDecision::Refuse(after) => {
                 Err(Failure::new(ErrorKind::Overloaded).with_retry_after(after))
             }
         }
--- a/lib/src/membership.rs
+++ b/lib/src/membership.rs
@@ -381,7 +381,7 @@
                 continue;
             };
             if paused {
-                peer.detector.forgive();
+                peer.detector.clear_misses();
             }
             peer.detector.tick(now);
             if peer.detector.is_settled() {
--- a/lib/src/ownership.rs
+++ b/lib/src/ownership.rs
@@ -250,7 +250,7 @@
     pub fn forget_currency(&mut self) {
         for view in self.servers.values_mut() {
             view.confirmed_sent_at = None;
-            view.detector.forgive();
+            view.detector.clear_misses();
         }
     }
 
@@ -390,7 +390,7 @@
             return;
         }
         for view in self.servers.values_mut() {
-            view.detector.forgive();
+            view.detector.clear_misses();
         }
         self.majority_seen_at = Some(now);
     }
--- a/lib/src/ownership/watching.rs
+++ b/lib/src/ownership/watching.rs
@@ -244,7 +244,7 @@
         let Some(view) = self.servers.get_mut(server) else {
             return;
         };
-        view.detector.answered_otherwise(sent_at);
+        view.detector.answered_by_other_traffic(sent_at);
         view.confirmed_sent_at = view.confirmed_sent_at.max(Some(sent_at));
         if let Some(state) = view.state.as_mut().filter(|state| state.term == term) {
             state.applied = state.applied.max(applied);
