--- a/lib/src/account.rs
+++ b/lib/src/account.rs
@@ -117,7 +117,7 @@
             Entry::Vacant(entry) => {
                 entry.insert(account);
             }
-            Entry::Occupied(mut entry) => entry.get_mut().join(account),
+            Entry::Occupied(mut entry) => entry.get_mut().merge(account),
         }
         self
     }
@@ -141,7 +141,7 @@
 }
 
 impl Account {
-    fn join(&mut self, other: Self) {
+    fn merge(&mut self, other: Self) {
         self.keys.extend(other.keys);
         self.limit = match (self.limit, other.limit) {
             (Some(a), Some(b)) => Some(QuotaLimit {
--- a/lib/src/account_rates.rs
+++ b/lib/src/account_rates.rs
@@ -7,10 +7,10 @@
 use crate::moment::Moment;
 
 /// Wishes older than this count for little.
-const MEMORY: Duration = Duration::from_secs(4);
+const DECAY_TIME: Duration = Duration::from_secs(4);
 
 /// Accounts that are kept at most; those that want least are forgotten first.
-const MOST_KEPT: usize = 1_024;
+const MAX_ACCOUNTS: usize = 1_024;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Rate {
@@ -21,7 +21,7 @@
 impl Rate {
     fn at(self, now: Moment) -> f64 {
         let age = now.saturating_sub(self.observed_at);
-        self.per_s * (-age.as_secs_f64() / MEMORY.as_secs_f64()).exp()
+        self.per_s * (-age.as_secs_f64() / DECAY_TIME.as_secs_f64()).exp()
     }
 }
 
@@ -34,11 +34,11 @@
 impl AccountRates {
     /// An account wants a connection.
     pub fn observe(&mut self, now: Moment, account: &AccountId) {
-        if self.rates.len() >= MOST_KEPT && !self.rates.contains_key(account) {
-            self.forget_least(now);
+        if self.rates.len() >= MAX_ACCOUNTS && !self.rates.contains_key(account) {
+            self.evict_least(now);
         }
         let rate = self.rates.entry(account.clone()).or_default();
-        rate.per_s = rate.at(now) + 1.0 / MEMORY.as_secs_f64();
+        rate.per_s = rate.at(now) + 1.0 / DECAY_TIME.as_secs_f64();
         rate.observed_at = now;
     }
 
@@ -48,7 +48,7 @@
         self.rates.get(account).map_or(0.0, |rate| rate.at(now))
     }
 
-    fn forget_least(&mut self, now: Moment) {
+    fn evict_least(&mut self, now: Moment) {
         let least = self.rates.iter().min_by(|(_, a), (_, b)| a.at(now).total_cmp(&b.at(now)));
         if let Some(least) = least.map(|(account, _)| account.clone()) {
             self.rates.remove(&least);
--- a/lib/src/admission.rs
+++ b/lib/src/admission.rs
@@ -146,11 +146,11 @@
         let service_time = self.service_time;
         let mut expired = Vec::new();
         self.waiting.retain(|key| {
-            let hopeless = key.deadline <= now + service_time;
-            if hopeless {
+            let cannot_finish = key.deadline <= now + service_time;
+            if cannot_finish {
                 expired.push((key.ticket, retry_after));
             }
-            !hopeless
+            !cannot_finish
         });
         expired
     }
@@ -211,7 +211,7 @@
     }
 
     fn time_for(&self, requests: usize) -> Duration {
-        let waves = requests.div_ceil(self.allowed.max(1));
-        self.service_time * u32::try_from(waves).unwrap_or(u32::MAX)
+        let rounds = requests.div_ceil(self.allowed.max(1));
+        self.service_time * u32::try_from(rounds).unwrap_or(u32::MAX)
     }
 }
--- a/lib/src/concurrency.rs
+++ b/lib/src/concurrency.rs
@@ -14,35 +14,35 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConcurrencyLimit {
     limit: f64,
-    cut_at: Moment,
+    decreased_at: Moment,
 }
 
 /// Statements at once to a server of which nothing is known yet.
-const INITIAL: f64 = 3.0;
+const INITIAL_LIMIT: f64 = 3.0;
 
 /// At least one, or nothing would be learned any more.
-const LEAST: f64 = 1.0;
+const MIN_LIMIT: f64 = 1.0;
 
 /// More than any server has places in its queue.
-const MOST: f64 = 24.0;
+const MAX_LIMIT: f64 = 24.0;
 
 /// The limit falls by this factor when the server refuses a statement.
-const REFUSED_FACTOR: f64 = 0.7;
+const REFUSED_DECREASE_FACTOR: f64 = 0.7;
 
 /// And by this one when a statement takes too long.
-const SLOW_FACTOR: f64 = 0.85;
+const SLOW_DECREASE_FACTOR: f64 = 0.85;
 
 /// Statements that answer in time raise the limit by this much when as many
 /// as the limit have been answered.
-const RISE: f64 = 0.5;
+const ADDITIVE_INCREASE: f64 = 0.5;
 
 /// The limit falls once in this time: statements that were sent together
 /// suffer from the same queue, and tell of it only once.
-const CUT_INTERVAL: Duration = Duration::from_millis(100);
+const DECREASE_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Default for ConcurrencyLimit {
     fn default() -> Self {
-        Self { limit: INITIAL, cut_at: Moment::ZERO }
+        Self { limit: INITIAL_LIMIT, decreased_at: Moment::ZERO }
     }
 }
 
@@ -50,7 +50,7 @@
     /// Whether one more may be sent while `running` are at the server.
     #[must_use]
     pub fn allows(&self, running: usize) -> bool {
-        to_f64(running) + 1.0 <= self.limit.max(LEAST)
+        to_f64(running) + 1.0 <= self.limit.max(MIN_LIMIT)
     }
 
     /// Statements that may be at the server at once.
@@ -69,23 +69,23 @@
         slow_threshold: Duration,
     ) {
         if took >= slow_threshold {
-            self.cut(now, SLOW_FACTOR);
+            self.decrease(now, SLOW_DECREASE_FACTOR);
         } else if !self.allows(running + 1) {
-            self.limit = (self.limit + RISE / self.limit).min(MOST);
+            self.limit = (self.limit + ADDITIVE_INCREASE / self.limit).min(MAX_LIMIT);
         }
     }
 
     /// The server refused a statement since it has too many.
     pub fn refused(&mut self, now: Moment) {
-        self.cut(now, REFUSED_FACTOR);
+        self.decrease(now, REFUSED_DECREASE_FACTOR);
     }
 
-    fn cut(&mut self, now: Moment, factor: f64) {
-        if now < self.cut_at + CUT_INTERVAL {
+    fn decrease(&mut self, now: Moment, factor: f64) {
+        if now < self.decreased_at + DECREASE_INTERVAL {
             return;
         }
-        self.cut_at = now;
-        self.limit = (self.limit * factor).max(LEAST);
+        self.decreased_at = now;
+        self.limit = (self.limit * factor).max(MIN_LIMIT);
     }
 }
 
--- a/lib/src/connection_budget.rs
+++ b/lib/src/connection_budget.rs
@@ -10,7 +10,7 @@
 
 /// Least demand that an instance is counted with, so that one which was idle
 /// can begin without waiting for the others to hear of it.
-const LEAST_DEMAND: f64 = 0.5;
+const MIN_DEMAND: f64 = 0.5;
 
 /// Connections to one server that an instance may hold.
 ///
@@ -27,15 +27,15 @@
 pub fn budget(max_connections: usize, own_demand: f64, demand_of_others: &[f64]) -> usize {
     let instances = demand_of_others.len() + 1;
     let shared = max_connections.saturating_sub(RESERVED_CONNECTIONS);
-    let divided = shared.saturating_sub(instances);
-    let own = own_demand.max(LEAST_DEMAND);
-    let others: f64 = demand_of_others.iter().map(|demand| demand.max(LEAST_DEMAND)).sum();
-    1 + whole_share(divided, own / (own + others))
+    let divisible = shared.saturating_sub(instances);
+    let own = own_demand.max(MIN_DEMAND);
+    let others: f64 = demand_of_others.iter().map(|demand| demand.max(MIN_DEMAND)).sum();
+    1 + fraction_of(divisible, own / (own + others))
 }
 
 /// Part of its budget that an instance keeps open where connections belong to
 /// accounts, whatever it needs at once.
-const KEPT_PART: f64 = 0.5;
+const MIN_KEPT_FRACTION: f64 = 0.5;
 
 /// Connections to a server that an instance may hold where they belong to accounts,
 /// of those that `budget` grants it.
@@ -47,18 +47,18 @@
 /// another account costs a slot that they wait for: there all are kept.
 #[must_use]
 pub fn account_connection_budget(budget: usize, own_demand: f64) -> usize {
-    let wanted = own_demand.ceil().clamp(0.0, MOST_WANTED);
+    let wanted = own_demand.ceil().clamp(0.0, MAX_DEMAND);
     #[allow(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
         reason = "not negative, and small"
     )]
     let wanted = (wanted as usize).saturating_sub(1);
-    wanted.max(whole_share(budget, KEPT_PART)).clamp(budget.min(1), budget)
+    wanted.max(fraction_of(budget, MIN_KEPT_FRACTION)).clamp(budget.min(1), budget)
 }
 
 /// A demand beyond any budget.
-const MOST_WANTED: f64 = 1e6;
+const MAX_DEMAND: f64 = 1e6;
 
 #[allow(
     clippy::cast_possible_truncation,
@@ -66,8 +66,8 @@
     clippy::cast_sign_loss,
     reason = "the numbers are those of connections to one server"
 )]
-fn whole_share(divided: usize, share: f64) -> usize {
-    (divided as f64 * share).floor() as usize
+fn fraction_of(divisible: usize, share: f64) -> usize {
+    (divisible as f64 * share).floor() as usize
 }
 
 /// Connections that an instance wants to the busiest server of a group.
--- a/lib/src/load_shedding.rs
+++ b/lib/src/load_shedding.rs
@@ -32,7 +32,7 @@
 
 /// Requests that may wait late where nothing is known of the wait: enough to
 /// measure it, few enough that those who hope in vain are few.
-const UNMEASURED: usize = 2;
+const MAX_UNMEASURED_LATE: usize = 2;
 
 impl WaitForecast {
     /// Decides.
@@ -49,7 +49,7 @@
         }
         let can_be_late = match self.late {
             Some(late) => late < self.time_left,
-            None => self.time_left > Duration::ZERO && self.late_waiting < UNMEASURED,
+            None => self.time_left > Duration::ZERO && self.late_waiting < MAX_UNMEASURED_LATE,
         };
         if can_be_late {
             return QueueDecision::Wait(Tier::Late);
--- a/lib/src/pool.rs
+++ b/lib/src/pool.rs
@@ -33,7 +33,7 @@
 const MAX_OPENING: usize = 4;
 
 /// How long one should wait before asking again when no better time is known.
-const ASK_AGAIN: Duration = Duration::from_millis(5);
+const RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Idle connections beyond the warm ones are closed after this time.
 const IDLE_LIFETIME: Duration = Duration::from_secs(60);
@@ -66,7 +66,7 @@
             return Checkout::Reuse(id);
         }
         if self.open + self.opening >= self.cap || self.opening >= MAX_OPENING {
-            return Checkout::Wait(ASK_AGAIN);
+            return Checkout::Wait(RETRY_INTERVAL);
         }
         if let Some(last) = self.last_opening_at {
             let since = now.saturating_duration_since(last);
@@ -129,10 +129,10 @@
         if self.idle.len() + self.opening >= warm || self.open + self.opening >= self.cap {
             return false;
         }
-        let spaced = self
+        let interval_passed = self
             .last_opening_at
             .is_none_or(|last| now.saturating_duration_since(last) >= self.opening_interval);
-        if !spaced || self.opening >= MAX_OPENING {
+        if !interval_passed || self.opening >= MAX_OPENING {
             return false;
         }
         self.opening += 1;
--- a/lib/src/quota.rs
+++ b/lib/src/quota.rs
@@ -27,11 +27,11 @@
 /// Part of what a window may hold that is given out. The rest is for operations
 /// that begin later than they were counted, and for those that instances without a
 /// keeper let begin.
-const GIVEN_PART: f64 = 0.96;
+const ENFORCED_FRACTION: f64 = 0.96;
 
 /// Burst that is given out: part of the account's own, and operations beside it.
-const BURST_PART: f64 = 0.1;
-const BURST_TOKENS: f64 = 6.0;
+const BURST_FRACTION: f64 = 0.1;
+const BURST_EXTRA: f64 = 6.0;
 
 /// What a new keeper lets begin at once: part of the account's burst, and operations
 /// beside it.
@@ -40,12 +40,12 @@
 /// of keeper would give an account its burst twice in one window. So the first is
 /// set aside from what a window may hold. With nothing at all those who come back
 /// together, after all instances were killed, would be refused.
-const FIRST_PART: f64 = 0.1;
-const FIRST_TOKENS: f64 = 3.0;
+const INITIAL_BURST_FRACTION: f64 = 0.1;
+const INITIAL_BURST_EXTRA: f64 = 3.0;
 
 /// What a new keeper of an account with this burst lets begin at once.
-fn first_tokens(burst: f64) -> f64 {
-    (burst * FIRST_PART + FIRST_TOKENS).min(burst)
+fn initial_burst_for(burst: f64) -> f64 {
+    (burst * INITIAL_BURST_FRACTION + INITIAL_BURST_EXTRA).min(burst)
 }
 
 /// What an account may begin, as its keeper counts it.
@@ -54,12 +54,12 @@
     /// Operations a second, and at once.
     pub limit: QuotaLimit,
     /// Operations at once where the keeper is new.
-    pub first: f64,
+    pub initial_burst: f64,
 }
 
 impl From<QuotaLimit> for EnforcedQuota {
     fn from(limit: QuotaLimit) -> Self {
-        Self { limit, first: first_tokens(limit.burst) }
+        Self { limit, initial_burst: initial_burst_for(limit.burst) }
     }
 }
 
@@ -71,13 +71,15 @@
         if window_s <= 0.0 || limit.rate_per_s <= 0.0 {
             return limit.into();
         }
-        let first = first_tokens(limit.burst);
+        let initial_burst = initial_burst_for(limit.burst);
         let allowed =
             (limit.rate_per_s * window_s + limit.burst) * (1.0 + self.excess) + self.slack;
-        let burst = (limit.burst * BURST_PART + BURST_TOKENS).min(limit.burst.max(1.0)).max(first);
-        let rate_per_s = (allowed * GIVEN_PART - burst - first) / window_s;
+        let burst = (limit.burst * BURST_FRACTION + BURST_EXTRA)
+            .min(limit.burst.max(1.0))
+            .max(initial_burst);
+        let rate_per_s = (allowed * ENFORCED_FRACTION - burst - initial_burst) / window_s;
         let limit = QuotaLimit { rate_per_s: rate_per_s.max(0.0), burst };
-        EnforcedQuota { limit, first }
+        EnforcedQuota { limit, initial_burst }
     }
 }
 
@@ -122,7 +124,7 @@
 }
 
 /// Longest time to come back that is told to an account beyond its limit.
-const LONGEST_RETURN: Duration = Duration::from_secs(2);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// What the keeper answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -137,26 +139,26 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Counted {
+struct AccountCount {
     bucket: TokenBucket,
     /// Refusals of the last second, decaying.
-    refused: f64,
-    refused_at: Moment,
-    begins_again: bool,
+    recent_refusals: f64,
+    last_refused_at: Moment,
+    restart_pending: bool,
 }
 
-impl Counted {
-    fn note_refusal(&mut self, now: Moment) {
-        let age_s = now.saturating_sub(self.refused_at).as_secs_f64();
-        self.refused = self.refused * (1.0 - age_s).max(0.0) + 1.0;
-        self.refused_at = now;
+impl AccountCount {
+    fn record_refusal(&mut self, now: Moment) {
+        let age_s = now.saturating_sub(self.last_refused_at).as_secs_f64();
+        self.recent_refusals = self.recent_refusals * (1.0 - age_s).max(0.0) + 1.0;
+        self.last_refused_at = now;
     }
 }
 
 /// The keeper's counts, by account.
 #[derive(Clone, Debug, Default)]
 pub struct QuotaCounters {
-    counts: HashMap<AccountId, Counted>,
+    counts: HashMap<AccountId, AccountCount>,
 }
 
 impl QuotaCounters {
@@ -165,45 +167,45 @@
         &mut self,
         now: Moment,
         id: &AccountId,
-        grant: EnforcedQuota,
+        quota: EnforcedQuota,
         wanted: u32,
     ) -> QuotaAnswer {
-        let EnforcedQuota { limit, first } = grant;
-        let counted = self.counts.entry(id.clone()).or_insert_with(|| Counted {
-            bucket: TokenBucket::new(now, first),
-            refused: 0.0,
-            refused_at: now,
-            begins_again: false,
+        let EnforcedQuota { limit, initial_burst } = quota;
+        let count = self.counts.entry(id.clone()).or_insert_with(|| AccountCount {
+            bucket: TokenBucket::new(now, initial_burst),
+            recent_refusals: 0.0,
+            last_refused_at: now,
+            restart_pending: false,
         });
-        if std::mem::take(&mut counted.begins_again) {
-            counted.bucket = TokenBucket::new(now, counted.bucket.tokens().min(first));
+        if std::mem::take(&mut count.restart_pending) {
+            count.bucket = TokenBucket::new(now, count.bucket.tokens().min(initial_burst));
         }
-        counted.bucket.refill(now, limit);
-        let granted = counted.bucket.take(wanted.max(1));
+        count.bucket.refill(now, limit);
+        let granted = count.bucket.take(wanted.max(1));
         if granted > 0 {
             return QuotaAnswer::Granted(granted);
         }
-        counted.note_refusal(now);
-        let missing = (1.0 - counted.bucket.tokens()) + (counted.refused - 1.0);
+        count.record_refusal(now);
+        let missing = (1.0 - count.bucket.tokens()) + (count.recent_refusals - 1.0);
         let retry_after = Duration::try_from_secs_f64(missing / limit.rate_per_s.max(1e-9));
-        let retry_after = retry_after.unwrap_or(LONGEST_RETURN).min(LONGEST_RETURN);
+        let retry_after = retry_after.unwrap_or(MAX_RETRY_AFTER).min(MAX_RETRY_AFTER);
         QuotaAnswer::Exhausted { retry_after }
     }
 
     /// Another instance may have counted meanwhile: goes on as a new keeper does.
     pub fn restart_counts(&mut self) {
-        for counted in self.counts.values_mut() {
-            counted.begins_again = true;
+        for count in self.counts.values_mut() {
+            count.restart_pending = true;
         }
     }
 }
 
 /// How long an operation that was granted may wait to begin. Longer, and what
 /// entries keep in stock would add to the burst of a window.
-pub const GRANT_LASTS: Duration = Duration::from_millis(400);
+pub const GRANT_LIFETIME: Duration = Duration::from_millis(400);
 
 /// Most operations that an entry asks for at once.
-const MOST_WANTED: f64 = 8.0;
+const MAX_REQUESTED: f64 = 8.0;
 
 /// An entry's view of one account.
 #[derive(Clone, Copy, Debug)]
@@ -213,11 +215,11 @@
     exhausted_until: Moment,
     /// Operations a second that begin here, smoothed.
     rate_per_s: f64,
-    begun_at: Moment,
+    last_started_at: Moment,
     /// What may begin here while no keeper answers.
-    alone: TokenBucket,
+    without_keeper: TokenBucket,
     /// When a keeper last answered.
-    counted_at: Moment,
+    keeper_answered_at: Moment,
 }
 
 /// What an entry does with an operation.
@@ -235,7 +237,7 @@
 }
 
 /// Time over which an entry smooths how many operations begin there.
-const SMOOTHED_S: f64 = 1.0;
+const RATE_TIME_CONSTANT_S: f64 = 1.0;
 
 /// Part of an instance's equal share of the rate that it lets begin by itself
 /// while no keeper answers.
@@ -243,7 +245,7 @@
 /// All instances that are cut off from the keeper together must stay within what
 /// the platform allows beyond the limit, while the keeper gives the whole rate to
 /// the others. A quarter keeps some service through the change of a keeper.
-const ALONE_PART: f64 = 0.25;
+const WITHOUT_KEEPER_FRACTION: f64 = 0.25;
 
 impl Allowance {
     /// An account of which nothing began here.
@@ -254,16 +256,16 @@
             granted_at: now,
             exhausted_until: Moment::ZERO,
             rate_per_s: 0.0,
-            begun_at: now,
-            alone: TokenBucket::new(now, 0.0),
-            counted_at: now,
+            last_started_at: now,
+            without_keeper: TokenBucket::new(now, 0.0),
+            keeper_answered_at: now,
         }
     }
 
     /// An operation wants to begin.
     pub fn admit(&mut self, now: Moment) -> Admission {
         self.observe(now);
-        if self.granted > 0 && self.granted_at + GRANT_LASTS > now {
+        if self.granted > 0 && self.granted_at + GRANT_LIFETIME > now {
             self.granted -= 1;
             return Admission::Admitted;
         }
@@ -276,10 +278,10 @@
     }
 
     fn observe(&mut self, now: Moment) {
-        let age_s = now.saturating_sub(self.begun_at).as_secs_f64();
-        self.begun_at = now;
-        let kept = (-age_s / SMOOTHED_S).exp();
-        self.rate_per_s = self.rate_per_s * kept + 1.0 / SMOOTHED_S;
+        let age_s = now.saturating_sub(self.last_started_at).as_secs_f64();
+        self.last_started_at = now;
+        let kept = (-age_s / RATE_TIME_CONSTANT_S).exp();
+        self.rate_per_s = self.rate_per_s * kept + 1.0 / RATE_TIME_CONSTANT_S;
     }
 
     /// This operation, and those that will begin before the grant is over.
@@ -289,22 +291,22 @@
         reason = "between one and the most"
     )]
     fn wanted(&self) -> u32 {
-        let soon = self.rate_per_s * GRANT_LASTS.as_secs_f64() / 2.0;
-        soon.floor().clamp(1.0, MOST_WANTED) as u32
+        let soon = self.rate_per_s * GRANT_LIFETIME.as_secs_f64() / 2.0;
+        soon.floor().clamp(1.0, MAX_REQUESTED) as u32
     }
 
     /// The keeper granted operations; one of them begins now.
     pub fn granted(&mut self, asked_at: Moment, count: u32) {
         self.granted = self.granted.saturating_add(count.saturating_sub(1));
         self.granted_at = asked_at;
-        self.counted_at = asked_at;
+        self.keeper_answered_at = asked_at;
     }
 
     /// The keeper said that the account is at its limit: it is not asked again
     /// for a while, so that an account far beyond its limit does not occupy the
     /// keeper of others.
     pub fn exhausted(&mut self, now: Moment, pause: Duration) {
-        self.counted_at = now;
+        self.keeper_answered_at = now;
         self.exhausted_until = now + pause;
     }
 
@@ -324,21 +326,21 @@
         limit: QuotaLimit,
         instances: usize,
     ) -> bool {
-        let instances = number_of(instances);
+        let instances = instance_count(instances);
         let share = QuotaLimit {
-            rate_per_s: limit.rate_per_s * ALONE_PART / instances,
-            burst: (limit.burst * ALONE_PART / instances).max(1.0),
+            rate_per_s: limit.rate_per_s * WITHOUT_KEEPER_FRACTION / instances,
+            burst: (limit.burst * WITHOUT_KEEPER_FRACTION / instances).max(1.0),
         };
-        if self.alone.refilled_at < self.counted_at {
-            self.alone = TokenBucket::new(self.counted_at, 0.0);
+        if self.without_keeper.refilled_at < self.keeper_answered_at {
+            self.without_keeper = TokenBucket::new(self.keeper_answered_at, 0.0);
         }
-        self.alone.refill(now, share);
-        self.alone.take(1) > 0
+        self.without_keeper.refill(now, share);
+        self.without_keeper.take(1) > 0
     }
 }
 
 /// A number of instances, of which there is one at least.
-fn number_of(instances: usize) -> f64 {
+fn instance_count(instances: usize) -> f64 {
     f64::from(u32::try_from(instances.max(1)).unwrap_or(u32::MAX))
 }
 
@@ -346,10 +348,10 @@
 /// the time in which its equal share of the rate brings one operation.
 #[must_use]
 pub fn ask_again_after(limit: QuotaLimit, instances: usize) -> Duration {
-    let instances = number_of(instances);
+    let instances = instance_count(instances);
     let share = Duration::try_from_secs_f64(instances / (2.0 * limit.rate_per_s.max(1e-9)));
-    share.unwrap_or(LONGEST_PAUSE).clamp(SHORTEST_PAUSE, LONGEST_PAUSE)
+    share.unwrap_or(MAX_PAUSE).clamp(MIN_PAUSE, MAX_PAUSE)
 }
 
-const SHORTEST_PAUSE: Duration = Duration::from_millis(5);
-const LONGEST_PAUSE: Duration = Duration::from_millis(200);
+const MIN_PAUSE: Duration = Duration::from_millis(5);
+const MAX_PAUSE: Duration = Duration::from_millis(200);
--- a/lib/src/received_statements.rs
+++ b/lib/src/received_statements.rs
@@ -15,22 +15,22 @@
 pub type StatementTicket = u64;
 
 /// How long a statement is remembered after it ended.
-const REMEMBERED_FOR: Duration = Duration::from_secs(10);
+const ENDED_RETENTION: Duration = Duration::from_secs(10);
 
 /// A statement that was sent longer ago than this is not withdrawn: it may have ended
 /// and been forgotten. Beside what is remembered it leaves room for clocks that differ.
-const WITHDRAWN_WITHIN: Duration = Duration::from_secs(8);
+const MAX_WITHDRAWAL_AGE: Duration = Duration::from_secs(8);
 
 /// How long a statement stays withdrawn: beyond the time in which a network can deliver
 /// what it held up.
-const WITHDRAWN_FOR: Duration = Duration::from_secs(60);
+const WITHDRAWN_RETENTION: Duration = Duration::from_secs(60);
 
 /// Time between two looks for what can be forgotten.
-const TIDIED_EVERY: Duration = Duration::from_secs(1);
+const PURGE_INTERVAL: Duration = Duration::from_secs(1);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    UnderWay,
+    Running,
     Ended { at: Moment },
     Withdrawn { at: Moment },
 }
@@ -50,25 +50,25 @@
 #[derive(Clone, Debug)]
 pub struct ReceivedStatements {
     /// Before that an earlier life of this instance may have run statements.
-    began_at: Moment,
+    started_at: Moment,
     states: HashMap<StatementTicket, State>,
-    tidied_at: Moment,
+    purged_at: Moment,
 }
 
 impl ReceivedStatements {
     /// Nothing has arrived since this instance began to run.
     #[must_use]
-    pub fn new(began_at: Moment) -> Self {
-        Self { began_at, states: HashMap::new(), tidied_at: began_at }
+    pub fn new(started_at: Moment) -> Self {
+        Self { started_at, states: HashMap::new(), purged_at: started_at }
     }
 
     /// A statement arrived. Returns whether it may run.
     pub fn begin(&mut self, now: Moment, ticket: StatementTicket) -> bool {
-        self.tidy(now);
+        self.purge_expired(now);
         if self.states.contains_key(&ticket) {
             return false;
         }
-        self.states.insert(ticket, State::UnderWay);
+        self.states.insert(ticket, State::Running);
         true
     }
 
@@ -81,9 +81,9 @@
     pub fn withdraw(&mut self, now: Moment, ticket: StatementTicket, sent_ago: Duration) -> Fate {
         match self.states.get(&ticket) {
             Some(State::Withdrawn { .. }) => Fate::Withdrawn,
-            Some(State::UnderWay) => Fate::Open,
+            Some(State::Running) => Fate::Open,
             Some(State::Ended { .. }) => Fate::Ended,
-            None if sent_ago > WITHDRAWN_WITHIN || self.began_at + sent_ago > now => Fate::Open,
+            None if sent_ago > MAX_WITHDRAWAL_AGE || self.started_at + sent_ago > now => Fate::Open,
             None => {
                 self.states.insert(ticket, State::Withdrawn { at: now });
                 Fate::Withdrawn
@@ -91,15 +91,15 @@
         }
     }
 
-    fn tidy(&mut self, now: Moment) {
-        if self.tidied_at + TIDIED_EVERY > now {
+    fn purge_expired(&mut self, now: Moment) {
+        if self.purged_at + PURGE_INTERVAL > now {
             return;
         }
-        self.tidied_at = now;
+        self.purged_at = now;
         self.states.retain(|_, state| match state {
-            State::UnderWay => true,
-            State::Ended { at } => *at + REMEMBERED_FOR > now,
-            State::Withdrawn { at } => *at + WITHDRAWN_FOR > now,
+            State::Running => true,
+            State::Ended { at } => *at + ENDED_RETENTION > now,
+            State::Withdrawn { at } => *at + WITHDRAWN_RETENTION > now,
         });
     }
 }
--- a/lib/src/server_choice.rs
+++ b/lib/src/server_choice.rs
@@ -153,16 +153,16 @@
     group: &Group,
     now: Moment,
     need: &Need,
-    share_of: impl Fn(&TargetId) -> PoolView,
+    pool_of: impl Fn(&TargetId) -> PoolView,
 ) -> Choice {
     match need {
         Need::Leader => match group.usable_leader(now) {
-            Some(leader) => among(group, now, std::slice::from_ref(&leader.id), &share_of),
+            Some(leader) => choose_among(group, now, std::slice::from_ref(&leader.id), &pool_of),
             None => Choice::Wait,
         },
-        Need::Server(id) => among(group, now, std::slice::from_ref(id), &share_of),
+        Need::Server(id) => choose_among(group, now, std::slice::from_ref(id), &pool_of),
         Need::Reader { floor, failed_server } => {
-            choose_reader(group, now, *floor, failed_server.as_ref(), &share_of)
+            choose_reader(group, now, *floor, failed_server.as_ref(), &pool_of)
         }
     }
 }
@@ -172,22 +172,23 @@
     now: Moment,
     floor: Position,
     failed_server: Option<&TargetId>,
-    share_of: &impl Fn(&TargetId) -> PoolView,
+    pool_of: &impl Fn(&TargetId) -> PoolView,
 ) -> Choice {
-    let able = group.readers(now, floor);
-    let sound = |id: &TargetId| {
+    let eligible = group.readers(now, floor);
+    let preferred = |id: &TargetId| {
         let avoided = group.server(id).is_none_or(|view| view.is_avoided(now));
         !avoided && failed_server != Some(id)
     };
-    let (sound, doubtful): (Vec<_>, Vec<_>) = able.into_iter().partition(sound);
-    let (leader, replicas): (Vec<_>, Vec<_>) = sound.into_iter().partition(|id| group.leads(id));
-    let choice = among(group, now, &replicas, share_of);
+    let (preferred, fallback): (Vec<_>, Vec<_>) = eligible.into_iter().partition(preferred);
+    let (leader, replicas): (Vec<_>, Vec<_>) =
+        preferred.into_iter().partition(|id| group.leads(id));
+    let choice = choose_among(group, now, &replicas, pool_of);
     if choice != Choice::Wait {
         return choice;
     }
-    let spare = |id: &TargetId| replicas.is_empty() || share_of(id).free() > LEADER_RESERVE;
-    if leader.iter().all(spare) {
-        let choice = among(group, now, &leader, share_of);
+    let has_spare = |id: &TargetId| replicas.is_empty() || pool_of(id).free() > LEADER_RESERVE;
+    if leader.iter().all(has_spare) {
+        let choice = choose_among(group, now, &leader, pool_of);
         if choice != Choice::Wait {
             return choice;
         }
@@ -195,31 +196,31 @@
     if !replicas.is_empty() {
         return Choice::Wait;
     }
-    among(group, now, &doubtful, share_of)
+    choose_among(group, now, &fallback, pool_of)
 }
 
-fn among(
+fn choose_among(
     group: &Group,
     now: Moment,
     ids: &[TargetId],
-    share_of: &impl Fn(&TargetId) -> PoolView,
+    pool_of: &impl Fn(&TargetId) -> PoolView,
 ) -> Choice {
     let allowed = |id: &&TargetId| {
         let running = group.server(id).map_or(0, |view| view.running);
-        let share = share_of(id);
-        share.limit.allows(running + share.taking_slots)
+        let pool = pool_of(id);
+        pool.limit.allows(running + pool.taking_slots)
     };
-    if let Some(id) = ids.iter().filter(allowed).find(|id| share_of(id).idle > 0) {
+    if let Some(id) = ids.iter().filter(allowed).find(|id| pool_of(id).idle > 0) {
         return Choice::Idle(id.clone());
     }
-    if let Some(id) = ids.iter().filter(allowed).find(|id| share_of(id).may_open(now)) {
+    if let Some(id) = ids.iter().filter(allowed).find(|id| pool_of(id).may_open(now)) {
         return Choice::Open(id.clone());
     }
     // Only who has no connection to any of them takes one from others.
-    if ids.iter().any(|id| share_of(id).own > 0) {
+    if ids.iter().any(|id| pool_of(id).own > 0) {
         return Choice::Wait;
     }
-    match ids.iter().filter(allowed).find(|id| share_of(id).may_replace(now)) {
+    match ids.iter().filter(allowed).find(|id| pool_of(id).may_replace(now)) {
         Some(id) => Choice::Replace(id.clone()),
         None => Choice::Wait,
     }
--- a/lib/src/wait_estimator.rs
+++ b/lib/src/wait_estimator.rs
@@ -39,11 +39,11 @@
 /// objective first. So the wait for each place in the queue is measured.
 #[derive(Clone, Debug, Default)]
 pub struct WaitEstimator {
-    paces: HashMap<SubQueue, Pace>,
+    estimates: HashMap<SubQueue, Estimate>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Pace {
+struct Estimate {
     wait_per_place: Duration,
     observed_at: Moment,
 }
@@ -54,20 +54,23 @@
 
 /// A measured pace counts for this long. Afterwards nobody waited, or nobody
 /// was served: both make it worthless.
-const FRESH_FOR: Duration = Duration::from_millis(500);
+const MAX_ESTIMATE_AGE: Duration = Duration::from_millis(500);
 
 impl WaitEstimator {
     /// A request that had `ahead` others before it waited so long until it got
     /// a connection, or gave up.
-    pub fn observe(&mut self, now: Moment, line: SubQueue, ahead: usize, waited: Duration) {
+    pub fn observe(&mut self, now: Moment, sub_queue: SubQueue, ahead: usize, waited: Duration) {
         let wait_per_place = waited / places(ahead);
-        let pace = self.paces.entry(line).or_insert(Pace { wait_per_place, observed_at: now });
-        if pace.observed_at + FRESH_FOR < now {
-            pace.wait_per_place = wait_per_place;
+        let estimate = self
+            .estimates
+            .entry(sub_queue)
+            .or_insert(Estimate { wait_per_place, observed_at: now });
+        if estimate.observed_at + MAX_ESTIMATE_AGE < now {
+            estimate.wait_per_place = wait_per_place;
         }
-        let kept = pace.wait_per_place * (SMOOTHING - 1);
-        pace.wait_per_place = (kept + wait_per_place) / SMOOTHING;
-        pace.observed_at = now;
+        let kept = estimate.wait_per_place * (SMOOTHING - 1);
+        estimate.wait_per_place = (kept + wait_per_place) / SMOOTHING;
+        estimate.observed_at = now;
     }
 
     /// How long a request will wait that has `ahead` others before it; `None`
@@ -76,10 +79,15 @@
     /// Whoever is next is never told a wait: only those that are let in
     /// measure how it changes.
     #[must_use]
-    pub fn expected_wait(&self, now: Moment, line: SubQueue, ahead: usize) -> Option<Duration> {
-        let pace = self.paces.get(&line)?;
-        let fresh = pace.observed_at + FRESH_FOR >= now;
-        (fresh && ahead > 0).then(|| pace.wait_per_place * places(ahead))
+    pub fn expected_wait(
+        &self,
+        now: Moment,
+        sub_queue: SubQueue,
+        ahead: usize,
+    ) -> Option<Duration> {
+        let estimate = self.estimates.get(&sub_queue)?;
+        let fresh = estimate.observed_at + MAX_ESTIMATE_AGE >= now;
+        (fresh && ahead > 0).then(|| estimate.wait_per_place * places(ahead))
     }
 }
 
--- a/lib/src/waits.rs
+++ b/lib/src/waits.rs
@@ -9,7 +9,7 @@
 /// Shortest time after which a silent server is given up for a read. Above
 /// the longest statement (220 ms) plus a server's own queue would be safe but
 /// slow; statements of 200 ms are fewer than one in a hundred.
-const SHORTEST_READ_STALL: Duration = Duration::from_millis(200);
+const MIN_READ_STALL: Duration = Duration::from_millis(200);
 
 /// A server that has a queue is given up only after this many times the time
 /// that its answers take now.
@@ -24,12 +24,12 @@
 /// A primary alone with all reads lost half of its capacity to that.
 #[must_use]
 pub fn read_stall_limit(objective: Duration, usual_time: Duration) -> Duration {
-    (objective * 4 / 5).max(SHORTEST_READ_STALL).max(usual_time * STALL_FACTOR)
+    (objective * 4 / 5).max(MIN_READ_STALL).max(usual_time * STALL_FACTOR)
 }
 
 /// Shortest time without an answer after which a server is asked, on a new
 /// connection, whether it is alive. Most statements take a fifth of it.
-const SHORTEST_DOUBT: Duration = Duration::from_millis(100);
+const MIN_LIVENESS_CHECK_DELAY: Duration = Duration::from_millis(100);
 
 /// How long a statement may be at a server before the server is asked whether
 /// it is alive. The statement itself goes on.
@@ -38,7 +38,7 @@
 /// only when statements reached their deadline, 0.8 s later.
 #[must_use]
 pub fn liveness_check_after(usual_time: Duration) -> Duration {
-    SHORTEST_DOUBT.max(usual_time * STALL_FACTOR)
+    MIN_LIVENESS_CHECK_DELAY.max(usual_time * STALL_FACTOR)
 }
 
 /// From which time at a server on a statement is a sign of a queue there.
--- a/lib/tests/quota_world/mod.rs
+++ b/lib/tests/quota_simulation/mod.rs
@@ -33,19 +33,19 @@
     /// A keeper needs more than half of the votes.
     Majority,
     /// A voter votes for one candidate only.
-    OneVote,
+    OneVotePerVoter,
     /// A lease ends unless it is renewed.
-    LeaseEnds,
+    LeaseExpires,
     /// A new keeper begins with little.
-    BeginsWithLittle,
+    SmallInitialBurst,
     /// Who finds no keeper lets little begin.
-    AloneLittle,
+    LimitedWithoutKeeper,
     /// Instances that a copy of the store lacks count on.
-    UnlistedCount,
+    UnlistedInstancesCount,
     /// An instance that starts is told by others whom a copy lacks.
-    OthersTell,
+    PeersReportUnlisted,
     /// An instance that starts soon after a copy, and is told by nobody, waits.
-    WaitAfterCopy,
+    WaitAfterRestore,
 }
 
 /// The shard of the account; any will do.
@@ -71,21 +71,21 @@
     allowance: Allowance,
     fleet: Fleet,
     /// Whether it knows the others.
-    knows_fleet: bool,
+    fleet_known: bool,
     started_at: Moment,
 }
 
 /// By then all that are alive are listed again.
-const LISTED_AGAIN: Duration = Duration::from_millis(2_500);
+const RELISTING_TIME: Duration = Duration::from_millis(2_500);
 
 /// How long an instance waits that nobody told of the others.
-const START_LIMIT: Duration = Duration::from_secs(3);
+const MAX_START_WAIT: Duration = Duration::from_secs(3);
 
 impl Instance {
     fn new(now: Moment, record: InstanceRecord) -> Self {
         Self {
             fleet: Fleet::new(record.id.clone()),
-            knows_fleet: false,
+            fleet_known: false,
             started_at: now,
             record,
             down_until: now,
@@ -104,36 +104,36 @@
 
 /// What a play saw.
 #[derive(Debug, Default)]
-pub struct Seen {
+pub struct Observations {
     /// Most operations in a window.
-    pub most: usize,
+    pub max_in_window: usize,
     /// Operations that began.
-    pub begun: usize,
+    pub started: usize,
     /// Operations that were refused.
     pub refused: usize,
     /// Changes of keeper.
-    pub keepers: usize,
+    pub keeper_changes: usize,
     /// Times at which two instances counted.
-    pub doubles: usize,
+    pub double_keepers: usize,
 }
 
 /// Instances of one account.
-pub struct QuotaWorld {
+pub struct QuotaSimulation {
     rng: StdRng,
     without: Option<Rule>,
     now: Moment,
     instances: Vec<Instance>,
     /// Instances cut off from the others, who reach each other.
     cut_off: HashSet<usize>,
-    heals_at: Moment,
+    partition_ends_at: Moment,
     /// When each instance is listed again that the store's copy lacks.
     listed_from: Vec<Moment>,
-    copied_at: Moment,
+    restored_at: Moment,
     window: VecDeque<Moment>,
-    seen: Seen,
+    observed: Observations,
 }
 
-impl QuotaWorld {
+impl QuotaSimulation {
     /// A world of a seed.
     pub fn new(seed: u64, without: Option<Rule>) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
@@ -153,55 +153,55 @@
             now,
             instances,
             cut_off: HashSet::new(),
-            heals_at: Moment::ZERO,
+            partition_ends_at: Moment::ZERO,
             listed_from: vec![Moment::ZERO; count],
-            copied_at: Moment::ZERO,
+            restored_at: Moment::ZERO,
             window: VecDeque::new(),
-            seen: Seen::default(),
+            observed: Observations::default(),
         }
     }
 
     /// Plays twenty seconds of an account that asks for `per_s`, with or without
     /// faults.
-    pub fn play(mut self, per_s: f64, faults: bool) -> Seen {
+    pub fn run(mut self, per_s: f64, faults: bool) -> Observations {
         let end = self.now + Duration::from_secs(20);
         while self.now < end {
             self.now += TICK;
             if faults {
-                self.strike();
+                self.inject_faults();
             }
             for index in 0..self.instances.len() {
-                self.keep(index);
+                self.run_keeper_round(index);
             }
             let expected = per_s * TICK.as_secs_f64();
             let mut wanted = expected.floor();
             wanted += f64::from(u8::from(self.rng.random_bool(expected - wanted)));
             while wanted >= 1.0 {
                 wanted -= 1.0;
-                self.begin_one();
+                self.start_operation();
             }
             let held = self
                 .instances
                 .iter()
                 .filter(|one| one.down_until <= self.now && one.lease.is_held(self.now));
-            self.seen.doubles += usize::from(held.count() > 1);
+            self.observed.double_keepers += usize::from(held.count() > 1);
         }
-        self.seen
+        self.observed
     }
 
     /// The store comes back from a copy that lacks some of the instances, which write
     /// their records again.
-    fn come_back_from_a_copy(&mut self) {
+    fn restore_store_from_backup(&mut self) {
         for index in 0..self.instances.len() {
             if self.rng.random_bool(0.5) {
-                let after = self.rng.random_range(Duration::ZERO..LISTED_AGAIN);
+                let after = self.rng.random_range(Duration::ZERO..RELISTING_TIME);
                 self.listed_from[index] = self.now + after;
             }
         }
         let (now, listed) = (self.now, self.listed());
-        self.copied_at = now;
+        self.restored_at = now;
         for one in &mut self.instances {
-            if self.without == Some(Rule::UnlistedCount) {
+            if self.without == Some(Rule::UnlistedInstancesCount) {
                 one.fleet.replace(now, listed.clone());
             } else {
                 one.fleet.replace_by_copy(now, listed.clone());
@@ -217,9 +217,9 @@
     }
 
     /// An instance learns what is listed, at its start also from others that it reaches.
-    fn learn_fleet(&mut self, index: usize) {
+    fn update_fleet(&mut self, index: usize) {
         let (now, listed) = (self.now, self.listed());
-        if self.instances[index].knows_fleet {
+        if self.instances[index].fleet_known {
             let me = &mut self.instances[index];
             for record in listed {
                 me.fleet.present(now, record);
@@ -228,22 +228,22 @@
             return;
         }
         let knows = |other: &usize| {
-            *other != index && self.reaches(index, *other) && self.instances[*other].knows_fleet
+            *other != index && self.reaches(index, *other) && self.instances[*other].fleet_known
         };
-        let told = (0..self.instances.len()).find(knows);
-        let waits = self.copied_at + LISTED_AGAIN > now
-            && self.instances[index].started_at + START_LIMIT > now
-            && self.without != Some(Rule::WaitAfterCopy);
-        if told.is_none() && waits {
+        let reported = (0..self.instances.len()).find(knows);
+        let must_wait = self.restored_at + RELISTING_TIME > now
+            && self.instances[index].started_at + MAX_START_WAIT > now
+            && self.without != Some(Rule::WaitAfterRestore);
+        if reported.is_none() && must_wait {
             return;
         }
-        let told = told.map(|other| self.recorded(other)).unwrap_or_default();
+        let reported = reported.map(|other| self.recorded(other)).unwrap_or_default();
         let me = &mut self.instances[index];
         me.fleet.replace(now, listed);
-        if self.without != Some(Rule::OthersTell) {
-            me.fleet.add_unlisted(now, told);
+        if self.without != Some(Rule::PeersReportUnlisted) {
+            me.fleet.add_unlisted(now, reported);
         }
-        me.knows_fleet = true;
+        me.fleet_known = true;
     }
 
     /// The instances that one knows, itself included.
@@ -252,18 +252,19 @@
         me.fleet.others().chain([&me.record]).cloned().collect()
     }
 
-    fn strike(&mut self) {
+    fn inject_faults(&mut self) {
         if self.rng.random_bool(0.003) {
-            self.come_back_from_a_copy();
+            self.restore_store_from_backup();
         }
-        if self.now >= self.heals_at {
+        if self.now >= self.partition_ends_at {
             self.cut_off.clear();
         }
         if self.rng.random_bool(0.004) {
             let share = self.rng.random_range(0.1..0.6);
             let chosen = (0..self.instances.len()).filter(|_| self.rng.random_bool(share));
             self.cut_off = chosen.collect();
-            self.heals_at = self.now + Duration::from_millis(self.rng.random_range(100..6_000));
+            self.partition_ends_at =
+                self.now + Duration::from_millis(self.rng.random_range(100..6_000));
         }
         if self.rng.random_bool(0.004) {
             let share = if self.rng.random_bool(0.3) { 1.0 } else { 0.4 };
@@ -300,12 +301,12 @@
         self.is_up(from) && self.is_up(to) && same_side
     }
 
-    fn keep(&mut self, index: usize) {
+    fn run_keeper_round(&mut self, index: usize) {
         if !self.is_up(index) {
             return;
         }
-        self.learn_fleet(index);
-        if !self.instances[index].knows_fleet {
+        self.update_fleet(index);
+        if !self.instances[index].fleet_known {
             return;
         }
         let voters = voters(SHARD, &self.recorded(index));
@@ -334,8 +335,8 @@
             _ => voters.clone(),
         };
         if me.lease.check(self.now, &needed) {
-            self.seen.keepers += 1;
-            if self.without == Some(Rule::BeginsWithLittle) {
+            self.observed.keeper_changes += 1;
+            if self.without == Some(Rule::SmallInitialBurst) {
                 me.book = QuotaCounters::default();
             } else {
                 me.book.restart_counts();
@@ -357,7 +358,7 @@
             return;
         }
         let candidate = self.instances[from].candidate();
-        if self.without == Some(Rule::OneVote) {
+        if self.without == Some(Rule::OneVotePerVoter) {
             self.instances[to].votes = Votes::new(Moment::ZERO);
         }
         let vote = self.instances[to].votes.ask(self.now, SHARD, candidate);
@@ -367,16 +368,16 @@
         }
         let voter = self.instances[to].record.id.clone();
         let asked_at = match self.without {
-            Some(Rule::LeaseEnds) => self.now + Duration::from_secs(60),
+            Some(Rule::LeaseExpires) => self.now + Duration::from_secs(60),
             _ => self.now,
         };
         self.instances[from].lease.answered(asked_at, &voter, &vote);
-        if matches!(vote, Vote::Refused) && self.without == Some(Rule::LeaseEnds) {
+        if matches!(vote, Vote::Refused) && self.without == Some(Rule::LeaseExpires) {
             self.instances[from].renewed_at = self.now;
         }
     }
 
-    fn begin_one(&mut self) {
+    fn start_operation(&mut self) {
         let index = self.rng.random_range(0..self.instances.len());
         if !self.is_up(index) {
             return;
@@ -385,30 +386,32 @@
         let admitted = match self.instances[index].allowance.admit(self.now) {
             Admission::Admitted => true,
             Admission::Refused { .. } => false,
-            Admission::Ask(wanted) => self.ask_keepers(index, &account, wanted),
+            Admission::Ask(wanted) => self.ask_keeper(index, &account, wanted),
         };
         if admitted {
-            self.note_begun();
+            self.record_started();
         } else {
-            self.seen.refused += 1;
+            self.observed.refused += 1;
         }
     }
 
     /// Any instance that counts may answer an entry that reaches it.
-    fn ask_keepers(&mut self, index: usize, account: &AccountId, wanted: u32) -> bool {
+    fn ask_keeper(&mut self, index: usize, account: &AccountId, wanted: u32) -> bool {
         let now = self.now;
         let instances = self.instances.len();
-        let keeps = |to: &usize| self.instances[*to].lease.is_held(now) && self.reaches(index, *to);
-        let Some(keeper) = (0..instances).find(keeps) else {
-            let instances = if self.without == Some(Rule::AloneLittle) { 1 } else { instances };
+        let is_keeper =
+            |to: &usize| self.instances[*to].lease.is_held(now) && self.reaches(index, *to);
+        let Some(keeper) = (0..instances).find(is_keeper) else {
+            let instances =
+                if self.without == Some(Rule::LimitedWithoutKeeper) { 1 } else { instances };
             return self.instances[index].allowance.admit_without_keeper(now, LIMIT, instances);
         };
-        let mut grant = TOLERANCE.applied_to(LIMIT);
-        if self.without == Some(Rule::BeginsWithLittle) {
-            grant.first = LIMIT.burst * 2.0;
-            grant.limit.burst = grant.first;
+        let mut quota = TOLERANCE.applied_to(LIMIT);
+        if self.without == Some(Rule::SmallInitialBurst) {
+            quota.initial_burst = LIMIT.burst * 2.0;
+            quota.limit.burst = quota.initial_burst;
         }
-        let answer = self.instances[keeper].book.ask(now, account, grant, wanted);
+        let answer = self.instances[keeper].book.ask(now, account, quota, wanted);
         let allowance = &mut self.instances[index].allowance;
         match answer {
             QuotaAnswer::Granted(count) => {
@@ -422,12 +425,12 @@
         }
     }
 
-    fn note_begun(&mut self) {
-        self.seen.begun += 1;
+    fn record_started(&mut self) {
+        self.observed.started += 1;
         self.window.push_back(self.now);
         while self.window.front().is_some_and(|at| *at + TOLERANCE.window <= self.now) {
             self.window.pop_front();
         }
-        self.seen.most = self.seen.most.max(self.window.len());
+        self.observed.max_in_window = self.observed.max_in_window.max(self.window.len());
     }
 }
--- a/lib/tests/test_quota_exploration.rs
+++ b/lib/tests/test_quota_exploration.rs
@@ -1,12 +1,12 @@
 //! No account begins more operations than its limit allows, in any window, whatever
 //! happens to the instances that count them.
 
-mod quota_world;
+mod quota_simulation;
 
-use quota_world::LIMIT;
-use quota_world::QuotaWorld;
-use quota_world::Rule;
-use quota_world::TOLERANCE;
+use quota_simulation::LIMIT;
+use quota_simulation::QuotaSimulation;
+use quota_simulation::Rule;
+use quota_simulation::TOLERANCE;
 
 /// Operations that a window may hold.
 fn allowed() -> f64 {
@@ -25,57 +25,60 @@
 
 #[test]
 fn test_hot_account_stays_within_its_limit_under_faults() {
-    let mut keepers = 0;
+    let mut keeper_changes = 0;
     for seed in 0..SEEDS {
-        let seen = QuotaWorld::new(seed, None).play(HOT_PER_S, true);
-        assert!(count(seen.most) <= allowed(), "seed {seed}: {seen:?}");
-        assert_eq!(seen.doubles, 0, "seed {seed}: {seen:?}");
-        keepers += seen.keepers;
+        let observed = QuotaSimulation::new(seed, None).run(HOT_PER_S, true);
+        assert!(count(observed.max_in_window) <= allowed(), "seed {seed}: {observed:?}");
+        assert_eq!(observed.double_keepers, 0, "seed {seed}: {observed:?}");
+        keeper_changes += observed.keeper_changes;
     }
-    assert!(keepers > 1_000, "{keepers} changes of keeper");
+    assert!(keeper_changes > 1_000, "{keeper_changes} changes of keeper");
 }
 
 #[test]
 fn test_account_below_its_limit_is_not_refused() {
-    let (mut begun, mut refused) = (0, 0);
+    let (mut started, mut refused) = (0, 0);
     for seed in 0..SEEDS {
-        let seen = QuotaWorld::new(seed, None).play(LIMIT.rate_per_s * 0.625, false);
-        begun += seen.begun;
-        refused += seen.refused;
+        let observed = QuotaSimulation::new(seed, None).run(LIMIT.rate_per_s * 0.625, false);
+        started += observed.started;
+        refused += observed.refused;
     }
     // The first keeper is not there in the first moments.
-    assert!(count(refused) < 0.002 * count(begun), "{refused} of {begun}");
+    assert!(count(refused) < 0.002 * count(started), "{refused} of {started}");
 }
 
 #[test]
 fn test_hot_account_gets_what_its_limit_allows() {
     for seed in 0..40 {
-        let seen = QuotaWorld::new(seed, None).play(HOT_PER_S, false);
-        assert!(count(seen.most) > LIMIT.rate_per_s * 5.0, "seed {seed}: {seen:?}");
+        let observed = QuotaSimulation::new(seed, None).run(HOT_PER_S, false);
+        assert!(
+            count(observed.max_in_window) > LIMIT.rate_per_s * 5.0,
+            "seed {seed}: {observed:?}"
+        );
     }
 }
 
 /// Whether a rule that is taken out is noticed on some seed.
-fn is_noticed(rule: Rule) -> bool {
+fn is_detected(rule: Rule) -> bool {
     (0..SEEDS).any(|seed| {
-        let seen = QuotaWorld::new(seed, Some(rule)).play(HOT_PER_S, true);
-        count(seen.most) > allowed() || seen.doubles > 0
+        let observed = QuotaSimulation::new(seed, Some(rule)).run(HOT_PER_S, true);
+        count(observed.max_in_window) > allowed() || observed.double_keepers > 0
     })
 }
 
 #[test]
-fn test_each_rule_taken_out_is_noticed() {
+fn test_each_removed_rule_causes_a_violation() {
     let rules = [
         Rule::Majority,
-        Rule::OneVote,
-        Rule::LeaseEnds,
-        Rule::BeginsWithLittle,
-        Rule::AloneLittle,
-        Rule::UnlistedCount,
-        Rule::OthersTell,
-        Rule::WaitAfterCopy,
+        Rule::OneVotePerVoter,
+        Rule::LeaseExpires,
+        Rule::SmallInitialBurst,
+        Rule::LimitedWithoutKeeper,
+        Rule::UnlistedInstancesCount,
+        Rule::PeersReportUnlisted,
+        Rule::WaitAfterRestore,
     ];
     for rule in rules {
-        assert!(is_noticed(rule), "{rule:?} is not noticed");
+        assert!(is_detected(rule), "{rule:?} is not noticed");
     }
 }
--- a/lib/tests/test_sharing.rs
+++ b/lib/tests/test_sharing.rs
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn test_silent_instance_stops_counting_and_its_record_is_removed_once() {
+fn test_unresponsive_instance_stops_counting_and_its_record_is_removed_once() {
     let mut fleets: Vec<_> = [["b", "c"], ["a", "c"]]
         .iter()
         .zip(["a", "b"])
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn test_instance_that_stood_still_does_not_take_the_others_for_dead() {
+fn test_paused_instance_does_not_count_the_others_as_dead() {
     let mut fleet = fleet(&["a", "b", "c"]);
     fleet.stood_still(at(20_000));
     assert_eq!(fleet.live(at(20_001)).len(), 4);
@@ -271,7 +271,7 @@
     group
 }
 
-fn share(idle: usize, open: usize) -> PoolView {
+fn view(idle: usize, open: usize) -> PoolView {
     PoolView { idle, open, budget: 4, ..PoolView::default() }
 }
 
@@ -280,10 +280,10 @@
     let group = group();
     let need = Need::Reader { floor: Position::new(1, 10), failed_server: None };
     // The replica's connections are all in use, the primary has two left.
-    let tight = |id: &std::sync::Arc<str>| if &**id == "p" { share(2, 4) } else { share(0, 4) };
+    let tight = |id: &std::sync::Arc<str>| if &**id == "p" { view(2, 4) } else { view(0, 4) };
     assert_eq!(choose(&group, at(1), &need, tight), Choice::Wait);
     assert_eq!(choose(&group, at(1), &Need::Leader, tight), Choice::Idle("p".into()));
-    let roomy = |id: &std::sync::Arc<str>| if &**id == "p" { share(3, 4) } else { share(0, 4) };
+    let roomy = |id: &std::sync::Arc<str>| if &**id == "p" { view(3, 4) } else { view(0, 4) };
     assert_eq!(choose(&group, at(1), &need, roomy), Choice::Idle("p".into()));
 }
 
@@ -294,7 +294,7 @@
     group.observe_leading(at(1_000), at(1_000), &"p".into(), floor);
     group.observe_lagging(at(1_001), &"r".into(), floor, Some(Position::new(1, 10)));
     let need = Need::Reader { floor, failed_server: None };
-    let choice = choose(&group, at(1_002), &need, |_| share(1, 4));
+    let choice = choose(&group, at(1_002), &need, |_| view(1, 4));
     assert_eq!(choice, Choice::Idle("p".into()));
 }
 
@@ -302,7 +302,7 @@
 fn test_server_that_just_failed_the_request_is_the_last_choice() {
     let group = group();
     let need = Need::Reader { floor: Position::new(1, 10), failed_server: Some("r".into()) };
-    assert_eq!(choose(&group, at(1), &need, |_| share(1, 4)), Choice::Idle("p".into()));
+    assert_eq!(choose(&group, at(1), &need, |_| view(1, 4)), Choice::Idle("p".into()));
 }
 
 fn recorded(count: usize) -> Vec<InstanceRecord> {
@@ -329,7 +329,7 @@
 }
 
 #[test]
-fn test_voters_found_before_and_after_one_record_have_majorities_that_meet() {
+fn test_voters_before_and_after_one_change_have_overlapping_majorities() {
     // Symptom: two replacements of a primary at the same time.
     // Sequence: an instance joins or goes; some know of it already.
     // Cause: the voters of both views had majorities without a common member.
@@ -348,13 +348,13 @@
     }
 }
 
-fn account_share(open: usize, idle: usize, replaceable: usize, own: usize) -> PoolView {
+fn account_view(open: usize, idle: usize, replaceable: usize, own: usize) -> PoolView {
     PoolView { open, idle, replaceable, own, budget: 3, ..PoolView::default() }
 }
 
-fn choice(share: &PoolView) -> Choice {
+fn choice(view: &PoolView) -> Choice {
     let group = group();
-    choose(&group, at(0), &Need::Server("p".into()), |_| share.clone())
+    choose(&group, at(0), &Need::Server("p".into()), |_| view.clone())
 }
 
 /// Symptom: servers spent more slots on new connections than on statements.
@@ -363,11 +363,11 @@
 #[test]
 fn test_only_an_account_without_a_connection_takes_one_from_others() {
     let server = || "p".into();
-    assert_eq!(choice(&account_share(3, 1, 2, 1)), Choice::Idle(server()));
-    assert_eq!(choice(&account_share(2, 0, 2, 1)), Choice::Open(server()));
-    assert_eq!(choice(&account_share(3, 0, 2, 0)), Choice::Replace(server()));
-    assert_eq!(choice(&account_share(3, 0, 2, 1)), Choice::Wait);
-    assert_eq!(choice(&account_share(3, 0, 0, 0)), Choice::Wait);
+    assert_eq!(choice(&account_view(3, 1, 2, 1)), Choice::Idle(server()));
+    assert_eq!(choice(&account_view(2, 0, 2, 1)), Choice::Open(server()));
+    assert_eq!(choice(&account_view(3, 0, 2, 0)), Choice::Replace(server()));
+    assert_eq!(choice(&account_view(3, 0, 2, 1)), Choice::Wait);
+    assert_eq!(choice(&account_view(3, 0, 0, 0)), Choice::Wait);
 }
 
 /// Symptom: a primary that served alone answered nothing for seconds. Sequence: eight
