--- a/lib/src/admission.rs
+++ b/lib/src/admission.rs
@@ -1,30 +1,32 @@
-//! The bounded queue before a server's slots.
+//! Admission control for one server: a fixed number of slots, each for one running
+//! statement, and a bounded queue of the requests that wait for a slot.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 use std::time::Instant;
 
-/// Priority of a service: lower is served first.
+/// Priority of a service. A lower number is served first.
 pub type Priority = u8;
 
-/// Names a request that waits.
+/// Number that identifies a waiting request within its queue.
 pub type Ticket = u64;
 
-/// What happens to a request that wants a slot.
+/// Result of a request for a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It has a slot now.
+    /// The request holds a slot.
     Granted,
-    /// It waits; its turn is announced by its ticket.
+    /// The request is in the queue. A later call returns this ticket when the request
+    /// gets a slot or leaves the queue without one.
     Queued(Ticket),
-    /// It could not make its deadline, or the queue is full.
+    /// The request cannot finish before its deadline, or the queue is full.
     Refused {
-        /// When to come back.
+        /// Time after which the request can be sent again.
         retry_after: Duration,
     },
 }
 
-/// Order in which waiting requests get a slot.
+/// Sort key of a waiting request. The smallest key gets the next slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueKey {
     priority: Priority,
@@ -32,7 +34,7 @@
     ticket: Ticket,
 }
 
-/// Slots of one server and the requests that wait for one.
+/// Slots of one server and the requests that wait for them.
 #[derive(Clone, Debug)]
 pub struct SlotQueue {
     slots: usize,
@@ -44,17 +46,17 @@
     next_ticket: Ticket,
 }
 
-/// Weight of the newest sample in the mean service time, as one over this.
+/// The newest sample has a weight of one over this in the mean service time.
 const SERVICE_TIME_SMOOTHING: u32 = 16;
 
-/// Requests that may wait for each slot before new ones are refused.
+/// Requests that may wait per slot before new ones are refused.
 const WAITING_PER_SLOT: usize = 64;
 
-/// Assumed until the first statement has been timed.
+/// Mean service time that is assumed before the first statement has ended.
 const INITIAL_SERVICE_TIME: Duration = Duration::from_millis(1);
 
 impl SlotQueue {
-    /// A queue before `slots` slots.
+    /// Creates an empty queue for a server with `slots` slots.
     #[must_use]
     pub fn new(slots: usize) -> Self {
         Self {
@@ -68,11 +70,12 @@
         }
     }
 
-    /// Asks for a slot.
+    /// Requests a slot for a statement that has to end before `deadline`.
     ///
-    /// A request that cannot be started in time is refused now, not when its
-    /// deadline has passed: the caller can use the time elsewhere, and the
-    /// queue keeps room for those that can still make it.
+    /// A request that is not expected to start in time is refused at once instead of
+    /// when its deadline has passed. Its caller can then use the remaining time at
+    /// another server, and the queue keeps room for requests that can meet their
+    /// deadline.
     pub fn request(&mut self, now: Instant, priority: Priority, deadline: Instant) -> Admission {
         if self.in_use < self.allowed && self.waiting.is_empty() {
             self.in_use += 1;
@@ -91,11 +94,12 @@
         Admission::Queued(ticket)
     }
 
-    /// Takes a slot whether or not one is free.
+    /// Takes a slot even if none is free, so that more slots than the server has can be
+    /// in use.
     ///
-    /// For a statement of an open transaction: those in the slots may wait
-    /// for its locks, and if it had to wait for a slot in turn, all of them
-    /// would stand still until their deadlines.
+    /// Statements of open transactions need this. The statements in the slots may wait
+    /// for locks of such a transaction; if its next statement had to wait for a slot in
+    /// turn, all of them would be blocked until their deadlines.
     pub fn acquire_unconditionally(&mut self) {
         self.in_use += 1;
     }
@@ -104,8 +108,9 @@
         self.waiting.last().is_some_and(|key| key.priority > priority)
     }
 
-    /// Tickets pushed out because the queue is over its capacity, the least
-    /// important first.
+    /// Removes requests from the end of the queue until it is within its capacity.
+    /// Returns each ticket with the time after which its request can be sent again, the
+    /// lowest priority first.
     pub fn displaced(&mut self) -> Vec<(Ticket, Duration)> {
         let mut displaced = Vec::new();
         while self.waiting.len() > self.capacity {
@@ -117,7 +122,8 @@
         displaced
     }
 
-    /// Gives a slot back after `took` and returns those who have one now.
+    /// Releases a slot whose statement took `took`. Returns the tickets of the waiting
+    /// requests that hold a slot now.
     pub fn release(&mut self, now: Instant, took: Duration) -> Vec<Ticket> {
         self.in_use = self.in_use.saturating_sub(1);
         let kept = self.service_time * (SERVICE_TIME_SMOOTHING - 1);
@@ -125,7 +131,8 @@
         self.grant_waiting(now)
     }
 
-    /// Hands free slots to waiting requests whose deadline has not passed.
+    /// Grants free slots to waiting requests whose deadline has not passed. Returns
+    /// their tickets.
     pub fn grant_waiting(&mut self, now: Instant) -> Vec<Ticket> {
         let mut granted = Vec::new();
         while self.in_use < self.allowed {
@@ -140,7 +147,8 @@
         granted
     }
 
-    /// Takes the waiting requests that cannot make their deadline any more.
+    /// Removes the waiting requests that can no longer finish before their deadline.
+    /// Returns each ticket with the time after which its request can be sent again.
     pub fn expire(&mut self, now: Instant) -> Vec<(Ticket, Duration)> {
         let retry_after = self.backlog_time();
         let service_time = self.service_time;
@@ -155,20 +163,23 @@
         expired
     }
 
-    /// A waiting request gave up by itself. Returns whether it was waiting.
+    /// Removes a request whose caller no longer waits. Returns whether it was in the
+    /// queue.
     pub fn abandon(&mut self, ticket: Ticket) -> bool {
         let before = self.waiting.len();
         self.waiting.retain(|key| key.ticket != ticket);
         before != self.waiting.len()
     }
 
-    /// Starts slowly, with one slot, after a failover: caches of the new
-    /// primary are cold and all callers come back at once.
+    /// Restricts the server to one slot. Called after a failover, when the caches of
+    /// the new primary are cold and all clients reconnect at once. Each call of
+    /// [`Self::allow_more`] adds a slot.
     pub fn start_slowly(&mut self) {
         self.allowed = 1.min(self.slots);
     }
 
-    /// One more slot, until all are allowed.
+    /// Allows one more slot, up to the slots of the server. Returns the tickets of the
+    /// waiting requests that hold a slot now.
     pub fn allow_more(&mut self, now: Instant) -> Vec<Ticket> {
         if self.allowed < self.slots {
             self.allowed += 1;
@@ -176,25 +187,26 @@
         self.grant_waiting(now)
     }
 
-    /// Requests with a slot or waiting for one.
+    /// Number of requests that hold a slot or wait for one.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         self.in_use + self.waiting.len()
     }
 
-    /// Requests waiting.
+    /// Number of waiting requests.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Slots of the server.
+    /// Number of slots of the server.
     #[must_use]
     pub fn slots(&self) -> usize {
         self.slots
     }
 
-    /// Slots in use.
+    /// Number of slots in use. Statements of open transactions can bring it above the
+    /// slots of the server.
     #[must_use]
     pub fn in_use(&self) -> usize {
         self.in_use
--- a/lib/src/concurrency.rs
+++ b/lib/src/concurrency.rs
@@ -1,43 +1,44 @@
-//! How many statements an instance sends to one server at the same time.
+//! Limits how many statements an instance sends to one server at the same time.
 
 use std::time::Duration;
 
 use crate::moment::Moment;
 
-/// A limit that follows what the server can take.
+/// Adaptive concurrency limit for one server: additive increase while statements are
+/// fast, multiplicative decrease after a slow or refused one.
 ///
-/// A server has a few slots and a queue that all instances share, first come
-/// first served. What waits there cannot be overtaken by a more urgent
-/// request, and once the queue is full every arrival is refused and comes
-/// again. So each instance keeps most of what waits to itself, in order of
-/// priority, and learns from slow and refused statements how much it may send.
+/// A server has a few slots and a first-come, first-served queue that all instances
+/// share. An urgent request cannot overtake what waits there, and once the queue is full
+/// the server refuses each new statement, which is then sent again. So each instance
+/// keeps most waiting requests in its own queue, in order of priority, and derives from
+/// slow and refused statements how many it may send.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConcurrencyLimit {
     limit: f64,
     decreased_at: Moment,
 }
 
-/// Statements at once to a server of which nothing is known yet.
+/// Limit for a server from which no answer has been observed.
 const INITIAL_LIMIT: f64 = 3.0;
 
-/// At least one, or nothing would be learned any more.
+/// Lowest limit. With less than one statement the limit could never rise again.
 const MIN_LIMIT: f64 = 1.0;
 
-/// More than any server has places in its queue.
+/// Highest limit, more than the length of any server's queue.
 const MAX_LIMIT: f64 = 24.0;
 
 /// The limit falls by this factor when the server refuses a statement.
 const REFUSED_DECREASE_FACTOR: f64 = 0.7;
 
-/// And by this one when a statement takes too long.
+/// The limit falls by this factor when a statement is slow.
 const SLOW_DECREASE_FACTOR: f64 = 0.85;
 
-/// Statements that answer in time raise the limit by this much when as many
-/// as the limit have been answered.
+/// The limit rises by this much when as many fast statements as the limit have been
+/// answered.
 const ADDITIVE_INCREASE: f64 = 0.5;
 
-/// The limit falls once in this time: statements that were sent together
-/// suffer from the same queue, and tell of it only once.
+/// Shortest time between two decreases. Statements that were sent together wait in the
+/// same queue and indicate it only once.
 const DECREASE_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Default for ConcurrencyLimit {
@@ -47,20 +48,20 @@
 }
 
 impl ConcurrencyLimit {
-    /// Whether one more may be sent while `running` are at the server.
+    /// Whether one more statement may be sent while `running` are at the server.
     #[must_use]
     pub fn allows(&self, running: usize) -> bool {
         to_f64(running) + 1.0 <= self.limit.max(MIN_LIMIT)
     }
 
-    /// Statements that may be at the server at once.
+    /// Number of statements that may be at the server at once.
     #[must_use]
     pub fn value(&self) -> f64 {
         self.limit
     }
 
-    /// A statement took `took` at the server while `running` others were there.
-    /// `slow_threshold` is the time from which on it is a sign of a queue.
+    /// Records that a statement took `took` at the server while `running` others were
+    /// there. From `slow_threshold` on it indicates a queue and lowers the limit.
     pub fn answered(
         &mut self,
         now: Moment,
@@ -75,7 +76,7 @@
         }
     }
 
-    /// The server refused a statement since it has too many.
+    /// Records that the server refused a statement because it has too many.
     pub fn refused(&mut self, now: Moment) {
         self.decrease(now, REFUSED_DECREASE_FACTOR);
     }
--- a/lib/src/connection_budget.rs
+++ b/lib/src/connection_budget.rs
@@ -1,28 +1,29 @@
-//! How the connections of a server are divided among the instances.
+//! Divides the connections that a server accepts among the instances.
 
 use std::time::Duration;
 
 use crate::moment::Moment;
 
-/// Connections of each server that no instance counts as its own: room for
-/// probes, and for instances whose last numbers are not known everywhere yet.
+/// Connections of each server that are in no instance's budget. They are left for
+/// probes, and for instances whose latest demand has not reached all others yet.
 pub const RESERVED_CONNECTIONS: usize = 2;
 
-/// Least demand that an instance is counted with, so that one which was idle
-/// can begin without waiting for the others to hear of it.
+/// Lowest demand that an instance is counted with. An instance that was idle can then
+/// open connections before the others have received its new demand.
 const MIN_DEMAND: f64 = 0.5;
 
-/// Connections to one server that an instance may hold.
+/// Number of connections to one server that an instance may hold. `max_connections` is
+/// the limit of the server.
 ///
-/// Each of `instances` gets one, and the rest is divided by demand: the
-/// platform sends clients to instances of their own failure domain, so one
-/// instance alone may have the clients of three others. With equal shares, 3
-/// of 18 connections each, an instance with 40 % of the clients refused 131
-/// requests of a day where the five others together refused 4.
+/// Each instance gets one connection, and the rest is divided in proportion to demand.
+/// The platform sends clients to instances of their own failure domain, so a single
+/// instance can have as many clients as three others together. With equal shares, 3
+/// of 18 connections each, an instance with 40 % of the clients refused 131 requests
+/// in a day while the five others together refused 4.
 ///
-/// A share for each instance instead of first come, first served: a server
-/// counts the connections of all callers together and refuses what exceeds
-/// its limit, and an instance that came last would have none.
+/// Connections are not handed out first come, first served: the server counts the
+/// connections of all clients together and refuses those above its limit, so the last
+/// instance to connect would get none.
 #[must_use]
 pub fn budget(max_connections: usize, own_demand: f64, demand_of_others: &[f64]) -> usize {
     let instances = demand_of_others.len() + 1;
@@ -33,18 +34,20 @@
     1 + fraction_of(divisible, own / (own + others))
 }
 
-/// Part of its budget that an instance keeps open where connections belong to
-/// accounts, whatever it needs at once.
+/// Fraction of its budget that an instance may always keep open where connections
+/// belong to accounts, however low its demand is.
 const MIN_KEPT_FRACTION: f64 = 0.5;
 
-/// Connections to a server that an instance may hold where they belong to accounts,
-/// of those that `budget` grants it.
+/// Number of connections to a server that an instance may hold where each connection
+/// belongs to one account. `budget` is the result of [`budget`] for the server.
 ///
-/// Shared ones are open when they are needed at once; those of accounts are kept
-/// until another account needs one, so that all would be open all the time. A server
-/// drops those of instances that lost power seconds later, and until then would take
-/// none of their next lives. Where requests wait, each connection that is closed for
-/// another account costs a slot that they wait for: there all are kept.
+/// Connections that all accounts share are open only while they are needed at the same
+/// time. Connections of accounts stay open until another account needs one, so the
+/// whole budget would be open all the time. When an instance loses power, the server
+/// drops its connections only seconds later and meanwhile refuses those of the
+/// restarted instance; so a part of the budget stays unused while demand is low. Where
+/// requests wait, closing a connection for another account costs a slot that they wait
+/// for; there the whole budget is used.
 #[must_use]
 pub fn account_connection_budget(budget: usize, own_demand: f64) -> usize {
     let wanted = own_demand.ceil().clamp(0.0, MAX_DEMAND);
@@ -57,7 +60,7 @@
     wanted.max(fraction_of(budget, MIN_KEPT_FRACTION)).clamp(budget.min(1), budget)
 }
 
-/// A demand beyond any budget.
+/// Upper bound of a demand, above any budget.
 const MAX_DEMAND: f64 = 1e6;
 
 #[allow(
@@ -70,19 +73,21 @@
     (divisible as f64 * share).floor() as usize
 }
 
-/// Connections that an instance wants to the busiest server of a group.
+/// Number of connections that an instance needs to the busiest server of a group, as a
+/// peak that decays with time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Demand {
     peak: f64,
     observed_at: Moment,
 }
 
-/// The peak of demand halves in this time. Longer than a heartbeat, so that
-/// others see it; short enough to give connections back within seconds.
+/// Time in which the peak falls to one half. It is longer than the interval of
+/// heartbeats, so that the other instances receive the peak, and short enough that an
+/// instance gives connections back within seconds.
 const HALF_LIFE: Duration = Duration::from_secs(2);
 
 impl Demand {
-    /// So many connections are in use or waited for now.
+    /// Records that `wanted` connections are in use or waited for now.
     pub fn observe(&mut self, now: Moment, wanted: usize) {
         let decayed = self.at(now);
         let wanted = f64::from(u32::try_from(wanted).unwrap_or(u32::MAX));
@@ -90,7 +95,7 @@
         self.observed_at = now;
     }
 
-    /// The decayed peak.
+    /// The decayed peak at `now`.
     #[must_use]
     pub fn at(&self, now: Moment) -> f64 {
         let age = now.saturating_sub(self.observed_at);
--- a/lib/src/load_shedding.rs
+++ b/lib/src/load_shedding.rs
@@ -1,46 +1,51 @@
-//! What becomes of a request for which no connection is free.
+//! Decides whether a request for which no connection is free is queued or refused.
+//!
+//! Each request has a latency objective and a later deadline. Waiting requests are
+//! divided into two tiers: those that can still meet their objective, and late ones
+//! that can only be answered before their deadline.
 
 use std::time::Duration;
 
 use crate::wait_queue::Tier;
 
-/// What a request can expect when it comes, or when its patience is over.
+/// Expected waits of a request, on which the decision rests. It is made when the
+/// request arrives, and again when it has waited too long to meet its objective.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WaitForecast {
-    /// Expected wait among those that can meet their objective; `None` if
-    /// nobody can tell. Zero patience makes it worthless.
+    /// Expected wait in the tier [`Tier::InTime`]; `None` if it is unknown. Ignored if
+    /// `max_wait` is zero.
     pub in_time: Option<Duration>,
-    /// Measured wait among those that cannot any more; `None` if nobody waited
-    /// there lately.
+    /// Measured wait in the tier [`Tier::Late`]; `None` if no request has waited there
+    /// recently.
     pub late: Option<Duration>,
-    /// Requests that wait there now.
+    /// Requests that wait in the tier [`Tier::Late`] now.
     pub late_waiting: usize,
-    /// How long it can wait and still meet its objective.
+    /// Longest wait after which the request still meets its objective.
     pub max_wait: Duration,
-    /// How long it can wait and still be answered before its deadline.
+    /// Longest wait after which the request can still be answered before its deadline.
     pub time_left: Duration,
 }
 
-/// What is decided.
+/// What happens to a request for which no connection is free.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueueDecision {
-    /// It waits.
+    /// It waits in this tier.
     Wait(Tier),
-    /// It is refused, and may come again after this time.
+    /// It is refused and can be sent again after this time.
     Refuse(Duration),
 }
 
-/// Requests that may wait late where nothing is known of the wait: enough to
-/// measure it, few enough that those who hope in vain are few.
+/// Requests that may wait in the late tier while its wait is unknown. They are enough
+/// to measure the wait, and few of them wait in vain if it is too long.
 const MAX_UNMEASURED_LATE: usize = 2;
 
 impl WaitForecast {
-    /// Decides.
+    /// Decides whether the request waits, and in which tier, or is refused.
     ///
-    /// While more comes than the servers can take, a queue served in order
-    /// makes everybody late. So who would miss the objective waits behind all
-    /// who can still meet it, and is refused at once when even the deadline
-    /// cannot be met: held in vain, it could not use its time elsewhere.
+    /// During an overload, a single queue in order of arrival would make every request
+    /// late. So a request that would miss its objective waits behind all those that can
+    /// still meet theirs. If it cannot meet its deadline either, it is refused at once,
+    /// so that the client can use the remaining time at another instance.
     #[must_use]
     pub fn decide(&self) -> QueueDecision {
         let in_time = self.in_time.unwrap_or_default();
--- a/lib/src/pool.rs
+++ b/lib/src/pool.rs
@@ -1,22 +1,23 @@
-//! Book-keeping of the scarce connections to one server.
+//! Accounting of the connections to one server: which are idle, and when one more may
+//! be opened.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 use std::time::Instant;
 
-/// What to do for someone who needs a connection.
+/// How a caller gets a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Checkout {
-    /// Use this idle connection.
+    /// The idle connection with this number is now in use by the caller.
     Reuse(u64),
-    /// Open a new one. The opening is counted already.
+    /// The caller opens a new connection, which is already counted as being opened.
     Open,
-    /// All are in use, or openings are limited now: ask again after a return
-    /// or after this time.
+    /// All connections are in use, or no more may be opened now. The caller tries again
+    /// when a connection is returned or after this time.
     Wait(Duration),
 }
 
-/// Counts connections to one server: open, idle and being opened.
+/// Counts the connections to one server that are open, idle or being opened.
 #[derive(Clone, Debug)]
 pub struct ServerPool {
     cap: usize,
@@ -28,18 +29,19 @@
     next_id: u64,
 }
 
-/// Openings that may run at the same time. A new connection costs the server
-/// 10 to 30 ms; a burst of them after a failover would stall it.
+/// Connections that may be opened at the same time. Each costs the server 10 to 30 ms;
+/// a burst of them after a failover would stall it.
 const MAX_OPENING: usize = 4;
 
-/// How long one should wait before asking again when no better time is known.
+/// Time until the next try when it is unknown when a connection gets free.
 const RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Idle connections beyond the warm ones are closed after this time.
+/// Idle connections above the number to keep warm are closed after this time.
 const IDLE_LIFETIME: Duration = Duration::from_secs(60);
 
 impl ServerPool {
-    /// A pool of at most `cap` connections.
+    /// Creates an empty pool of at most `cap` connections, which are opened at least
+    /// `opening_interval` apart.
     #[must_use]
     pub fn new(cap: usize, opening_interval: Duration) -> Self {
         Self {
@@ -53,15 +55,15 @@
         }
     }
 
-    /// Changes the cap, for a new configuration.
+    /// Changes the highest number of connections, for a new configuration.
     pub fn set_cap(&mut self, cap: usize) {
         self.cap = cap;
     }
 
-    /// Decides how to get a connection.
+    /// Decides how a caller gets a connection.
     pub fn checkout(&mut self, now: Instant) -> Checkout {
-        // The most recently used first: it is the least likely to have gone
-        // silent, and the others age out.
+        // The most recently used connection is the least likely to be dead, and the
+        // others reach the end of their idle time.
         if let Some((id, _)) = self.idle.pop_back() {
             return Checkout::Reuse(id);
         }
@@ -79,7 +81,7 @@
         Checkout::Open
     }
 
-    /// An opening succeeded; the connection is in use from now on.
+    /// Records that a connection has been opened. Returns its number; it is in use.
     pub fn opened(&mut self) -> u64 {
         self.opening = self.opening.saturating_sub(1);
         self.open += 1;
@@ -88,22 +90,23 @@
         id
     }
 
-    /// An opening failed.
+    /// Records that a connection could not be opened.
     pub fn open_failed(&mut self) {
         self.opening = self.opening.saturating_sub(1);
     }
 
-    /// A connection came back whole and can be used again.
+    /// Returns a connection that can be used again.
     pub fn give_back(&mut self, id: u64, now: Instant) {
         self.idle.push_back((id, now));
     }
 
-    /// A connection was closed.
+    /// Records that an open connection was closed.
     pub fn closed(&mut self) {
         self.open = self.open.saturating_sub(1);
     }
 
-    /// Takes the idle connections that should be closed, keeping `warm`.
+    /// Removes and returns the connections that have been idle for too long, but keeps
+    /// `warm` of them.
     pub fn expire(&mut self, now: Instant, warm: usize) -> Vec<u64> {
         let mut expired = Vec::new();
         while self.idle.len() > warm {
@@ -119,12 +122,13 @@
         expired
     }
 
-    /// Takes all idle connections, to close them.
+    /// Removes and returns all idle connections, which the caller closes.
     pub fn drain_idle(&mut self) -> Vec<u64> {
         self.idle.drain(..).map(|(id, _)| id).collect()
     }
 
-    /// Whether a warm connection is missing and may be opened now.
+    /// Whether fewer than `warm` connections are idle and one may be opened now. If so,
+    /// it is counted as being opened.
     pub fn wants_warm(&mut self, now: Instant, warm: usize) -> bool {
         if self.idle.len() + self.opening >= warm || self.open + self.opening >= self.cap {
             return false;
@@ -140,13 +144,13 @@
         true
     }
 
-    /// Connections open now, in use or idle.
+    /// Number of open connections, in use or idle.
     #[must_use]
     pub fn open_count(&self) -> usize {
         self.open
     }
 
-    /// Connections open and not in use.
+    /// Number of open connections that are not in use.
     #[must_use]
     pub fn idle_count(&self) -> usize {
         self.idle.len()
--- a/lib/src/received_statements.rs
+++ b/lib/src/received_statements.rs
@@ -1,31 +1,32 @@
-//! Which statements of other instances have arrived here, so that one who gets no
-//! answer can learn whether its statement did.
+//! Records the statements that other instances have sent to this one, so that a sender
+//! without an answer can find out whether its statement has arrived.
 //!
-//! A link between instances can go silent without a reset. Its end then knows neither
-//! whether a statement that takes long is under way, nor whether it ever arrived. One
-//! that has not is withdrawn here: it will not run if it comes after all, and its
-//! sender may send it again.
+//! A connection between instances can stop delivering without being reset. The sender
+//! then cannot distinguish a long-running statement from one that never arrived. When
+//! it asks, a statement that has not arrived is withdrawn: it does not run if it
+//! arrives later, so its sender can safely send it again.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use crate::moment::Moment;
 
-/// Tells one statement from all others.
+/// Identifies a statement among all those sent between instances.
 pub type StatementTicket = u64;
 
-/// How long a statement is remembered after it ended.
+/// How long the record of a statement is kept after the statement has ended.
 const ENDED_RETENTION: Duration = Duration::from_secs(10);
 
-/// A statement that was sent longer ago than this is not withdrawn: it may have ended
-/// and been forgotten. Beside what is remembered it leaves room for clocks that differ.
+/// A statement that was sent longer ago than this is not withdrawn, since it may have
+/// ended and its record may have been removed. The difference to [`ENDED_RETENTION`]
+/// allows for clocks of different speed.
 const MAX_WITHDRAWAL_AGE: Duration = Duration::from_secs(8);
 
-/// How long a statement stays withdrawn: beyond the time in which a network can deliver
-/// what it held up.
+/// How long a statement stays withdrawn. Longer than a network can delay a message and
+/// still deliver it.
 const WITHDRAWN_RETENTION: Duration = Duration::from_secs(60);
 
-/// Time between two looks for what can be forgotten.
+/// Shortest time between two removals of expired records.
 const PURGE_INTERVAL: Duration = Duration::from_secs(1);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -35,34 +36,36 @@
     Withdrawn { at: Moment },
 }
 
-/// What became of a statement whose sender got no answer.
+/// State of a statement whose sender has received no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fate {
-    /// It is under way, or nothing can be known of it.
+    /// It is running, or it is unknown whether it has run.
     Open,
-    /// It ran, and its answer was sent.
+    /// It has run, and its answer has been sent.
     Ended,
-    /// It has not arrived, and will not run.
+    /// It had not arrived and will not run.
     Withdrawn,
 }
 
-/// What became of statements of other instances.
+/// The statements that this instance has received from other instances or withdrawn.
 #[derive(Clone, Debug)]
 pub struct ReceivedStatements {
-    /// Before that an earlier life of this instance may have run statements.
+    /// An earlier run of this instance may have executed statements that were sent
+    /// before this time.
     started_at: Moment,
     states: HashMap<StatementTicket, State>,
     purged_at: Moment,
 }
 
 impl ReceivedStatements {
-    /// Nothing has arrived since this instance began to run.
+    /// Creates an empty record for an instance that started at `started_at`.
     #[must_use]
     pub fn new(started_at: Moment) -> Self {
         Self { started_at, states: HashMap::new(), purged_at: started_at }
     }
 
-    /// A statement arrived. Returns whether it may run.
+    /// Records that a statement has arrived. Returns whether it may run: not if it was
+    /// withdrawn or has arrived before.
     pub fn begin(&mut self, now: Moment, ticket: StatementTicket) -> bool {
         self.purge_expired(now);
         if self.states.contains_key(&ticket) {
@@ -72,12 +75,14 @@
         true
     }
 
-    /// A statement ended.
+    /// Records that a statement has ended.
     pub fn end(&mut self, now: Moment, ticket: StatementTicket) {
         self.states.insert(ticket, State::Ended { at: now });
     }
 
-    /// The sender of a statement got no answer. One that has not arrived is withdrawn.
+    /// Returns the state of a statement whose sender has received no answer. Withdraws
+    /// the statement if it has certainly not arrived. `sent_ago` is the time since it
+    /// was sent.
     pub fn withdraw(&mut self, now: Moment, ticket: StatementTicket, sent_ago: Duration) -> Fate {
         match self.states.get(&ticket) {
             Some(State::Withdrawn { .. }) => Fate::Withdrawn,
--- a/lib/src/server_choice.rs
+++ b/lib/src/server_choice.rs
@@ -1,4 +1,4 @@
-//! Which server a request gets a connection to.
+//! Chooses the server that a request gets a connection to.
 
 use crate::concurrency::ConcurrencyLimit;
 use crate::group::Group;
@@ -8,24 +8,25 @@
 use crate::position::Position;
 use crate::wait_estimator::WaitClass;
 
-/// Which servers will do for a request.
+/// Which servers can serve a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Need {
-    /// The primary.
+    /// Only the primary.
     Leader,
-    /// Any server that has applied `floor`.
+    /// Any server that has applied the log up to `floor`.
     Reader {
-        /// Lowest position that the read has to see.
+        /// Lowest log position that the read has to see.
         floor: Position,
-        /// A server that just failed this request: only if no other will do.
+        /// A server that has just failed this request. It is chosen only if no other
+        /// server can serve the request.
         failed_server: Option<TargetId>,
     },
-    /// This server, to ask for its state.
+    /// Only this server, to query its state.
     Server(TargetId),
 }
 
 impl Need {
-    /// What it waits for, coarsely.
+    /// The class of requests that this one waits with.
     #[must_use]
     pub fn class(&self) -> WaitClass {
         match self {
@@ -35,7 +36,7 @@
         }
     }
 
-    /// Whether a connection to a server would serve the request.
+    /// Whether the server `id` can serve the request.
     #[must_use]
     pub fn accepts(&self, group: &Group, now: Moment, id: &TargetId) -> bool {
         match self {
@@ -46,18 +47,18 @@
     }
 }
 
-/// Whose connections will do for a request.
+/// Which accounts' connections can serve a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Owner {
-    /// Any: no client's statement is run.
+    /// Those of any account, for a request that runs no statement of a client.
     AnyAccount,
-    /// Those of an account; `None` where clients have none. A server runs what
-    /// comes on a connection in the name of the account that it was opened for.
+    /// Those of this account; `None` where clients have no accounts. A server executes
+    /// all statements on a connection on behalf of the account that it was opened for.
     Account(Option<AccountId>),
 }
 
 impl Owner {
-    /// Whether a connection of this account will do.
+    /// Whether a connection of this account can serve the request.
     #[must_use]
     pub fn accepts(&self, account: Option<&AccountId>) -> bool {
         match self {
@@ -66,7 +67,7 @@
         }
     }
 
-    /// The account that a new connection would be opened for.
+    /// The account that a new connection for the request is opened for.
     #[must_use]
     pub fn account(&self) -> Option<&AccountId> {
         match self {
@@ -76,36 +77,37 @@
     }
 }
 
-/// Connections to one server, as one request sees them.
+/// The connections to one server as seen by one request, whose account decides which
+/// of them it can use.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PoolView {
-    /// Open, idle ones included.
+    /// Open connections, including idle ones.
     pub open: usize,
-    /// Not in use, and of the request's account.
+    /// Idle connections of the request's account.
     pub idle: usize,
-    /// Not in use, and of another account that could do without: one of them can be
-    /// closed to make room.
+    /// Idle connections of other accounts if one of them may be closed to make room for
+    /// a connection of the request's account, otherwise zero.
     pub replaceable: usize,
-    /// Open or being opened for the request's account.
+    /// Connections that are open or being opened for the request's account.
     pub own: usize,
-    /// Being opened.
+    /// Connections being opened.
     pub opening: usize,
-    /// Slots of the server that connections being opened may take.
+    /// Slots of the server that connections being opened can take.
     pub taking_slots: usize,
-    /// Most that may be open.
+    /// Highest number of open connections.
     pub budget: usize,
     /// No connection is opened before this time.
     pub blocked_until: Moment,
-    /// How many statements may be at the server at once.
+    /// Limit of the statements at the server at once.
     pub limit: ConcurrencyLimit,
 }
 
-/// Connections being opened to one server at the same time. Each takes a slot
-/// for 12 to 27 ms; two leave one of three for statements.
+/// Connections to one server that may be opened at the same time. Each takes a slot for
+/// 12 to 27 ms; two of them leave one of three slots for statements.
 const MAX_OPENING: usize = 2;
 
-/// Connections to the primary that reads leave free when replicas could serve
-/// them: writes have nowhere else to go.
+/// Connections to the primary that reads leave free while replicas can serve them,
+/// because only the primary can serve writes.
 const LEADER_RESERVE: usize = 2;
 
 impl PoolView {
@@ -121,34 +123,35 @@
         self.has_room() && self.opens_more(now)
     }
 
-    /// Whether a connection of another account may be closed for one of this. Who
-    /// has a connection waits for it instead: a statement takes about as long as a
-    /// new connection, which takes the slot of one.
+    /// Whether a connection of another account may be closed for one of the request's
+    /// account. An account that has a connection waits for it instead: a statement on it
+    /// takes about as long as opening a new connection, which takes a slot too.
     fn may_replace(&self, now: Moment) -> bool {
         self.replaceable > 0 && self.own == 0 && self.budget > 0 && self.opens_more(now)
     }
 
-    /// Connections that are idle or could be opened.
+    /// Number of connections that are idle, can be replaced or can be opened.
     fn free(&self) -> usize {
         let unopened = self.budget.saturating_sub(self.open + self.opening);
         self.idle + self.replaceable + unopened
     }
 }
 
-/// How a request gets its connection.
+/// How a request gets a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Choice {
-    /// There is an idle one to this server.
+    /// It takes an idle connection to this server.
     Idle(TargetId),
-    /// One can be opened to this server.
+    /// A new connection to this server is opened for it.
     Open(TargetId),
-    /// One can be opened to this server when one of another account is closed.
+    /// An idle connection of another account to this server is closed, and a new one is
+    /// opened for the request.
     Replace(TargetId),
-    /// It has to wait.
+    /// It waits until a connection is free.
     Wait,
 }
 
-/// Chooses a server for a request.
+/// Chooses a server for a request. `pool_of` returns the connections to a server.
 pub fn choose(
     group: &Group,
     now: Moment,
@@ -216,7 +219,8 @@
     if let Some(id) = ids.iter().filter(allowed).find(|id| pool_of(id).may_open(now)) {
         return Choice::Open(id.clone());
     }
-    // Only who has no connection to any of them takes one from others.
+    // A connection of another account is replaced only if the request's account has none
+    // to any of these servers.
     if ids.iter().any(|id| pool_of(id).own > 0) {
         return Choice::Wait;
     }
--- a/lib/src/wait_estimator.rs
+++ b/lib/src/wait_estimator.rs
@@ -1,4 +1,4 @@
-//! How fast those who wait for a connection get one, as measured.
+//! Estimates how long a request will wait for a connection, from measured waits.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -7,36 +7,37 @@
 use crate::moment::Moment;
 use crate::wait_queue::Tier;
 
-/// What a request waits for. Those of different classes are served by
-/// different connections.
+/// What a request waits for. Different connections serve requests of different
+/// classes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum WaitClass {
     /// A connection to the primary.
     Leader,
-    /// A connection to a server that has applied a position.
+    /// A connection to any server that has applied a given log position.
     Reader,
-    /// A connection to one server, whichever it is.
+    /// A connection to one given server, the primary or a replica.
     Server,
 }
 
-/// Requests that wait for the same and are served in turn.
+/// Identifies the waiting requests of one class, tier and priority. Within such a
+/// sub-queue requests are served in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct SubQueue {
-    /// What they wait for.
+    /// What the requests wait for.
     pub class: WaitClass,
-    /// Whether they can meet their objective.
+    /// Whether the requests can still meet their objective.
     pub tier: Tier,
-    /// The priority of their service.
+    /// Priority of their service.
     pub priority: Priority,
 }
 
-/// Measured waits for connections to one group.
+/// Estimates of the wait for a connection to one group, by sub-queue.
 ///
-/// What a request will wait cannot be computed from the statements that run:
-/// transactions rest on connections, more urgent requests go first, and other
-/// instances share the servers. Computed, it was half of what came about, and
-/// under overload most of the refused had waited for three quarters of their
-/// objective first. So the wait for each place in the queue is measured.
+/// The wait of a request cannot be computed from the running statements:
+/// transactions hold connections while they are idle, requests of higher priority go
+/// first, and other instances share the servers. The computed wait was half of the
+/// actual one; under overload, most refused requests were refused only after three
+/// quarters of their objective. So the wait per place in the queue is measured.
 #[derive(Clone, Debug, Default)]
 pub struct WaitEstimator {
     estimates: HashMap<SubQueue, Estimate>,
@@ -48,17 +49,18 @@
     observed_at: Moment,
 }
 
-/// Weight of the newest wait, as one over this: some ten waits settle it, a
-/// quarter of a second of a busy queue.
+/// The newest wait has a weight of one over this. The estimate then follows a change
+/// within about ten waits, which a busy queue has in a quarter of a second.
 const SMOOTHING: u32 = 4;
 
-/// A measured pace counts for this long. Afterwards nobody waited, or nobody
-/// was served: both make it worthless.
+/// An estimate is used for this long after its last measurement. Without a measurement
+/// in this time either no request has waited or none has been served, and the estimate
+/// says nothing about the present wait.
 const MAX_ESTIMATE_AGE: Duration = Duration::from_millis(500);
 
 impl WaitEstimator {
-    /// A request that had `ahead` others before it waited so long until it got
-    /// a connection, or gave up.
+    /// Records that a request with `ahead` others before it waited for `waited` until
+    /// it got a connection or gave up.
     pub fn observe(&mut self, now: Moment, sub_queue: SubQueue, ahead: usize, waited: Duration) {
         let wait_per_place = waited / places(ahead);
         let estimate = self
@@ -73,11 +75,11 @@
         estimate.observed_at = now;
     }
 
-    /// How long a request will wait that has `ahead` others before it; `None`
-    /// if that was not measured lately.
+    /// Expected wait of a request with `ahead` others before it; `None` if there is no
+    /// recent measurement.
     ///
-    /// Whoever is next is never told a wait: only those that are let in
-    /// measure how it changes.
+    /// `None` also for the first in the queue, so that it is always admitted: only
+    /// admitted requests measure how the wait changes.
     #[must_use]
     pub fn expected_wait(
         &self,
@@ -91,7 +93,7 @@
     }
 }
 
-/// A request's place, counted from one.
+/// The place of a request with `ahead` others before it, counted from one.
 fn places(ahead: usize) -> u32 {
     u32::try_from(ahead).unwrap_or(u32::MAX).saturating_add(1)
 }
--- a/lib/src/wait_queue.rs
+++ b/lib/src/wait_queue.rs
@@ -1,4 +1,4 @@
-//! The order in which requests wait for a connection.
+//! Priority queue of the requests that wait for a connection.
 
 use std::collections::BTreeMap;
 
@@ -9,33 +9,34 @@
 /// Whether a waiting request can still meet its objective.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Tier {
-    /// It can.
+    /// The request can still meet its latency objective.
     InTime,
-    /// It cannot, but can be answered before its deadline. It gets only what
-    /// those who can leave over: served in one line with them, it would make
-    /// them late as well, and after it everybody.
+    /// The request cannot meet its objective, but can be answered before its deadline.
+    /// It gets only the connections that no request of the tier `InTime` needs. In one
+    /// queue with those it would make them late too, and then all that follow.
     Late,
 }
 
-/// What decides when a waiting request is served; lower goes first.
+/// What the order of service depends on. The lowest rank is served first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank {
-    /// Whether it can meet its objective.
+    /// Whether the request can still meet its objective.
     pub tier: Tier,
-    /// The priority of its service.
+    /// Priority of its service.
     pub priority: Priority,
-    /// When its answer is due.
+    /// Time by which the request has to be answered.
     pub deadline: Moment,
 }
 
-/// Place of a request in the queue; lower goes first.
+/// Place of a request in the queue. The lowest is served first; requests of one rank
+/// are served in order of arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Place {
     rank: Rank,
     ticket: Ticket,
 }
 
-/// Requests that wait, each with what it waits for.
+/// Waiting requests in order of service, each with an item of the caller.
 #[derive(Debug)]
 pub struct WaitQueue<T> {
     waiting: BTreeMap<Place, T>,
@@ -49,7 +50,7 @@
 }
 
 impl<T> WaitQueue<T> {
-    /// Adds a request.
+    /// Adds a request and returns its place.
     pub fn push(&mut self, rank: Rank, item: T) -> Place {
         let place = Place { rank, ticket: self.next_ticket };
         self.next_ticket += 1;
@@ -57,35 +58,35 @@
         place
     }
 
-    /// Takes a request out of the queue.
+    /// Removes a request. Returns `None` if it is no longer in the queue.
     pub fn remove(&mut self, place: Place) -> Option<T> {
         self.waiting.remove(&place)
     }
 
-    /// The request at a place, if it still waits.
+    /// The request at a place; `None` if it is no longer in the queue.
     #[must_use]
     pub fn get(&self, place: Place) -> Option<&T> {
         self.waiting.get(&place)
     }
 
-    /// Requests in the order in which they should be served.
+    /// The waiting requests in order of service.
     pub fn iter(&self) -> impl Iterator<Item = (Place, &T)> {
         self.waiting.iter().map(|(place, item)| (*place, item))
     }
 
-    /// Requests that would be served before a new one.
+    /// The waiting requests that are served before a new one of this rank.
     pub fn ahead_of(&self, rank: Rank) -> impl Iterator<Item = (Rank, &T)> {
         let place = Place { rank, ticket: Ticket::MAX };
         self.waiting.range(..place).map(|(place, item)| (place.rank, item))
     }
 
-    /// Number of requests that wait.
+    /// Number of waiting requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether nobody waits.
+    /// Whether no request waits.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
--- a/lib/src/waits.rs
+++ b/lib/src/waits.rs
@@ -1,62 +1,65 @@
-//! How long to wait for what.
+//! Timeouts and delays of statements, some derived from the latency objective of the
+//! request.
 
 use std::time::Duration;
 
-/// Pause before a statement that a server was too busy for is sent again:
-/// about the time of one statement, after which one place in its queue is free.
+/// Delay before a statement is sent again that a server refused as too busy. It is
+/// about the time of one statement, after which a place in the server's queue is free.
 pub const BUSY_PAUSE: Duration = Duration::from_millis(15);
 
-/// Shortest time after which a silent server is given up for a read. Above
-/// the longest statement (220 ms) plus a server's own queue would be safe but
-/// slow; statements of 200 ms are fewer than one in a hundred.
+/// Shortest time without an answer after which a read goes to another server. A time
+/// above the longest statement (220 ms) plus the server's own queue would never give
+/// up too early, but is slow; fewer than one statement in a hundred takes 200 ms.
 const MIN_READ_STALL: Duration = Duration::from_millis(200);
 
-/// A server that has a queue is given up only after this many times the time
-/// that its answers take now.
+/// A server counts as stalled only after this many times its usual answer time, so that
+/// a server with a queue is not abandoned too early.
 const STALL_FACTOR: u32 = 4;
 
-/// How long a read waits for one server before it goes to another.
+/// How long a read waits for the answer of one server before it goes to another.
+/// `usual_time` is the present answer time of the server.
 ///
-/// Four fifths of the objective: a lost answer then still leaves a fifth,
-/// about the usual time of a read, for the second server. More where answers
-/// take longer now: an exchange that is given up has been worked on for
-/// nothing, and the new connection takes a slot for as long as two statements.
-/// A primary alone with all reads lost half of its capacity to that.
+/// Four fifths of the objective: after a lost answer a fifth, about the usual time of
+/// a read, is left for the second server. The limit is higher where answers take longer
+/// now, because the server has executed an abandoned statement for nothing, and the new
+/// connection that replaces the abandoned one takes a slot for as long as two
+/// statements. A primary that served all reads by itself lost half of its capacity to
+/// this.
 #[must_use]
 pub fn read_stall_limit(objective: Duration, usual_time: Duration) -> Duration {
     (objective * 4 / 5).max(MIN_READ_STALL).max(usual_time * STALL_FACTOR)
 }
 
-/// Shortest time without an answer after which a server is asked, on a new
-/// connection, whether it is alive. Most statements take a fifth of it.
+/// Shortest time without an answer after which a liveness check of the server starts on
+/// a new connection. Most statements take a fifth of this time.
 const MIN_LIVENESS_CHECK_DELAY: Duration = Duration::from_millis(100);
 
-/// How long a statement may be at a server before the server is asked whether
-/// it is alive. The statement itself goes on.
+/// How long a statement may run before a liveness check of its server starts. The
+/// statement continues meanwhile. `usual_time` is the present answer time of the server.
 ///
-/// A server that goes dark closes nothing. Without this question it was missed
-/// only when statements reached their deadline, 0.8 s later.
+/// A server that loses power or network closes no connection. Without this check its
+/// failure was detected only when statements reached their deadline, 0.8 s later.
 #[must_use]
 pub fn liveness_check_after(usual_time: Duration) -> Duration {
     MIN_LIVENESS_CHECK_DELAY.max(usual_time * STALL_FACTOR)
 }
 
-/// From which time at a server on a statement is a sign of a queue there.
+/// Answer time from which on a statement indicates a queue at its server.
 ///
-/// A sixth of the objective, about twice the usual work of a statement. What
-/// waits at a server cannot be overtaken: noticed only at half of the objective,
-/// eight instances kept twenty statements in the queue of an overloaded server
-/// with three slots, and urgent ones waited 100 to 170 ms behind the others. At
-/// an eighth, long statements of a calm server are taken for a queue.
+/// A sixth of the objective, about twice the usual execution time of a statement. A
+/// server's queue has no priorities. With half of the objective as the threshold, eight
+/// instances kept twenty statements in the queue of an overloaded server with three
+/// slots, and urgent statements waited 100 to 170 ms behind others. With an eighth,
+/// long statements at an idle server are mistaken for a queue.
 #[must_use]
 pub fn slow_threshold(objective: Duration) -> Duration {
     objective / 6
 }
 
-/// How long a request may wait for a server and still meet its objective.
+/// How long a request may wait for a connection and still meet its objective.
 ///
-/// Three quarters; the rest is about the usual time of a statement with the
-/// ways to the client.
+/// Three quarters of the objective. The rest is about the usual time of a statement
+/// and of the network round trip to the client.
 #[must_use]
 pub fn max_wait(objective: Duration) -> Duration {
     objective * 3 / 4
