--- a/lib/src/account.rs
+++ b/lib/src/account.rs
@@ -1,8 +1,8 @@
-//! Client accounts of the session engine: who a key belongs to, and how much
-//! an account may ask for.
+//! Client accounts of the configuration: their API keys and rate limits.
 //!
-//! Keys themselves are kept nowhere: an instance needs to recognise one, not to
-//! show it, and what is told between instances could be read on the way.
+//! Only digests of the keys are stored and sent to other instances. That is enough to
+//! recognise a key, and somebody who reads the traffic between instances does not
+//! obtain the keys.
 
 use std::collections::HashMap;
 use std::collections::hash_map::Entry;
@@ -16,30 +16,30 @@
 
 use crate::id::AccountId;
 
-/// Bytes of a key's digest.
+/// Length of a key's digest in bytes.
 const DIGEST_BYTES: usize = 32;
 
-/// What is kept of a key: its SHA-256 digest.
+/// SHA-256 digest of an API key.
 ///
-/// Compared in constant time, so that how long a refusal takes tells nothing of
-/// the keys that there are.
+/// Digests are compared in constant time, so that the time of a refusal reveals nothing
+/// about existing keys.
 #[derive(Clone, Copy)]
 pub struct KeyDigest([u8; DIGEST_BYTES]);
 
 impl KeyDigest {
-    /// The digest of a key.
+    /// Computes the digest of a key.
     #[must_use]
     pub fn of(key: &str) -> Self {
         Self(Sha256::digest(key.as_bytes()).into())
     }
 
-    /// The digest that another instance told; `None` if it is none.
+    /// Decodes a digest received from another instance; `None` if the length is wrong.
     #[must_use]
     pub fn from_bytes(bytes: &[u8]) -> Option<Self> {
         bytes.try_into().ok().map(Self)
     }
 
-    /// The digest, to tell it to another instance.
+    /// The bytes of the digest, as sent to other instances.
     #[must_use]
     pub fn as_bytes(&self) -> &[u8] {
         &self.0
@@ -60,19 +60,19 @@
     }
 }
 
-/// Shows nothing: a digest of a weak key can be turned back.
+/// Omits the digest, because a weak key can be recovered from it.
 impl fmt::Debug for KeyDigest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("KeyDigest")
     }
 }
 
-/// How many operations an account may begin, at all instances together.
+/// Limit on the operations that an account may start at all instances together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaLimit {
-    /// Operations a second in the long run.
+    /// Sustained rate, in operations per second.
     pub rate_per_s: f64,
-    /// Operations at once, after a pause.
+    /// Operations that may start at once after a pause.
     pub burst: f64,
 }
 
@@ -81,7 +81,7 @@
 pub struct Account {
     /// Digests of its keys.
     pub keys: Vec<KeyDigest>,
-    /// What it may ask for; `None` if that is not limited.
+    /// Limit on its operations; `None` if they are not limited.
     pub limit: Option<QuotaLimit>,
 }
 
@@ -89,16 +89,16 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Accounts {
     accounts: HashMap<AccountId, Account>,
-    /// Whose a key is; `None` for a key that stands in two accounts.
+    /// The account of each key; `None` for a key that is listed in several accounts.
     owners: HashMap<KeyDigest, Option<AccountId>>,
 }
 
 impl Accounts {
-    /// With one more account.
+    /// Adds an account.
     ///
-    /// One that is listed twice has the keys of both and the lower limit. A key
-    /// in two accounts is nobody's: taken for either, statements could run in the
-    /// name of the other.
+    /// An account that is listed twice has the keys of both entries and the lower limit.
+    /// A key that is listed in two accounts belongs to neither: if it were accepted for
+    /// one, statements of the other could run on that account's behalf.
     #[must_use]
     pub fn with_account(mut self, id: AccountId, account: Account) -> Self {
         for key in &account.keys {
@@ -122,13 +122,15 @@
         self
     }
 
-    /// The account that holds a key.
+    /// The account that a key belongs to; `None` if the key is unknown or is listed in
+    /// several accounts.
     #[must_use]
     pub fn owner(&self, key: &KeyDigest) -> Option<&AccountId> {
         self.owners.get(key)?.as_ref()
     }
 
-    /// What an account may ask for; `None` if that is not limited.
+    /// Limit on the operations of an account; `None` if they are not limited or the
+    /// account is unknown.
     #[must_use]
     pub fn limit(&self, id: &str) -> Option<QuotaLimit> {
         self.accounts.get(id)?.limit
--- a/lib/src/account_rates.rs
+++ b/lib/src/account_rates.rs
@@ -1,4 +1,5 @@
-//! How often accounts want a connection, to choose which connection to close.
+//! Rates at which accounts request connections. They decide whose idle connection is
+//! closed when another account needs one.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -6,10 +7,11 @@
 use crate::id::AccountId;
 use crate::moment::Moment;
 
-/// Wishes older than this count for little.
+/// Time constant of the exponential decay of a rate.
 const DECAY_TIME: Duration = Duration::from_secs(4);
 
-/// Accounts that are kept at most; those that want least are forgotten first.
+/// Highest number of accounts with a rate. The account with the lowest rate is evicted
+/// first.
 const MAX_ACCOUNTS: usize = 1_024;
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -25,14 +27,14 @@
     }
 }
 
-/// How often each account wants a connection to a group, smoothed.
+/// Rate at which each account requests connections to a group, exponentially smoothed.
 #[derive(Clone, Debug, Default)]
 pub struct AccountRates {
     rates: HashMap<AccountId, Rate>,
 }
 
 impl AccountRates {
-    /// An account wants a connection.
+    /// Records that an account requests a connection.
     pub fn observe(&mut self, now: Moment, account: &AccountId) {
         if self.rates.len() >= MAX_ACCOUNTS && !self.rates.contains_key(account) {
             self.evict_least(now);
@@ -42,7 +44,7 @@
         rate.observed_at = now;
     }
 
-    /// How often an account wants a connection, in wishes a second.
+    /// Rate at which an account requests connections, per second.
     #[must_use]
     pub fn of(&self, now: Moment, account: &AccountId) -> f64 {
         self.rates.get(account).map_or(0.0, |rate| rate.at(now))
--- a/lib/src/burn.rs
+++ b/lib/src/burn.rs
@@ -1,4 +1,5 @@
-//! How fast a service uses up the errors its objective allows.
+//! Error-budget burn rates: how fast a service uses up the failures that its objective
+//! allows.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -10,29 +11,30 @@
 
 use crate::error_kind::ErrorKind;
 
-/// Width of one bucket of counts.
+/// Length of the time that one bucket of counts covers.
 pub const BUCKET_WIDTH: Duration = Duration::from_secs(10);
 
-/// Windows of the report, shortest first.
+/// Windows over which burn rates are reported, shortest first.
 pub const WINDOWS: [Duration; 3] =
     [Duration::from_secs(5 * 60), Duration::from_secs(3600), Duration::from_secs(6 * 3600)];
 
-/// Burn rate over both the short and the middle window that pages someone:
-/// at 14.4 a 30-day budget is gone in two days.
+/// Burn rate that pages an operator when both the short and the middle window reach it.
+/// At 14.4 a 30-day budget is used up in two days.
 const PAGE_RATE: f64 = 14.4;
 
-/// Burn rate over both the middle and the long window that opens a ticket.
+/// Burn rate that opens a ticket when both the middle and the long window reach it.
 const TICKET_RATE: f64 = 6.0;
 
 /// Counts of one bucket.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct BurnBucket {
-    /// Number of the bucket since the epoch.
+    /// Index of the bucket, counted in multiples of [`BUCKET_WIDTH`] since the Unix epoch.
     pub number: u64,
-    /// Requests.
+    /// Number of requests.
     pub total: u64,
-    /// Requests that burn the budget, by "kind at dependency".
+    /// Number of requests that use up the error budget, by cause as "error kind at
+    /// dependency".
     pub bad: BTreeMap<Arc<str>, u64>,
 }
 
@@ -45,7 +47,8 @@
 }
 
 impl BurnCounts {
-    /// Counts a request that ended `since_epoch`, with an error or too late.
+    /// Counts a request that ended at `since_epoch`. `failure` is its error and the
+    /// dependency that caused it; `None` if it succeeded.
     pub fn record(&mut self, since_epoch: Duration, failure: Option<(ErrorKind, &str)>) {
         let number = since_epoch.as_secs() / BUCKET_WIDTH.as_secs();
         if self.buckets.back().is_none_or(|last| last.number < number) {
@@ -65,7 +68,7 @@
         }
     }
 
-    /// Adds the counts of another instance.
+    /// Adds the counts of another instance to these.
     pub fn merge(&mut self, other: &Self) {
         let mut merged: BTreeMap<u64, BurnBucket> = BTreeMap::new();
         for bucket in self.buckets.iter().chain(&other.buckets) {
@@ -80,50 +83,50 @@
     }
 }
 
-/// Burn of one window.
+/// Burn rate over one window.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize)]
 pub struct WindowBurn {
-    /// Length of the window.
+    /// Length of the window in seconds.
     pub window_s: u64,
-    /// Requests in it.
+    /// Number of requests in the window.
     pub total: u64,
-    /// Requests that burned the budget.
+    /// Number of requests that used up error budget.
     pub bad: u64,
-    /// Share of bad requests over the share the objective allows.
+    /// Fraction of bad requests, divided by the fraction that the objective allows.
     pub burn_rate: f64,
-    /// Bad requests by cause, most first.
+    /// Bad requests by cause, the most frequent first.
     pub causes: Vec<(Arc<str>, u64)>,
 }
 
-/// What an operator should do.
+/// Urgency of a burn rate for the operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Alert {
-    /// Nothing.
+    /// No action is needed.
     None,
-    /// Look at it in working hours.
+    /// Needs attention in working hours.
     Ticket,
-    /// Look at it now.
+    /// Needs attention at once.
     Page,
 }
 
-/// Burn of one service.
+/// Burn rates and alert of one service.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize)]
 pub struct ServiceBurn {
-    /// The service.
+    /// Name of the service.
     pub service: Arc<str>,
-    /// Its objective.
+    /// Fraction of requests that should succeed.
     pub objective: f64,
     /// One entry for each of [`WINDOWS`].
     pub windows: Vec<WindowBurn>,
-    /// State of the alert.
+    /// The alert that the burn rates call for.
     pub alert: Alert,
 }
 
-/// Works out the burn of a service.
+/// Computes the burn rates and the alert of a service from its counts.
 #[must_use]
 pub fn report(
     service: &str,
@@ -134,8 +137,8 @@
     let windows: Vec<_> =
         WINDOWS.iter().map(|window| window_burn(*window, objective, counts, since_epoch)).collect();
     let rates: Vec<_> = windows.iter().map(|window| window.burn_rate).collect();
-    // Two windows together: the long one proves that it matters, the short
-    // one that it is still going on.
+    // Each alert needs two windows: the longer one shows that the failures are
+    // significant, the shorter one that they continue.
     let alert = if rates[0] >= PAGE_RATE && rates[1] >= PAGE_RATE {
         Alert::Page
     } else if rates[1] >= TICKET_RATE && rates[2] >= TICKET_RATE {
--- a/lib/src/detector.rs
+++ b/lib/src/detector.rs
@@ -1,14 +1,15 @@
-//! Tells a silent peer or server from one that is merely slow.
+//! Failure detector for a peer or server: distinguishes an unresponsive one from a slow
+//! one by counting missed probes.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 use std::time::Instant;
 
-/// Follows the probes sent to one other process.
+/// Tracks the probes sent to one other process.
 ///
-/// Probes are sent at a steady pace whether or not earlier ones were
-/// answered, and each has its own timeout. One lost probe proves nothing;
-/// several in a row do.
+/// Probes are sent at a fixed interval whether or not earlier ones were answered, and
+/// each has its own timeout. A single missed probe can be a lost message; several
+/// missed in a row indicate a failure.
 #[derive(Clone, Debug)]
 pub struct Detector {
     timeout: Duration,
@@ -19,7 +20,7 @@
 }
 
 impl Detector {
-    /// A detector that counts a probe as missed after `timeout`.
+    /// Creates a detector that counts a probe as missed after `timeout`.
     #[must_use]
     pub fn new(timeout: Duration) -> Self {
         Self {
@@ -37,7 +38,7 @@
         self.last_sent_at.is_none_or(|last| now.saturating_duration_since(last) >= interval)
     }
 
-    /// Records that a probe is sent now and returns its number.
+    /// Records that a probe is sent now and returns its sequence number.
     pub fn sent(&mut self, now: Instant) -> u64 {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
@@ -46,28 +47,28 @@
         sequence
     }
 
-    /// A probe was answered. Returns when it had been sent, unless it was
-    /// counted as missed already.
+    /// Records the answer to a probe. Returns when the probe was sent, or `None` if it
+    /// was already counted as missed or its outcome is already known.
     pub fn succeeded(&mut self, sequence: u64) -> Option<Instant> {
         let index = self.outstanding.iter().position(|(s, _)| *s == sequence)?;
         let (_, sent_at) = self.outstanding[index];
-        // Earlier probes can still be under way on a link that delivers in
-        // order only per connection; the newer answer settles them too.
+        // Earlier probes may still be unanswered, since messages are delivered in order
+        // only within one connection. The newer answer makes theirs unnecessary.
         self.outstanding.drain(..=index);
         self.misses = 0;
         Some(sent_at)
     }
 
-    /// Other traffic sent at `sent_at` was answered, which proves as much as a
-    /// probe would have.
+    /// Records the answer to a message other than a probe that was sent at `sent_at`. It
+    /// counts like an answered probe.
     pub fn answered_by_other_traffic(&mut self, sent_at: Instant) {
         self.outstanding.retain(|(_, probe_sent_at)| *probe_sent_at > sent_at);
         self.misses = 0;
         self.last_sent_at = self.last_sent_at.max(Some(sent_at));
     }
 
-    /// A probe failed for certain, for example because the connection was
-    /// refused.
+    /// Counts a probe as missed before its timeout, for example because the connection
+    /// was refused.
     pub fn failed(&mut self, sequence: u64) {
         let before = self.outstanding.len();
         self.outstanding.retain(|(s, _)| *s != sequence);
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Counts the probes that have timed out.
+    /// Counts the probes that have timed out as missed.
     pub fn tick(&mut self, now: Instant) {
         while let Some((_, sent_at)) = self.outstanding.front() {
             if now.saturating_duration_since(*sent_at) < self.timeout {
@@ -87,23 +88,23 @@
         }
     }
 
-    /// Forgets what was missed.
+    /// Discards unanswered probes and resets the number of missed ones.
     ///
-    /// Called when this process itself was paused: every probe it had sent
-    /// looks unanswered then, and without this it would replace a primary
-    /// that had answered all along.
+    /// Called after this process itself was paused. All probes it had sent appear
+    /// unanswered then, and without this call it would replace a primary that has
+    /// answered them.
     pub fn clear_misses(&mut self) {
         self.outstanding.clear();
         self.misses = 0;
     }
 
-    /// Whether nothing is on its way and nothing was missed.
+    /// Whether no probe is unanswered and none was missed.
     #[must_use]
     pub fn is_settled(&self) -> bool {
         self.outstanding.is_empty() && self.misses == 0
     }
 
-    /// Probes missed in a row.
+    /// Number of probes missed in a row.
     #[must_use]
     pub fn misses(&self) -> u32 {
         self.misses
--- a/lib/src/limits.rs
+++ b/lib/src/limits.rs
@@ -1,9 +1,10 @@
-//! Limits of one client account at one instance.
+//! Limits on the connections and the request rate of one client account at one instance.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// A token bucket for requests and a count of connections.
+/// Number of open connections and token bucket for requests of one client account. The
+/// bucket holds at most the requests of one second.
 #[derive(Clone, Debug)]
 pub struct AccountLimits {
     connections: u32,
@@ -12,13 +13,14 @@
 }
 
 impl AccountLimits {
-    /// A new account with a full bucket.
+    /// Creates the state of an account without connections and with a full bucket.
     #[must_use]
     pub fn new(now: Instant, requests_per_s: u32) -> Self {
         Self { connections: 0, tokens: f64::from(requests_per_s), refilled_at: now }
     }
 
-    /// Counts a new connection, or refuses it.
+    /// Counts a new connection. Returns `false` if the account has `max_connections`
+    /// already; the connection is not counted then.
     pub fn try_connect(&mut self, max_connections: u32) -> bool {
         if self.connections >= max_connections {
             return false;
@@ -27,16 +29,16 @@
         true
     }
 
-    /// A connection ended.
+    /// Records that a counted connection has ended.
     pub fn disconnect(&mut self) {
         self.connections = self.connections.saturating_sub(1);
     }
 
-    /// Takes one request from the bucket.
+    /// Takes a token for one request.
     ///
     /// # Errors
     ///
-    /// Returns how long to wait until the bucket holds a request again.
+    /// If no token is left, returns the time until the next one is available.
     pub fn try_request(&mut self, now: Instant, requests_per_s: u32) -> Result<(), Duration> {
         let rate = f64::from(requests_per_s.max(1));
         let elapsed = now.saturating_duration_since(self.refilled_at);
--- a/lib/src/quota.rs
+++ b/lib/src/quota.rs
@@ -1,7 +1,8 @@
-//! How many operations an account may still begin.
+//! Rate limits of accounts across all instances.
 //!
-//! One instance, the keeper, counts all operations of an account; entries ask it
-//! before they begin one. Who the keeper is: [`crate::keeper_lease`].
+//! One instance, the keeper of an account, counts its operations in a token bucket. The
+//! instance that a client is connected to, the entry instance, requests operations from
+//! the keeper before it starts them. [`crate::keeper_lease`] determines the keeper.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,50 +11,51 @@
 use crate::id::AccountId;
 use crate::moment::Moment;
 
-/// How far beyond its limit the platform lets an account go.
+/// How far an account may exceed its limit.
 ///
-/// In any window at most (rate x window + burst) x (1 + excess) + slack operations
-/// may run. The platform means what fits into that to be served.
+/// In any window at most (rate x window + burst) x (1 + excess) + slack operations may
+/// run. The platform expects operations within this bound to be served.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaTolerance {
     /// Length of the window.
     pub window: Duration,
-    /// Part of the limit.
+    /// Allowed excess, as a fraction of the limit.
     pub excess: f64,
-    /// Operations beside that.
+    /// Operations allowed in addition, in each window.
     pub slack: f64,
 }
 
-/// Part of what a window may hold that is given out. The rest is for operations
-/// that begin later than they were counted, and for those that instances without a
-/// keeper let begin.
+/// Fraction of the operations allowed in a window that a keeper grants. The rest is a
+/// reserve for operations that start later than they were counted, and for those that
+/// instances admit while they cannot reach a keeper.
 const ENFORCED_FRACTION: f64 = 0.96;
 
-/// Burst that is given out: part of the account's own, and operations beside it.
+/// Burst that a keeper grants: a fraction of the account's own burst, plus a number of
+/// operations.
 const BURST_FRACTION: f64 = 0.1;
 const BURST_EXTRA: f64 = 6.0;
 
-/// What a new keeper lets begin at once: part of the account's burst, and operations
-/// beside it.
+/// Burst that a new keeper grants at first: a fraction of the account's burst, plus a
+/// number of operations.
 ///
-/// It does not know what the one before it let begin: a full burst at each change
-/// of keeper would give an account its burst twice in one window. So the first is
-/// set aside from what a window may hold. With nothing at all those who come back
-/// together, after all instances were killed, would be refused.
+/// A new keeper has no record of what its predecessor granted. A full burst at each
+/// change of keeper would give an account its burst twice in one window, so the initial
+/// burst is deducted from what a window may hold. It is not zero, because clients that
+/// reconnect together after all instances were killed would be refused.
 const INITIAL_BURST_FRACTION: f64 = 0.1;
 const INITIAL_BURST_EXTRA: f64 = 3.0;
 
-/// What a new keeper of an account with this burst lets begin at once.
+/// Initial burst that a new keeper grants to an account with this burst.
 fn initial_burst_for(burst: f64) -> f64 {
     (burst * INITIAL_BURST_FRACTION + INITIAL_BURST_EXTRA).min(burst)
 }
 
-/// What an account may begin, as its keeper counts it.
+/// The limit of an account as its keeper enforces it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EnforcedQuota {
-    /// Operations a second, and at once.
+    /// Rate and burst of the token bucket.
     pub limit: QuotaLimit,
-    /// Operations at once where the keeper is new.
+    /// Operations that a new keeper grants at once.
     pub initial_burst: f64,
 }
 
@@ -64,7 +66,7 @@
 }
 
 impl QuotaTolerance {
-    /// The rate and burst that keep an account within the tolerance.
+    /// The rate and bursts that keep an account with this limit within the tolerance.
     #[must_use]
     pub fn applied_to(self, limit: QuotaLimit) -> EnforcedQuota {
         let window_s = self.window.as_secs_f64();
@@ -83,7 +85,7 @@
     }
 }
 
-/// Operations that may begin now, refilled with time.
+/// Token bucket: each operation takes one token, and tokens are refilled with time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TokenBucket {
     tokens: f64,
@@ -91,20 +93,20 @@
 }
 
 impl TokenBucket {
-    /// A bucket that holds `tokens`.
+    /// Creates a bucket that holds `tokens`.
     #[must_use]
     pub fn new(now: Moment, tokens: f64) -> Self {
         Self { tokens, refilled_at: now }
     }
 
-    /// Adds what has come since the last time, up to the burst.
+    /// Adds the tokens for the time since the last refill, up to the burst.
     pub fn refill(&mut self, now: Moment, limit: QuotaLimit) {
         let elapsed = now.saturating_sub(self.refilled_at);
         self.refilled_at = self.refilled_at.max(now);
         self.tokens = (self.tokens + elapsed.as_secs_f64() * limit.rate_per_s).min(limit.burst);
     }
 
-    /// Takes up to `wanted` whole tokens. Returns how many.
+    /// Takes up to `wanted` whole tokens. Returns the number taken.
     #[allow(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
@@ -116,24 +118,25 @@
         taken as u32
     }
 
-    /// Tokens left.
+    /// Number of tokens left.
     #[must_use]
     pub fn tokens(&self) -> f64 {
         self.tokens
     }
 }
 
-/// Longest time to come back that is told to an account beyond its limit.
+/// Longest retry time that is sent to an account at its limit.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// What the keeper answers.
+/// Answer of a keeper to a request for operations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuotaAnswer {
-    /// So many operations may begin.
+    /// This many operations may start.
     Granted(u32),
-    /// None may: the account is at its limit.
+    /// No operation may start, because the account is at its limit.
     Exhausted {
-        /// When one may begin again, with those in view that were refused before.
+        /// Expected time until an operation may start, with those counted that were
+        /// refused shortly before and will be retried first.
         retry_after: Duration,
     },
 }
@@ -141,7 +144,7 @@
 #[derive(Clone, Copy, Debug)]
 struct AccountCount {
     bucket: TokenBucket,
-    /// Refusals of the last second, decaying.
+    /// Number of refusals, decaying to zero within a second without one.
     recent_refusals: f64,
     last_refused_at: Moment,
     restart_pending: bool,
@@ -155,14 +158,15 @@
     }
 }
 
-/// The keeper's counts, by account.
+/// Token buckets and refusals of the accounts that an instance keeps.
 #[derive(Clone, Debug, Default)]
 pub struct QuotaCounters {
     counts: HashMap<AccountId, AccountCount>,
 }
 
 impl QuotaCounters {
-    /// An entry wants to begin `wanted` operations of an account.
+    /// Handles the request of an entry instance for `wanted` operations of an account.
+    /// Grants at least one operation if a token is left, and at most `wanted`.
     pub fn ask(
         &mut self,
         now: Moment,
@@ -192,7 +196,9 @@
         QuotaAnswer::Exhausted { retry_after }
     }
 
-    /// Another instance may have counted meanwhile: goes on as a new keeper does.
+    /// Restarts every bucket with at most the initial burst of a new keeper. Called when
+    /// this instance becomes the keeper again, because another instance may have granted
+    /// operations in the meantime.
     pub fn restart_counts(&mut self) {
         for count in self.counts.values_mut() {
             count.restart_pending = true;
@@ -200,55 +206,56 @@
     }
 }
 
-/// How long an operation that was granted may wait to begin. Longer, and what
-/// entries keep in stock would add to the burst of a window.
+/// How long a granted operation may wait to start. A longer time would let the unused
+/// grants of entry instances add to the burst in a window.
 pub const GRANT_LIFETIME: Duration = Duration::from_millis(400);
 
-/// Most operations that an entry asks for at once.
+/// Highest number of operations that an entry instance requests at once.
 const MAX_REQUESTED: f64 = 8.0;
 
-/// An entry's view of one account.
+/// State of one account at an entry instance: unused grants of the keeper, and what may
+/// start while no keeper answers.
 #[derive(Clone, Copy, Debug)]
 pub struct Allowance {
     granted: u32,
     granted_at: Moment,
     exhausted_until: Moment,
-    /// Operations a second that begin here, smoothed.
+    /// Rate of the operations that are requested here, exponentially smoothed.
     rate_per_s: f64,
     last_started_at: Moment,
-    /// What may begin here while no keeper answers.
+    /// Operations that may start here while no keeper answers.
     without_keeper: TokenBucket,
-    /// When a keeper last answered.
+    /// Time of the last answer of a keeper.
     keeper_answered_at: Moment,
 }
 
-/// What an entry does with an operation.
+/// What an entry instance does with an operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It may begin.
+    /// The operation may start.
     Admitted,
-    /// The keeper has to be asked for so many.
+    /// The instance has to request this many operations from the keeper.
     Ask(u32),
     /// The account is at its limit.
     Refused {
-        /// When to come back.
+        /// Time after which the operation can be sent again.
         retry_after: Duration,
     },
 }
 
-/// Time over which an entry smooths how many operations begin there.
+/// Time constant of the smoothed rate of operations at an entry instance, in seconds.
 const RATE_TIME_CONSTANT_S: f64 = 1.0;
 
-/// Part of an instance's equal share of the rate that it lets begin by itself
-/// while no keeper answers.
+/// Fraction of an instance's equal share of the rate that it admits while no keeper
+/// answers.
 ///
-/// All instances that are cut off from the keeper together must stay within what
-/// the platform allows beyond the limit, while the keeper gives the whole rate to
-/// the others. A quarter keeps some service through the change of a keeper.
+/// All instances that are cut off from the keeper together have to stay within the
+/// excess that the platform allows, while the keeper grants the whole rate to the
+/// others. A quarter keeps some operations running during a change of keeper.
 const WITHOUT_KEEPER_FRACTION: f64 = 0.25;
 
 impl Allowance {
-    /// An account of which nothing began here.
+    /// Creates the state of an account without operations at this instance.
     #[must_use]
     pub fn new(now: Moment) -> Self {
         Self {
@@ -262,7 +269,7 @@
         }
     }
 
-    /// An operation wants to begin.
+    /// Decides whether an operation may start, without contacting the keeper.
     pub fn admit(&mut self, now: Moment) -> Admission {
         self.observe(now);
         if self.granted > 0 && self.granted_at + GRANT_LIFETIME > now {
@@ -284,7 +291,8 @@
         self.rate_per_s = self.rate_per_s * kept + 1.0 / RATE_TIME_CONSTANT_S;
     }
 
-    /// This operation, and those that will begin before the grant is over.
+    /// Operations to request: this one, and half of those expected within the lifetime
+    /// of the grant.
     #[allow(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
@@ -295,22 +303,22 @@
         soon.floor().clamp(1.0, MAX_REQUESTED) as u32
     }
 
-    /// The keeper granted operations; one of them begins now.
+    /// Records that the keeper granted `count` operations, of which one starts now.
     pub fn granted(&mut self, asked_at: Moment, count: u32) {
         self.granted = self.granted.saturating_add(count.saturating_sub(1));
         self.granted_at = asked_at;
         self.keeper_answered_at = asked_at;
     }
 
-    /// The keeper said that the account is at its limit: it is not asked again
-    /// for a while, so that an account far beyond its limit does not occupy the
-    /// keeper of others.
+    /// Records that the account is at its limit. For the time `pause` operations are
+    /// refused without contacting the keeper, so that an account far above its limit
+    /// does not load the keeper that it shares with other accounts.
     pub fn exhausted(&mut self, now: Moment, pause: Duration) {
         self.keeper_answered_at = now;
         self.exhausted_until = now + pause;
     }
 
-    /// An operation that was admitted did not run: another one may.
+    /// Returns an admitted operation that did not run, so that another one may start.
     pub fn refund(&mut self, now: Moment) {
         if self.granted == 0 {
             self.granted_at = now;
@@ -318,8 +326,8 @@
         self.granted += 1;
     }
 
-    /// No keeper answers: whether an operation may begin without being counted,
-    /// at one of `instances`.
+    /// Whether an operation may start without the keeper, which does not answer. The
+    /// limit is divided among `instances` instances.
     pub fn admit_without_keeper(
         &mut self,
         now: Moment,
@@ -339,13 +347,13 @@
     }
 }
 
-/// A number of instances, of which there is one at least.
+/// The number of instances as a float, at least one.
 fn instance_count(instances: usize) -> f64 {
     f64::from(u32::try_from(instances.max(1)).unwrap_or(u32::MAX))
 }
 
-/// How long an entry does not ask again for an account at its limit: half of
-/// the time in which its equal share of the rate brings one operation.
+/// How long an entry instance does not contact the keeper about an account at its limit:
+/// half of the time in which its equal share of the rate allows one operation.
 #[must_use]
 pub fn ask_again_after(limit: QuotaLimit, instances: usize) -> Duration {
     let instances = instance_count(instances);
@@ -353,5 +361,6 @@
     share.unwrap_or(MAX_PAUSE).clamp(MIN_PAUSE, MAX_PAUSE)
 }
 
+/// Bounds of the pause between two requests to the keeper for an account at its limit.
 const MIN_PAUSE: Duration = Duration::from_millis(5);
 const MAX_PAUSE: Duration = Duration::from_millis(200);
--- a/lib/src/retry.rs
+++ b/lib/src/retry.rs
@@ -1,10 +1,11 @@
-//! A budget for retries, so that a failing target is not flooded by them.
+//! Retry budget: limits retries to a fraction of the requests, so that they do not
+//! overload a failing target.
 
-/// Retries are allowed up to a share of the first attempts.
+/// Token bucket that each first attempt fills by a fraction of a retry.
 ///
-/// Without a limit each layer that retries multiplies the load just when the
-/// target is weakest; one would notice a queue that stays full after the
-/// fault is gone.
+/// Without a limit, each layer that retries multiplies the load while the target is
+/// failing, and queues can stay full after the fault has ended. Tokens are counted in
+/// thousandths of a retry.
 #[derive(Clone, Debug)]
 #[allow(clippy::struct_field_names, reason = "the suffix is the unit")]
 pub struct RetryBudget {
@@ -16,8 +17,8 @@
 const ONE_RETRY_MILLI: u64 = 1000;
 
 impl RetryBudget {
-    /// A budget that allows `share_percent` retries per hundred requests and
-    /// saves up to `burst` of them.
+    /// Creates a full budget that allows `share_percent` retries per hundred requests
+    /// and holds at most `burst` retries.
     #[must_use]
     pub fn new(share_percent: u64, burst: u64) -> Self {
         let ceiling_milli = burst * ONE_RETRY_MILLI;
@@ -34,7 +35,7 @@
         self.tokens_milli = earned.min(self.ceiling_milli);
     }
 
-    /// Takes the right to one retry, if there is one.
+    /// Takes one retry from the budget. Returns `false` if none is left.
     pub fn try_retry(&mut self) -> bool {
         if self.tokens_milli < ONE_RETRY_MILLI {
             return false;
--- a/lib/src/stop_plan.rs
+++ b/lib/src/stop_plan.rs
@@ -1,35 +1,37 @@
-//! When what ends during a planned stop.
+//! Schedule of a planned stop of an instance: when sessions are closed, transactions
+//! are rolled back and the process ends.
 
 use std::time::Duration;
 
 use crate::moment::Moment;
 
-/// Times of a planned stop, as shares of the time that the platform grants
-/// between the request to stop and the kill.
+/// Schedule of one planned stop. Its times are fractions of the grace period, the time
+/// that the platform allows between the request to stop and the kill.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StopPlan {
     began_at: Moment,
     grace: Duration,
 }
 
-/// Idle sessions stay open until the platform's balancer has taken the
-/// instance out, which needs two of its questions, a second apart: a client
-/// that is sent away earlier may come back here.
+/// Idle sessions stay open until the platform's load balancer has removed the instance,
+/// which takes two of its health checks, one second apart. A client whose session is
+/// closed earlier may be connected to this instance again.
 const CLOSING_BEGINS_PERCENT: u32 = 36;
 
-/// The last idle session is closed at this time. They are spread out, so that
-/// their clients do not all connect elsewhere at the same moment.
+/// The last idle session is closed at this time. The sessions are closed at different
+/// times, so that their clients do not all reconnect at the same moment.
 const CLOSING_ENDS_PERCENT: u32 = 60;
 
-/// Transactions have at least half of the grace by the platform's rules.
+/// Open transactions are rolled back at this time. The platform requires that they get
+/// at least half of the grace period.
 const TRANSACTIONS_END_PERCENT: u32 = 75;
 
-/// The program ends here at the latest, so that it is never killed while it
+/// The process ends at this time at the latest, so that it is never killed while it
 /// writes an answer.
 const END_PERCENT: u32 = 92;
 
 impl StopPlan {
-    /// A stop that was asked for at `began_at`.
+    /// Creates the schedule of a stop that was requested at `began_at`.
     #[must_use]
     pub fn new(began_at: Moment, grace: Duration) -> Self {
         Self { began_at, grace }
@@ -39,8 +41,8 @@
         self.began_at + self.grace * percent / 100
     }
 
-    /// When an idle session is closed. `spread` (0 to 999) is drawn once for
-    /// each session.
+    /// When an idle session is closed. `spread` is a random number from 0 to 999, drawn
+    /// once for each session, that distributes the closing times.
     #[must_use]
     pub fn close_at(&self, spread: u32) -> Moment {
         let first = self.at(CLOSING_BEGINS_PERCENT);
@@ -48,7 +50,7 @@
         first + last.saturating_sub(first) * spread.min(999) / 1000
     }
 
-    /// From when on a session is closed as soon as its operation is over.
+    /// From when on a session is closed as soon as its operation has ended.
     #[must_use]
     pub fn closing_begins_at(&self) -> Moment {
         self.at(CLOSING_BEGINS_PERCENT)
@@ -60,7 +62,7 @@
         self.at(TRANSACTIONS_END_PERCENT)
     }
 
-    /// When the program ends at the latest.
+    /// When the process ends at the latest.
     #[must_use]
     pub fn ends_at(&self) -> Moment {
         self.at(END_PERCENT)
