--- a/lib/tests/quota_simulation/mod.rs
+++ b/lib/tests/quota_simulation/mod.rs
@@ -67,7 +67,7 @@
     votes: Votes,
     lease: KeeperLease,
     renewed_at: Moment,
-    book: QuotaCounters,
+    counters: QuotaCounters,
     allowance: Allowance,
     fleet: Fleet,
     /// Whether it knows the others.
@@ -92,7 +92,7 @@
             votes: Votes::new(now),
             lease: KeeperLease::default(),
             renewed_at: Moment::ZERO,
-            book: QuotaCounters::default(),
+            counters: QuotaCounters::default(),
             allowance: Allowance::new(now),
         }
     }
@@ -180,11 +180,11 @@
                 wanted -= 1.0;
                 self.start_operation();
             }
-            let held = self
+            let lease_holders = self
                 .instances
                 .iter()
                 .filter(|one| one.down_until <= self.now && one.lease.is_held(self.now));
-            self.observed.double_keepers += usize::from(held.count() > 1);
+            self.observed.double_keepers += usize::from(lease_holders.count() > 1);
         }
         self.observed
     }
@@ -337,9 +337,9 @@
         if me.lease.check(self.now, &needed) {
             self.observed.keeper_changes += 1;
             if self.without == Some(Rule::SmallInitialBurst) {
-                me.book = QuotaCounters::default();
+                me.counters = QuotaCounters::default();
             } else {
-                me.book.restart_counts();
+                me.counters.restart_counts();
             }
         }
         if !me.lease.is_held(self.now) {
@@ -411,7 +411,7 @@
             quota.initial_burst = LIMIT.burst * 2.0;
             quota.limit.burst = quota.initial_burst;
         }
-        let answer = self.instances[keeper].book.ask(now, account, quota, wanted);
+        let answer = self.instances[keeper].counters.ask(now, account, quota, wanted);
         let allowance = &mut self.instances[index].allowance;
         match answer {
             QuotaAnswer::Granted(count) => {
