--- a/lib/tests/quota_simulation/mod.rs
+++ b/lib/tests/quota_simulation/mod.rs
@@ -1,5 +1,6 @@
-//! Instances that count one account's operations on a virtual clock, with kills,
-//! partitions and lost answers, and a checker of the sliding window.
+//! Simulation of the instances that count one account's operations, on a virtual clock.
+//! It injects kills, partitions, lost answers and restores of the store from a backup,
+//! and counts the operations in a sliding window and the keepers at each time.
 
 use std::collections::HashSet;
 use std::collections::VecDeque;
@@ -27,42 +28,46 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-/// A rule of the product that can be taken out, to see that it is noticed.
+/// A rule of the protocol that a simulation can leave out, to check that the violation
+/// is detected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
     /// A keeper needs more than half of the votes.
     Majority,
-    /// A voter votes for one candidate only.
+    /// A voter votes for only one candidate at a time.
     OneVotePerVoter,
-    /// A lease ends unless it is renewed.
+    /// A lease expires unless it is renewed.
     LeaseExpires,
-    /// A new keeper begins with little.
+    /// A new keeper grants only a small initial burst.
     SmallInitialBurst,
-    /// Who finds no keeper lets little begin.
+    /// An instance that finds no keeper admits only a fraction of its share.
     LimitedWithoutKeeper,
-    /// Instances that a copy of the store lacks count on.
+    /// Instances that a restored store does not list still count as members.
     UnlistedInstancesCount,
-    /// An instance that starts is told by others whom a copy lacks.
+    /// A starting instance receives from its peers the instances that a restored store
+    /// does not list.
     PeersReportUnlisted,
-    /// An instance that starts soon after a copy, and is told by nobody, waits.
+    /// An instance that starts soon after a restore and reaches no peer waits until the
+    /// running instances are listed again.
     WaitAfterRestore,
 }
 
-/// The shard of the account; any will do.
+/// Shard of the account. Its number does not matter.
 const SHARD: u32 = 0;
 
+/// Step of the virtual clock.
 const TICK: Duration = Duration::from_millis(10);
 
-/// The limit of the account.
+/// Limit of the account.
 pub const LIMIT: QuotaLimit = QuotaLimit { rate_per_s: 40.0, burst: 40.0 };
 
-/// What the platform allows beyond it.
+/// Excess over the limit that the platform allows.
 pub const TOLERANCE: QuotaTolerance =
     QuotaTolerance { window: Duration::from_secs(5), excess: 0.1, slack: 20.0 };
 
 struct Instance {
     record: InstanceRecord,
-    /// Dead until then.
+    /// The instance is down before this time.
     down_until: Moment,
     votes: Votes,
     lease: KeeperLease,
@@ -70,15 +75,16 @@
     counters: QuotaCounters,
     allowance: Allowance,
     fleet: Fleet,
-    /// Whether it knows the others.
+    /// Whether the instance has a list of the other instances.
     fleet_known: bool,
     started_at: Moment,
 }
 
-/// By then all that are alive are listed again.
+/// Time after a restore of the store by which all running instances are listed again.
 const RELISTING_TIME: Duration = Duration::from_millis(2_500);
 
-/// How long an instance waits that nobody told of the others.
+/// How long an instance that reaches no peer waits after its start before it uses the
+/// list of the store alone.
 const MAX_START_WAIT: Duration = Duration::from_secs(3);
 
 impl Instance {
@@ -102,31 +108,32 @@
     }
 }
 
-/// What a play saw.
+/// Results of a simulation.
 #[derive(Debug, Default)]
 pub struct Observations {
-    /// Most operations in a window.
+    /// Highest number of operations in a window.
     pub max_in_window: usize,
-    /// Operations that began.
+    /// Number of operations that started.
     pub started: usize,
-    /// Operations that were refused.
+    /// Number of operations that were refused.
     pub refused: usize,
-    /// Changes of keeper.
+    /// Number of changes of keeper.
     pub keeper_changes: usize,
-    /// Times at which two instances counted.
+    /// Number of clock steps at which two instances held the lease of the keeper.
     pub double_keepers: usize,
 }
 
-/// Instances of one account.
+/// The instances that serve one account, and the faults between them.
 pub struct QuotaSimulation {
     rng: StdRng,
     without: Option<Rule>,
     now: Moment,
     instances: Vec<Instance>,
-    /// Instances cut off from the others, who reach each other.
+    /// Instances that are partitioned from all others, but reach each other.
     cut_off: HashSet<usize>,
     partition_ends_at: Moment,
-    /// When each instance is listed again that the store's copy lacks.
+    /// Time from which the store lists each instance; later than now for those that the
+    /// restored store does not list yet.
     listed_from: Vec<Moment>,
     restored_at: Moment,
     window: VecDeque<Moment>,
@@ -134,7 +141,8 @@
 }
 
 impl QuotaSimulation {
-    /// A world of a seed.
+    /// Creates a simulation with 1 to 16 instances, determined by `seed`, that leaves out
+    /// the rule `without`.
     pub fn new(seed: u64, without: Option<Rule>) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let count = rng.random_range(1..=16);
@@ -161,8 +169,8 @@
         }
     }
 
-    /// Plays twenty seconds of an account that asks for `per_s`, with or without
-    /// faults.
+    /// Simulates twenty seconds in which clients of the account request `per_s`
+    /// operations per second, with or without faults.
     pub fn run(mut self, per_s: f64, faults: bool) -> Observations {
         let end = self.now + Duration::from_secs(20);
         while self.now < end {
@@ -189,8 +197,8 @@
         self.observed
     }
 
-    /// The store comes back from a copy that lacks some of the instances, which write
-    /// their records again.
+    /// Restores the store from a backup that does not list some of the instances. They
+    /// write their records again within [`RELISTING_TIME`].
     fn restore_store_from_backup(&mut self) {
         for index in 0..self.instances.len() {
             if self.rng.random_bool(0.5) {
@@ -209,14 +217,15 @@
         }
     }
 
-    /// What the store lists now.
+    /// The instances that the store lists now.
     fn listed(&self) -> Vec<InstanceRecord> {
         let all = self.instances.iter().zip(&self.listed_from);
         let listed = all.filter(|(_, from)| **from <= self.now);
         listed.map(|(one, _)| one.record.clone()).collect()
     }
 
-    /// An instance learns what is listed, at its start also from others that it reaches.
+    /// Updates an instance's list of the others from the store, at its start also from a
+    /// peer that it reaches.
     fn update_fleet(&mut self, index: usize) {
         let (now, listed) = (self.now, self.listed());
         if self.instances[index].fleet_known {
@@ -246,7 +255,7 @@
         me.fleet_known = true;
     }
 
-    /// The instances that one knows, itself included.
+    /// The instances that an instance has in its list, including itself.
     fn recorded(&self, index: usize) -> Vec<InstanceRecord> {
         let me = &self.instances[index];
         me.fleet.others().chain([&me.record]).cloned().collect()
@@ -314,7 +323,7 @@
         let Some(rank) = voters.iter().position(|voter| voter.id == me.record.id) else {
             return;
         };
-        let rank = u32::try_from(rank).expect("few voters");
+        let rank = u32::try_from(rank).expect("there are few voters");
         let due = if me.lease.is_held(self.now) {
             me.renewed_at + RENEWAL <= self.now
         } else {
@@ -326,7 +335,7 @@
         me.renewed_at = self.now;
         for voter in &voters {
             let is_voter = |one: &Instance| one.record.id == voter.id;
-            let to = self.instances.iter().position(is_voter).expect("one of them");
+            let to = self.instances.iter().position(is_voter).expect("each voter is an instance");
             self.ask_vote(index, to);
         }
         let me = &mut self.instances[index];
@@ -395,7 +404,9 @@
         }
     }
 
-    /// Any instance that counts may answer an entry that reaches it.
+    /// Requests operations from any instance that holds the keeper's lease and is
+    /// reachable; without one, decides without a keeper. Returns whether the operation is
+    /// admitted.
     fn ask_keeper(&mut self, index: usize, account: &AccountId, wanted: u32) -> bool {
         let now = self.now;
         let instances = self.instances.len();
--- a/lib/tests/test_accounts.rs
+++ b/lib/tests/test_accounts.rs
@@ -1,4 +1,4 @@
-//! Whose a key is, and how much an account may ask for.
+//! API keys and limits of accounts, and the rates at which accounts request connections.
 
 use chervilwharf_lib::account::Account;
 use chervilwharf_lib::account::Accounts;
@@ -30,9 +30,9 @@
 
 #[test]
 fn test_key_in_two_accounts_belongs_to_neither() {
-    // Symptom: statements of one account run in the name of another.
-    // Sequence: an operator writes the same key under two accounts.
-    // Cause: whichever is read last would hold it.
+    // Guards against statements of one account that run on behalf of another: an
+    // operator lists the same key in two accounts, and the account that is read last
+    // gets it.
     let accounts = Accounts::default()
         .with_account("a".into(), account(&["shared", "k1"], None))
         .with_account("b".into(), account(&["shared"], None))
--- a/lib/tests/test_quota_exploration.rs
+++ b/lib/tests/test_quota_exploration.rs
@@ -1,5 +1,5 @@
-//! No account begins more operations than its limit allows, in any window, whatever
-//! happens to the instances that count them.
+//! Explores random faults of the instances that count an account's operations: in no
+//! window do more operations start than the limit and its tolerance allow.
 
 mod quota_simulation;
 
@@ -8,7 +8,7 @@
 use quota_simulation::Rule;
 use quota_simulation::TOLERANCE;
 
-/// Operations that a window may hold.
+/// Highest number of operations allowed in a window.
 fn allowed() -> f64 {
     let window_s = TOLERANCE.window.as_secs_f64();
     (LIMIT.rate_per_s * window_s + LIMIT.burst) * (1.0 + TOLERANCE.excess) + TOLERANCE.slack
@@ -18,7 +18,8 @@
     f64::from(u32::try_from(value).expect("few operations"))
 }
 
-/// Five times the limit.
+/// Operations per second that the clients of an overloaded account request: five times
+/// its limit.
 const HOT_PER_S: f64 = 200.0;
 
 const SEEDS: u64 = 400;
@@ -43,7 +44,7 @@
         started += observed.started;
         refused += observed.refused;
     }
-    // The first keeper is not there in the first moments.
+    // No keeper has been elected yet in the first moments.
     assert!(count(refused) < 0.002 * count(started), "{refused} of {started}");
 }
 
@@ -58,7 +59,7 @@
     }
 }
 
-/// Whether a rule that is taken out is noticed on some seed.
+/// Whether leaving out the rule leads to a detected violation for at least one seed.
 fn is_detected(rule: Rule) -> bool {
     (0..SEEDS).any(|seed| {
         let observed = QuotaSimulation::new(seed, Some(rule)).run(HOT_PER_S, true);
@@ -79,6 +80,6 @@
         Rule::WaitAfterRestore,
     ];
     for rule in rules {
-        assert!(is_detected(rule), "{rule:?} is not noticed");
+        assert!(is_detected(rule), "leaving out {rule:?} is not detected");
     }
 }
--- a/lib/tests/test_received_statements.rs
+++ b/lib/tests/test_received_statements.rs
@@ -1,4 +1,4 @@
-//! Statements of other instances that arrive, or do not.
+//! Withdrawal of statements that another instance sent and got no answer to.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
     START + Duration::from_secs(seconds)
 }
 
-/// Guards against a statement that runs though its sender was told that it never will.
+/// Guards against a statement that runs although its sender was told that it will not.
 #[test]
 fn test_withdrawn_statement_does_not_run_when_it_arrives() {
     let mut received = ReceivedStatements::new(START);
@@ -22,18 +22,19 @@
     assert_eq!(received.withdraw(after(32), TICKET, SENT_AGO), Fate::Withdrawn, "asked again");
 }
 
-/// Guards against a statement that ran and counts as not arrived.
+/// Guards against a statement that has run and is reported as not arrived.
 #[test]
 fn test_statement_that_arrived_is_not_withdrawn() {
     let mut received = ReceivedStatements::new(START);
     assert!(received.begin(after(1), TICKET));
     assert_eq!(received.withdraw(after(2), TICKET, SENT_AGO), Fate::Open);
     received.end(after(3), TICKET);
-    assert!(received.begin(after(9), TICKET + 1), "others come meanwhile");
+    assert!(received.begin(after(9), TICKET + 1), "another statement arrives meanwhile");
     assert_eq!(received.withdraw(after(9), TICKET, Duration::from_secs(8)), Fate::Ended);
 }
 
-/// Guards against a statement that ran and was forgotten, here or in an earlier life.
+/// Guards against a statement that is reported as not arrived although it has run, and
+/// its record was removed or belonged to an earlier run of this instance.
 #[test]
 fn test_statement_of_unknown_state_is_not_withdrawn() {
     let mut received = ReceivedStatements::new(START);
--- a/lib/tests/test_server_queue.rs
+++ b/lib/tests/test_server_queue.rs
@@ -1,4 +1,4 @@
-//! What waits at a server that all instances send more than it can run.
+//! Length of the queue at a server to which all instances send more than it can execute.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -8,35 +8,35 @@
 use chervilwharf_lib::concurrency::ConcurrencyLimit;
 use chervilwharf_lib::waits;
 
-/// Statements that the server runs at the same time.
+/// Statements that the server executes at the same time.
 const SLOTS: usize = 3;
 
-/// Instances that send to it.
+/// Instances that send statements to the server.
 const INSTANCES: usize = 8;
 
-/// Time that each statement takes in its slot.
+/// Execution time of each statement in its slot.
 const WORK: Duration = Duration::from_millis(18);
 
 /// Latency objective of the requests.
 const OBJECTIVE: Duration = Duration::from_millis(400);
 
-/// How long the overload lasts.
+/// Duration of the simulated overload.
 const LENGTH: Duration = Duration::from_secs(20);
 
-/// A statement at the server.
+/// A statement in the server's queue.
 #[derive(Clone, Copy)]
 struct Sent {
     instance: usize,
     at: Duration,
 }
 
-/// The server and the limits of the instances, on a clock of their own.
+/// The server and the concurrency limits of the instances, on a virtual clock.
 struct Overload {
     now: Duration,
     limits: Vec<ConcurrencyLimit>,
     running: Vec<usize>,
     queue: VecDeque<Sent>,
-    /// Statements in slots, by the time at which they end.
+    /// Statements in slots, as end time, instance and time of sending.
     slots: BinaryHeap<Reverse<(Duration, usize, Duration)>>,
     times: Vec<Duration>,
 }
@@ -53,7 +53,8 @@
         }
     }
 
-    /// Each instance has more to send than it may.
+    /// Sends as many statements as each instance may, and fills free slots from the
+    /// queue. The instances always have more to send.
     fn send(&mut self) {
         for instance in 0..INSTANCES {
             while self.limits[instance].allows(self.running[instance]) {
@@ -83,13 +84,13 @@
     }
 }
 
-/// Symptom: urgent requests wait as long as all others while a database is
-/// overloaded. Sequence: eight instances each keep three statements at a server
-/// with three slots; what waits there is served first come, first served.
-/// Cause: a server's queue was noticed only when it took half of the objective.
+/// Guards against urgent requests that wait as long as all others while a server is
+/// overloaded. Eight instances each keep three statements at a server with three slots,
+/// which serves them first come, first served. That happens if a statement indicates a
+/// queue only from half of the objective on.
 ///
-/// Time of a statement at the server in this load, of which 18 ms are work:
-/// noticed at half of the objective 198 ms, at a sixth 67 ms.
+/// Time of a statement at the server under this load, of which 18 ms are execution:
+/// 198 ms with a threshold of half of the objective, 67 ms with a sixth.
 #[test]
 fn test_queue_at_an_overloaded_server_stays_short_and_its_slots_stay_busy() {
     let mut overload = Overload::new();
@@ -102,7 +103,7 @@
     let mean = settled.iter().sum::<Duration>() / count;
     println!("mean time at the server: {mean:?}");
     assert!(mean < OBJECTIVE / 5, "{mean:?}");
-    // None of the capacity is lost: three slots at 18 ms for 20 s.
+    // The slots stay busy: three slots at 18 ms per statement for 20 s.
     let possible = SLOTS as u128 * (LENGTH.as_millis() / WORK.as_millis());
     assert!(overload.times.len() as u128 + 10 >= possible, "{}", overload.times.len());
 }
--- a/lib/tests/test_sharing.rs
+++ b/lib/tests/test_sharing.rs
@@ -1,4 +1,5 @@
-//! How instances share connections and servers, and who counts as alive.
+//! How instances divide connections and servers, which instances count as live, and
+//! which server a request gets a connection to.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -52,8 +53,8 @@
 }
 
 quickcheck! {
-    /// However the demand is spread, all instances together stay within the
-    /// limit of the server, and each has a connection.
+    /// For any distribution of demand, all instances together stay within the limit of
+    /// the server, and each has at least one connection.
     fn prop_budgets_stay_within_the_limit(demands: Vec<u16>, spare: u8) -> bool {
         let demands: Vec<f64> = demands.iter().take(60).map(|demand| to_f64(*demand)).collect();
         let max_connections = demands.len() + 2 + usize::from(spare);
@@ -73,9 +74,9 @@
 
 #[test]
 fn test_instance_with_most_clients_gets_most_connections() {
-    // Symptom: one of six instances refuses 131 of 135 requests of a day.
-    // Sequence: it is alone in its failure domain, with 40 % of the clients.
-    // Cause: equal shares gave it 3 of 18 connections like each other.
+    // Guards against one of six instances that refuses 131 of the 135 requests refused in
+    // a day. It is the only one in its failure domain and has 40 % of the clients, but
+    // equal shares gave it 3 of 18 connections.
     let busy = budget(22, 8.0, &[1.0, 1.0, 2.0, 2.0, 1.0]);
     let calm = budget(22, 1.0, &[8.0, 1.0, 2.0, 2.0, 1.0]);
     assert!(busy >= 7 && calm >= 1, "{busy} and {calm}");
@@ -92,9 +93,9 @@
 
 #[test]
 fn test_refusals_lower_the_limit_and_success_raises_it() {
-    // Symptom: a primary with 3 slots refuses 20,900 arrivals in a day.
-    // Sequence: replicas are behind, eight instances send all reads there.
-    // Cause: each sent as many statements as it had connections.
+    // Guards against a primary with 3 slots that refuses 20,900 statements in a day: the
+    // replicas lag, eight instances send all reads to the primary, and each sends as many
+    // statements as it has connections.
     let mut limit = ConcurrencyLimit::default();
     assert!(limit.allows(2) && !limit.allows(3));
     for step in 0..10 {
@@ -121,13 +122,13 @@
 fn test_more_urgent_requests_go_first_then_earlier_deadlines() {
     let mut queue = WaitQueue::default();
     let rank = |priority, deadline| Rank { tier: Tier::InTime, priority, deadline };
-    queue.push(rank(2, at(10)), "late class, early deadline");
+    queue.push(rank(2, at(10)), "low priority, early deadline");
     let place = queue.push(rank(1, at(50)), "urgent, late deadline");
     queue.push(rank(1, at(40)), "urgent");
     let order: Vec<_> = queue.iter().map(|(_, item)| *item).collect();
-    assert_eq!(order, ["urgent", "urgent, late deadline", "late class, early deadline"]);
+    assert_eq!(order, ["urgent", "urgent, late deadline", "low priority, early deadline"]);
     assert_eq!(queue.ahead_of(rank(1, at(45))).count(), 1);
-    // Whoever misses the objective anyway goes last, however urgent.
+    // A request that cannot meet its objective goes last, whatever its priority.
     queue.push(Rank { tier: Tier::Late, ..rank(0, at(1)) }, "late");
     assert_eq!(queue.iter().last().map(|(_, item)| *item), Some("late"));
     assert_eq!(queue.remove(place), Some("urgent, late deadline"));
@@ -159,9 +160,9 @@
 
 #[test]
 fn test_instance_that_is_cut_off_leaves_the_others_their_connections() {
-    // Symptom: servers reset connections that are over their limit.
-    // Sequence: one instance is cut off from all others but not from servers.
-    // Cause: it took all others for dead and their connections for its own.
+    // Guards against servers that reset connections above their limit: an instance that is
+    // cut off from all others but not from the servers counts the others as dead and uses
+    // their connections too.
     let mut fleet = fleet(&["a", "b", "c"]);
     let demands = HashMap::from([("db".into(), 4.0)]);
     fleet.set_demands("a", demands);
@@ -189,7 +190,10 @@
     };
     let relays = names.iter().filter(|me| fleet_of(me).is_relay(at(10), &"a".into())).count();
     assert_eq!(relays, 2);
-    assert!(fleet(&["a", "b", "c"]).is_relay(at(10), &"a".into()), "a small fleet needs none");
+    assert!(
+        fleet(&["a", "b", "c"]).is_relay(at(10), &"a".into()),
+        "every instance of a small fleet"
+    );
 }
 
 #[test]
@@ -211,17 +215,16 @@
         total += chosen.len();
         strong += chosen.iter().filter(|record| record.capacity_millicores == 500).count();
     }
-    assert!(strong * 10 > total * 7, "{strong} of {total} are strong ones");
-    assert_eq!(holders(&"g".into(), 35, 8, &all[..8]).len(), 8, "all, where all can");
+    assert!(strong * 10 > total * 7, "{strong} of {total} holders have a high capacity");
+    assert_eq!(holders(&"g".into(), 35, 8, &all[..8]).len(), 8, "all instances of a small fleet");
 }
 
 #[test]
 fn test_holders_are_spread_over_failure_domains_and_fewer_where_groups_are_many() {
-    // Symptom: clients of one failure domain are refused three times as often
-    // as others; and with hundreds of groups each instance talks to all.
-    // Sequence: of eight holders one is in that domain; or each of 640 groups
-    // has eight holders among 300 instances.
-    // Cause: holders chosen by score alone, and as many however many groups.
+    // Guards against two failures. When holders are chosen by score alone, a failure domain
+    // can have one of eight holders, and its clients are refused three times as often as
+    // others. When their number does not depend on the number of groups, 640 groups with
+    // eight holders each among 300 instances connect every instance to all others.
     let all: Vec<InstanceRecord> = (0..74)
         .map(|number| InstanceRecord {
             failure_domain: format!("d{}", number % 3).into(),
@@ -279,7 +282,7 @@
 fn test_reads_leave_the_last_connections_to_the_primary_free() {
     let group = group();
     let need = Need::Reader { floor: Position::new(1, 10), failed_server: None };
-    // The replica's connections are all in use, the primary has two left.
+    // All connections to the replica are in use; the primary has two left.
     let tight = |id: &std::sync::Arc<str>| if &**id == "p" { view(2, 4) } else { view(0, 4) };
     assert_eq!(choose(&group, at(1), &need, tight), Choice::Wait);
     assert_eq!(choose(&group, at(1), &Need::Leader, tight), Choice::Idle("p".into()));
@@ -330,9 +333,9 @@
 
 #[test]
 fn test_voters_before_and_after_one_change_have_overlapping_majorities() {
-    // Symptom: two replacements of a primary at the same time.
-    // Sequence: an instance joins or goes; some know of it already.
-    // Cause: the voters of both views had majorities without a common member.
+    // Guards against two simultaneous replacements of a primary: an instance joins or
+    // leaves, only some instances have seen that, and the majorities of the old and the
+    // new voters have no member in common.
     for count in 2..60 {
         let all = recorded(count);
         let before = voters(&"db".into(), &all);
@@ -357,9 +360,9 @@
     choose(&group, at(0), &Need::Server("p".into()), |_| view.clone())
 }
 
-/// Symptom: servers spent more slots on new connections than on statements.
-/// Sequence: requests of many accounts wait for few connections; each closes one of
-/// another account. Cause: also those took one whose account had a connection.
+/// Guards against servers that use more slots for new connections than for statements:
+/// requests of many accounts wait for few connections, and each closes a connection of
+/// another account even if its own account has one.
 #[test]
 fn test_only_an_account_without_a_connection_takes_one_from_others() {
     let server = || "p".into();
@@ -370,9 +373,9 @@
     assert_eq!(choice(&account_view(3, 0, 0, 0)), Choice::Wait);
 }
 
-/// Symptom: a primary that served alone answered nothing for seconds. Sequence: eight
-/// instances open two connections each to it, one after the other; each takes one of
-/// three slots. Cause: only statements counted toward what may be at a server at once.
+/// Guards against a primary that serves all requests by itself and answers nothing for
+/// seconds: eight instances open two connections each to it, one after the other, and
+/// each takes one of three slots, but the concurrency limit counts only statements.
 #[test]
 fn test_connections_being_opened_count_as_statements_at_a_server() {
     let limit = ConcurrencyLimit::default();
@@ -383,9 +386,9 @@
     assert_eq!(choice(&opening(allowed)), Choice::Wait);
 }
 
-/// Symptom: after all instances had lost power, servers refused the connections of
-/// their next lives for three seconds. Cause: each account kept connections, so that
-/// the dead ones filled the servers.
+/// Guards against servers that refuse the connections of restarted instances for three
+/// seconds after all instances have lost power: connections that accounts kept open
+/// count against the servers' limits until the servers drop them.
 #[test]
 fn test_instances_keep_half_of_their_connections_while_nothing_waits() {
     assert_eq!(account_connection_budget(10, 0.0), 5);
--- a/lib/tests/test_wait_estimator.rs
+++ b/lib/tests/test_wait_estimator.rs
@@ -1,4 +1,4 @@
-//! Measured waits, and whom they turn away.
+//! Estimated waits, and the requests that are refused because of them.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -16,7 +16,8 @@
 const ARRIVALS_EVERY_MS: u64 = 25;
 const GRANTS_EVERY_MS: u64 = 40;
 
-/// What the connections seem to take: 100 ms a statement, 3.6 at once.
+/// Wait per place as computed from the running statements: 100 ms per statement, 3.6 at
+/// once.
 const COMPUTED_PER_PLACE: Duration = Duration::from_millis(28);
 
 fn at(ms: u64) -> Moment {
@@ -28,7 +29,7 @@
     ahead: usize,
 }
 
-/// What became of the requests of a day.
+/// Number of requests by result.
 #[derive(Debug, Default)]
 struct Outcome {
     served: usize,
@@ -36,7 +37,8 @@
     refused_late: usize,
 }
 
-/// Plays twenty seconds of overload. `expected` tells the wait by place.
+/// Simulates twenty seconds of overload. `expected` returns the expected wait of a request
+/// from the estimator, the time and the number of requests ahead.
 fn run(expected: impl Fn(&WaitEstimator, Moment, usize) -> Duration) -> Outcome {
     let mut outcome = Outcome::default();
     let mut estimator = WaitEstimator::default();
@@ -69,10 +71,10 @@
 
 #[test]
 fn test_overload_is_refused_at_arrival_and_not_after_a_wait() {
-    // Symptom: most of those who are refused have waited for 300 ms first.
-    // Sequence: a third more requests come than connections get free.
-    // Cause: the wait was computed from the statements under way; more urgent
-    // requests and resting transactions make it longer.
+    // Guards against an overload in which most refused requests have waited for 300 ms
+    // first. It happened when a third more requests arrived than connections got free:
+    // the wait was computed from the running statements, but requests of higher priority
+    // and idle transactions make it longer.
     let computed = run(|_, _, ahead| COMPUTED_PER_PLACE * u32::try_from(ahead + 1).unwrap());
     let measured = run(|estimator, now, ahead| {
         estimator.expected_wait(now, SUB_QUEUE, ahead).unwrap_or_default()
@@ -86,13 +88,16 @@
 
 #[test]
 fn test_estimate_of_an_earlier_overload_refuses_no_request() {
-    // Symptom: requests are refused though nobody waits.
-    // Sequence: an overload ends, and with it the waits that measure it.
-    // Cause: a pace that is kept for ever.
+    // Guards against requests that are refused although no request waits: when an overload
+    // ends, no more waits are measured, and an estimate that never expires stays high.
     let mut estimator = WaitEstimator::default();
     estimator.observe(at(1_000), SUB_QUEUE, 0, MAX_WAIT);
     assert!(estimator.expected_wait(at(1_100), SUB_QUEUE, 1) > Some(MAX_WAIT));
-    assert_eq!(estimator.expected_wait(at(1_100), SUB_QUEUE, 0), None, "the next one measures");
+    assert_eq!(
+        estimator.expected_wait(at(1_100), SUB_QUEUE, 0),
+        None,
+        "the first in the queue measures the wait"
+    );
     assert_eq!(estimator.expected_wait(at(1_600), SUB_QUEUE, 1), None, "too old");
     let other = SubQueue { class: WaitClass::Leader, ..SUB_QUEUE };
     assert_eq!(estimator.expected_wait(at(1_100), other, 1), None);
