--- a/lib/src/connection_budget.rs
+++ b/lib/src/connection_budget.rs
@@ -45,9 +45,9 @@
 /// time. Connections of accounts stay open until another account needs one, so the
 /// whole budget would be open all the time. When an instance loses power, the server
 /// drops its connections only seconds later and meanwhile refuses those of the
-/// restarted instance; so a part of the budget stays unused while demand is low. Where
-/// requests wait, closing a connection for another account costs a slot that they wait
-/// for; there the whole budget is used.
+/// restarted instance; so a part of the budget stays unused while demand is low. The
+/// number rises with demand up to the whole budget: where requests wait, closing a
+/// connection for another account costs a slot that they wait for.
 #[must_use]
 pub fn account_connection_budget(budget: usize, own_demand: f64) -> usize {
     let wanted = own_demand.ceil().clamp(0.0, MAX_DEMAND);
@@ -69,8 +69,8 @@
     clippy::cast_sign_loss,
     reason = "the numbers are those of connections to one server"
 )]
-fn fraction_of(divisible: usize, share: f64) -> usize {
-    (divisible as f64 * share).floor() as usize
+fn fraction_of(whole: usize, fraction: f64) -> usize {
+    (whole as f64 * fraction).floor() as usize
 }
 
 /// Number of connections that an instance needs to the busiest server of a group, as a
--- a/lib/src/pool.rs
+++ b/lib/src/pool.rs
@@ -62,7 +62,7 @@
 
     /// Decides how a caller gets a connection.
     pub fn checkout(&mut self, now: Instant) -> Checkout {
-        // The most recently used connection is the least likely to be dead, and the
+        // The most recently used connection is the least likely to have failed, and the
         // others reach the end of their idle time.
         if let Some((id, _)) = self.idle.pop_back() {
             return Checkout::Reuse(id);
--- a/lib/src/quota.rs
+++ b/lib/src/quota.rs
@@ -222,7 +222,7 @@
     exhausted_until: Moment,
     /// Rate of the operations that are requested here, exponentially smoothed.
     rate_per_s: f64,
-    last_started_at: Moment,
+    last_requested_at: Moment,
     /// Operations that may start here while no keeper answers.
     without_keeper: TokenBucket,
     /// Time of the last answer of a keeper.
@@ -263,7 +263,7 @@
             granted_at: now,
             exhausted_until: Moment::ZERO,
             rate_per_s: 0.0,
-            last_started_at: now,
+            last_requested_at: now,
             without_keeper: TokenBucket::new(now, 0.0),
             keeper_answered_at: now,
         }
@@ -285,8 +285,8 @@
     }
 
     fn observe(&mut self, now: Moment) {
-        let age_s = now.saturating_sub(self.last_started_at).as_secs_f64();
-        self.last_started_at = now;
+        let age_s = now.saturating_sub(self.last_requested_at).as_secs_f64();
+        self.last_requested_at = now;
         let kept = (-age_s / RATE_TIME_CONSTANT_S).exp();
         self.rate_per_s = self.rate_per_s * kept + 1.0 / RATE_TIME_CONSTANT_S;
     }
--- a/lib/src/server_choice.rs
+++ b/lib/src/server_choice.rs
@@ -18,7 +18,7 @@
         /// Lowest log position that the read has to see.
         floor: Position,
         /// A server that has just failed this request. It is chosen only if no other
-        /// server can serve the request.
+        /// server can serve the request now.
         failed_server: Option<TargetId>,
     },
     /// Only this server, to query its state.
@@ -98,7 +98,7 @@
     pub budget: usize,
     /// No connection is opened before this time.
     pub blocked_until: Moment,
-    /// Limit of the statements at the server at once.
+    /// Limit on the number of statements at the server at once.
     pub limit: ConcurrencyLimit,
 }
 
--- a/lib/tests/quota_simulation/mod.rs
+++ b/lib/tests/quota_simulation/mod.rs
@@ -236,10 +236,10 @@
             me.fleet.forget_unlisted(now);
             return;
         }
-        let knows = |other: &usize| {
+        let has_list = |other: &usize| {
             *other != index && self.reaches(index, *other) && self.instances[*other].fleet_known
         };
-        let reported = (0..self.instances.len()).find(knows);
+        let reported = (0..self.instances.len()).find(has_list);
         let must_wait = self.restored_at + RELISTING_TIME > now
             && self.instances[index].started_at + MAX_START_WAIT > now
             && self.without != Some(Rule::WaitAfterRestore);
--- a/lib/tests/test_received_statements.rs
+++ b/lib/tests/test_received_statements.rs
@@ -13,7 +13,7 @@
     START + Duration::from_secs(seconds)
 }
 
-/// Guards against a statement that runs although its sender was told that it will not.
+/// Guards against a statement that runs after its sender was answered that it is withdrawn.
 #[test]
 fn test_withdrawn_statement_does_not_run_when_it_arrives() {
     let mut received = ReceivedStatements::new(START);
