--- a/daemon/src/engine/probe.rs
+++ b/daemon/src/engine/probe.rs
@@ -17,7 +17,7 @@
 use crate::engine::clock::now;
 use crate::engine::event_log;
 use crate::engine::shard::Shard;
-use crate::engine::waiting::Want;
+use crate::engine::waiting::ConnectionRequest;
 
 /// Longest time for a new connection and an answer on it: a few times what a
 /// loaded server takes, since its state takes a slot like any statement.
@@ -105,12 +105,12 @@
 pub async fn sample(shard: &Arc<Shard>, id: &TargetId) {
     let values = SessionValues::new();
     let asked_at = now();
-    let want = Want {
+    let want = ConnectionRequest {
         owner: Owner::AnyAccount,
         need: Need::Server(id.clone()),
         priority: SAMPLE_PRIORITY,
         give_up_at: asked_at + PROBE_TIMEOUT,
-        patient_until: asked_at + PROBE_TIMEOUT,
+        in_time_until: asked_at + PROBE_TIMEOUT,
         values: &values,
         prepared: None,
     };
@@ -137,7 +137,7 @@
         }
         Err(_) => {
             report_failure(shard, id, "no answer in time");
-            shard.close_unproven(id, asked_at);
+            shard.close_stale(id, asked_at);
             shard.with_group(|group| group.observe_failure(now(), id));
         }
     }
--- a/daemon/src/engine/quota_control.rs
+++ b/daemon/src/engine/quota_control.rs
@@ -18,10 +18,10 @@
 use chervilwharf_lib::fleet::InstanceRecord;
 use chervilwharf_lib::id::AccountId;
 use chervilwharf_lib::id::InstanceId;
+use chervilwharf_lib::keeper_lease::ACCOUNT_SHARDS;
 use chervilwharf_lib::keeper_lease::Candidate;
 use chervilwharf_lib::keeper_lease::KeeperLease;
-use chervilwharf_lib::keeper_lease::RENEWAL;
-use chervilwharf_lib::keeper_lease::SHARDS;
+use chervilwharf_lib::keeper_lease::RENEWAL_INTERVAL;
 use chervilwharf_lib::keeper_lease::ShardNumber;
 use chervilwharf_lib::keeper_lease::Vote;
 use chervilwharf_lib::keeper_lease::Votes;
@@ -85,7 +85,7 @@
     #[must_use]
     pub fn new(started_at: Moment) -> Self {
         let mut shards = Vec::new();
-        shards.resize_with(SHARDS as usize, AccountShard::default);
+        shards.resize_with(ACCOUNT_SHARDS as usize, AccountShard::default);
         Self {
             inner: Mutex::new(Inner {
                 votes: Votes::new(started_at),
@@ -141,7 +141,7 @@
             continue;
         }
         engine.update_keeper_voters();
-        let shards = 0..SHARDS;
+        let shards = 0..ACCOUNT_SHARDS;
         let due: Vec<_> = shards.filter(|shard| engine.should_ask_votes(*shard)).collect();
         join_all(due.into_iter().map(|shard| engine.ask_votes(shard))).await;
     }
@@ -168,7 +168,7 @@
         if inner.recorded == recorded {
             return;
         }
-        for number in 0..SHARDS {
+        for number in 0..ACCOUNT_SHARDS {
             inner.shard(number).voters = Arc::new(voters(number, &recorded));
         }
         inner.recorded = recorded;
@@ -187,7 +187,7 @@
         };
         let rank = u32::try_from(rank).unwrap_or(u32::MAX);
         let asks = if shard.lease.is_held(at) {
-            shard.renewed_at + RENEWAL <= at
+            shard.renewed_at + RENEWAL_INTERVAL <= at
         } else {
             inner.votes.should_try(at, number, rank)
         };
@@ -263,7 +263,7 @@
     /// Another instance wants to keep a shard, or does not any more.
     #[must_use]
     pub fn keeper_vote(&self, question: &KeeperVote) -> KeeperVoteReply {
-        if question.shard >= SHARDS {
+        if question.shard >= ACCOUNT_SHARDS {
             return KeeperVoteReply::default();
         }
         let (at, instance) = (now(), question.instance.as_str());
--- a/daemon/src/engine/shard.rs
+++ b/daemon/src/engine/shard.rs
@@ -81,7 +81,7 @@
     /// Woken when the right to use the primary is wanted and missing.
     renewal: Arc<Notify>,
     /// Woken when the right to use the primary changed.
-    right_changed: Notify,
+    primary_lease_changed: Notify,
 }
 
 /// Longest time for a server's greeting, once it can be reached.
@@ -94,7 +94,7 @@
 
 /// Time between two tries of the direct way to a server that is reached
 /// through another instance.
-const DETOUR_CHECK: Duration = Duration::from_secs(2);
+const DETOUR_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Weight of the newest statement in the smoothed time, as one over this.
 const SERVICE_TIME_SMOOTHING: u32 = 16;
@@ -105,7 +105,7 @@
 
 /// After a server said that it has too many connections. Others have to
 /// give some up first, which takes the time of a transaction.
-const TOO_MANY_PAUSE: Duration = Duration::from_millis(300);
+const TOO_MANY_CONNECTIONS_PAUSE: Duration = Duration::from_millis(300);
 
 impl Shard {
     /// A group of which nothing is known yet, at an instance in a failure
@@ -119,8 +119,8 @@
         doubt: Arc<Notify>,
     ) -> Self {
         let inner = Inner { budget: 1, group: Group::with_home(home), ..Inner::default() };
-        let (inner, right_changed) = (Mutex::new(inner), Notify::new());
-        Self { id, connector, peers, inner, doubt, renewal: Arc::default(), right_changed }
+        let (inner, primary_lease_changed) = (Mutex::new(inner), Notify::new());
+        Self { id, connector, peers, inner, doubt, renewal: Arc::default(), primary_lease_changed }
     }
 
     /// With somebody to wake when the right to use the primary is missing.
@@ -168,8 +168,8 @@
     }
 
     /// The right to use the primary may have changed.
-    pub fn right_changed(self: &Arc<Self>) {
-        self.right_changed.notify_waiters();
+    pub fn primary_lease_changed(self: &Arc<Self>) {
+        self.primary_lease_changed.notify_waiters();
         self.pump();
     }
 
@@ -187,9 +187,9 @@
     /// then is lost.
     pub async fn confirm_term(&self, term: Term, until: Moment) -> bool {
         loop {
-            let changed = self.right_changed.notified();
+            let changed = self.primary_lease_changed.notified();
             let (holds, retired) = self.with_group(|group| {
-                (group.right().holds(now(), term), group.right().retired() >= term)
+                (group.primary_lease().holds(now(), term), group.primary_lease().retired() >= term)
             });
             if holds || retired || now() >= until {
                 return holds;
@@ -333,10 +333,10 @@
     /// A connection to a server gave no answer to what was sent at a moment. Connections
     /// can go silent together, without a reset: idle ones that have not answered since
     /// are closed, so that they do not take one statement after the other.
-    pub fn close_unproven(self: &Arc<Self>, server: &TargetId, sent_at: Moment) {
+    pub fn close_stale(self: &Arc<Self>, server: &TargetId, sent_at: Moment) {
         let closing = {
             let mut inner = self.lock();
-            inner.pools.get_mut(server).map(|pool| pool.take_unproven(sent_at))
+            inner.pools.get_mut(server).map(|pool| pool.take_stale(sent_at))
         };
         drop(closing);
         self.pump();
@@ -422,7 +422,8 @@
     pub fn detours_to_check(&self) -> Vec<TargetId> {
         let now = now();
         let mut inner = self.lock();
-        let due = inner.detours.iter_mut().filter(|(_, d)| d.checked_at + DETOUR_CHECK <= now);
+        let due =
+            inner.detours.iter_mut().filter(|(_, d)| d.checked_at + DETOUR_CHECK_INTERVAL <= now);
         due.map(|(id, detour)| {
             detour.checked_at = now;
             id.clone()
@@ -438,7 +439,7 @@
         }
     }
 
-    fn report_unopened(&self, server: &TargetId, reason: &str) {
+    fn log_open_failure(&self, server: &TargetId, reason: &str) {
         let event = Event::new(EventKind::ConnectionFailed).with("group", &self.id);
         event_log::emit(&event.with("server", server).with("reason", reason));
     }
@@ -470,8 +471,8 @@
             Err(ConnectError::Refused(refusal))
                 if refusal.kind == RefusalKind::TooManyConnections =>
             {
-                pool.share.blocked_until = now + TOO_MANY_PAUSE;
-                self.report_unopened(server, "too many connections");
+                pool.share.blocked_until = now + TOO_MANY_CONNECTIONS_PAUSE;
+                self.log_open_failure(server, "too many connections");
             }
             Err(error) => {
                 pool.share.blocked_until = now + OPEN_PAUSE;
@@ -481,7 +482,7 @@
                     inner.group.observe_failure(now, server);
                 }
                 drop(inner);
-                self.report_unopened(server, &error.to_string());
+                self.log_open_failure(server, &error.to_string());
                 let shard = self.clone();
                 tokio::spawn(async move {
                     tokio::time::sleep(OPEN_PAUSE).await;
--- a/daemon/src/engine/shard/assign.rs
+++ b/daemon/src/engine/shard/assign.rs
@@ -19,12 +19,12 @@
 use crate::engine::shard::Assignments;
 use crate::engine::shard::Inner;
 use crate::engine::shard::pool::Pool;
-use crate::engine::waiting::Want;
+use crate::engine::waiting::ConnectionRequest;
 
 /// How long a request whose account has no connection waits while those of others
 /// serve who waits for them, several one after the other. Closed for each account
 /// in turn, connections would serve one statement each.
-const SERVED_IN_TURN: Duration = Duration::from_millis(40);
+const REPLACE_DELAY: Duration = Duration::from_millis(40);
 
 impl Inner {
     /// Takes the idle connections that are over the budget, to close them.
@@ -47,7 +47,7 @@
     pub(in crate::engine) fn take_idle(
         &mut self,
         now: Moment,
-        want: &Want<'_>,
+        want: &ConnectionRequest<'_>,
     ) -> Option<(TargetId, PooledConnection)> {
         if let Some(account) = want.owner.account() {
             self.wanted.observe(now, account);
@@ -150,7 +150,7 @@
             rate / same(&pooled.account)
         };
         let may_close = |pooled: &PooledConnection| {
-            waited >= SERVED_IN_TURN || !self.is_waited_for(at, server, pooled)
+            waited >= REPLACE_DELAY || !self.is_waited_for(at, server, pooled)
         };
         let usable = idle.iter().enumerate().filter(|(_, pooled)| may_close(pooled));
         let least = usable.min_by(|(_, a), (_, b)| worth(a).total_cmp(&worth(b)));
--- a/daemon/src/engine/shard/pool.rs
+++ b/daemon/src/engine/shard/pool.rs
@@ -36,7 +36,7 @@
     }
 
     /// Takes out idle connections on which the server has not answered since a moment.
-    pub(super) fn take_unproven(&mut self, since: Moment) -> Vec<PooledConnection> {
+    pub(super) fn take_stale(&mut self, since: Moment) -> Vec<PooledConnection> {
         let idle = std::mem::take(&mut self.idle).into_iter();
         let (proven, unproven) = idle.partition(|idle| idle.has_answered_since(since));
         self.idle = proven;
--- a/daemon/src/engine/single.rs
+++ b/daemon/src/engine/single.rs
@@ -70,7 +70,7 @@
     };
     let sent_at = now();
     let result = exchange(session, &mut open, steps, limit).await;
-    session.trail_mut().sent(open.server().clone(), now().saturating_sub(sent_at));
+    session.trace_mut().sent(open.server().clone(), now().saturating_sub(sent_at));
     match result {
         Ok(replies) => {
             open.connection().settle();
@@ -81,7 +81,7 @@
             session.shard().with_group(|group| group.observe_failure(now(), open.server()));
             session.shard().doubt();
             if matches!(error, ExchangeError::Silent) {
-                session.shard().close_unproven(open.server(), sent_at);
+                session.shard().close_stale(open.server(), sent_at);
             }
             let event = Event::new(EventKind::ConnectionDropped);
             let event = event.with("group", session.shard().id()).with("server", open.server());
@@ -129,7 +129,7 @@
             Try::Done(served) => return Ok(served),
             Try::Failed(failure) => return Err(failure),
             Try::Again { failure, pause } => {
-                session.try_again(&failure);
+                session.report_retry(&failure);
                 last = failure;
                 tokio::time::sleep(pause.min(request.time_left(now()))).await;
             }
@@ -146,7 +146,7 @@
 ) -> Try {
     let consistency = request.route.consistency;
     let floor = session.floor_for(request.arrived_at, consistency);
-    session.trail_mut().floor = floor;
+    session.trace_mut().floor = floor;
     let need = match floor {
         Some(floor) => Need::Reader { floor, failed_server: failed_server.clone() },
         None => Need::Leader,
@@ -157,9 +157,9 @@
     };
     let server = lease.as_ref().map(|lease| lease.server().clone()).unwrap_or_default();
     if floor.is_none() && session.shard().term_of(&server).is_none() {
-        return unentitled(lease);
+        return retry_without_lease(lease);
     }
-    let mut steps = session.layout_steps(lease.as_mut(), work.prepared.as_ref());
+    let mut steps = session.setup_steps(lease.as_mut(), work.prepared.as_ref());
     let setup = steps.len();
     if floor.is_none() {
         // Only a transaction that may write is refused by a server that has
@@ -217,7 +217,7 @@
 
 /// The right to use the primary ended between the choice of the server and now:
 /// the instance stood still, or the primary is being replaced. Nothing was sent.
-fn unentitled(lease: Option<Lease>) -> Try {
+fn retry_without_lease(lease: Option<Lease>) -> Try {
     if let Some(lease) = lease {
         lease.give_back();
     }
@@ -295,7 +295,7 @@
             }
             Try::Failed(failure) => return Err(failure),
             Try::Again { failure, pause } => {
-                session.try_again(&failure);
+                session.report_retry(&failure);
                 last = failure;
                 tokio::time::sleep(pause.min(request.time_left(now()))).await;
             }
@@ -311,9 +311,9 @@
     };
     let server = lease.as_ref().map(|lease| lease.server().clone()).unwrap_or_default();
     let Some(term) = session.shard().term_of(&server) else {
-        return unentitled(lease);
+        return retry_without_lease(lease);
     };
-    let mut steps = session.layout_steps(lease.as_mut(), work.prepared.as_ref());
+    let mut steps = session.setup_steps(lease.as_mut(), work.prepared.as_ref());
     let main = steps.len();
     let id = Some(request.id.clone());
     steps.push(Step { id, floor: None, statement: work.statement.clone() });
--- a/daemon/tests/test_waiting.rs
+++ b/daemon/tests/test_waiting.rs
@@ -9,7 +9,7 @@
 use chervilwharf_daemon::engine::clock::now;
 use chervilwharf_daemon::engine::request::Failure;
 use chervilwharf_daemon::engine::shard::Shard;
-use chervilwharf_daemon::engine::waiting::Want;
+use chervilwharf_daemon::engine::waiting::ConnectionRequest;
 use chervilwharf_lib::error_kind::ErrorKind;
 use chervilwharf_lib::layout::SessionValues;
 use chervilwharf_lib::server_choice::Need;
@@ -30,12 +30,12 @@
 /// Waits for the primary, and tells why it was not had.
 async fn failure(shard: &Arc<Shard>, max_wait: Duration) -> Failure {
     let values = SessionValues::new();
-    let want = Want {
+    let want = ConnectionRequest {
         owner: Owner::Account(None),
         need: Need::Leader,
         priority: 1,
         give_up_at: now() + max_wait,
-        patient_until: now() + max_wait,
+        in_time_until: now() + max_wait,
         values: &values,
         prepared: None,
     };
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -40,7 +40,7 @@
 pub mod placement;
 pub mod pool;
 pub mod position;
-pub mod primary_right;
+pub mod primary_lease;
 pub mod quota;
 pub mod received_statements;
 pub mod retry;
--- a/lib/tests/quota_simulation/mod.rs
+++ b/lib/tests/quota_simulation/mod.rs
@@ -13,7 +13,7 @@
 use chervilwharf_lib::id::AccountId;
 use chervilwharf_lib::keeper_lease::Candidate;
 use chervilwharf_lib::keeper_lease::KeeperLease;
-use chervilwharf_lib::keeper_lease::RENEWAL;
+use chervilwharf_lib::keeper_lease::RENEWAL_INTERVAL;
 use chervilwharf_lib::keeper_lease::Vote;
 use chervilwharf_lib::keeper_lease::Votes;
 use chervilwharf_lib::keeper_lease::voters;
@@ -212,7 +212,7 @@
             if self.without == Some(Rule::UnlistedInstancesCount) {
                 one.fleet.replace(now, listed.clone());
             } else {
-                one.fleet.replace_by_copy(now, listed.clone());
+                one.fleet.replace_after_store_restore(now, listed.clone());
             }
         }
     }
@@ -325,7 +325,7 @@
         };
         let rank = u32::try_from(rank).expect("there are few voters");
         let due = if me.lease.is_held(self.now) {
-            me.renewed_at + RENEWAL <= self.now
+            me.renewed_at + RENEWAL_INTERVAL <= self.now
         } else {
             me.votes.should_try(self.now, SHARD, rank)
         };
--- a/lib/tests/test_sharing.rs
+++ b/lib/tests/test_sharing.rs
@@ -11,7 +11,7 @@
 use chervilwharf_lib::connection_budget::budget;
 use chervilwharf_lib::fleet::Fleet;
 use chervilwharf_lib::fleet::InstanceRecord;
-use chervilwharf_lib::fleet::SILENT_AFTER;
+use chervilwharf_lib::fleet::UNREACHABLE_AFTER;
 use chervilwharf_lib::group::Group;
 use chervilwharf_lib::group::ServerInfo;
 use chervilwharf_lib::group::ServerStatus;
@@ -151,7 +151,7 @@
         fleets[1].heard(at(ms), "a", false);
     }
     for fleet in &fleets {
-        assert!(!fleet.live(SILENT_AFTER + at(500)).contains(&"c".into()));
+        assert!(!fleet.live(UNREACHABLE_AFTER + at(500)).contains(&"c".into()));
         assert_eq!(fleet.live(at(9_000)).len(), 2);
     }
     let removing: usize = fleets.iter().map(|fleet| fleet.removable(at(9_000)).len()).sum();
@@ -175,7 +175,7 @@
 #[test]
 fn test_paused_instance_does_not_count_the_others_as_dead() {
     let mut fleet = fleet(&["a", "b", "c"]);
-    fleet.stood_still(at(20_000));
+    fleet.process_paused(at(20_000));
     assert_eq!(fleet.live(at(20_001)).len(), 4);
 }
 
