--- a/lib/tests/quota_simulation/mod.rs
+++ b/lib/tests/quota_simulation/mod.rs
@@ -1,5 +1,6 @@
-//! Instances that count one account's operations on a virtual clock, with kills,
-//! partitions and lost answers, and a checker of the sliding window.
+//! Simulation of the instances that count one account's operations, on a virtual clock.
+//! It injects kills, partitions, lost answers and restores of the store from a backup,
+//! and counts the operations in a sliding window and the keepers at each time.
 
 use std::collections::HashSet;
 use std::collections::VecDeque;
@@ -27,72 +28,77 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-/// A rule of the product that can be taken out, to see that it is noticed.
+/// A rule of the protocol that a simulation can leave out, to check that the violation
+/// is detected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
     /// A keeper needs more than half of the votes.
     Majority,
-    /// A voter votes for one candidate only.
-    OneVote,
-    /// A lease ends unless it is renewed.
-    LeaseEnds,
-    /// A new keeper begins with little.
-    BeginsWithLittle,
-    /// Who finds no keeper lets little begin.
-    AloneLittle,
-    /// Instances that a copy of the store lacks count on.
-    UnlistedCount,
-    /// An instance that starts is told by others whom a copy lacks.
-    OthersTell,
-    /// An instance that starts soon after a copy, and is told by nobody, waits.
-    WaitAfterCopy,
+    /// A voter votes for only one candidate at a time.
+    OneVotePerVoter,
+    /// A lease expires unless it is renewed.
+    LeaseExpires,
+    /// A new keeper grants only a small initial burst.
+    SmallInitialBurst,
+    /// An instance that finds no keeper admits only a fraction of its share.
+    LimitedWithoutKeeper,
+    /// Instances that a restored store does not list still count as members.
+    UnlistedInstancesCount,
+    /// A starting instance receives from its peers the instances that a restored store
+    /// does not list.
+    PeersReportUnlisted,
+    /// An instance that starts soon after a restore and reaches no peer waits until the
+    /// running instances are listed again.
+    WaitAfterRestore,
 }
 
-/// The shard of the account; any will do.
+/// Shard of the account. Its number does not matter.
 const SHARD: u32 = 0;
 
+/// Step of the virtual clock.
 const TICK: Duration = Duration::from_millis(10);
 
-/// The limit of the account.
+/// Limit of the account.
 pub const LIMIT: QuotaLimit = QuotaLimit { rate_per_s: 40.0, burst: 40.0 };
 
-/// What the platform allows beyond it.
+/// Excess over the limit that the platform allows.
 pub const TOLERANCE: QuotaTolerance =
     QuotaTolerance { window: Duration::from_secs(5), excess: 0.1, slack: 20.0 };
 
 struct Instance {
     record: InstanceRecord,
-    /// Dead until then.
+    /// The instance is down before this time.
     down_until: Moment,
     votes: Votes,
     lease: KeeperLease,
     renewed_at: Moment,
-    book: QuotaCounters,
+    counters: QuotaCounters,
     allowance: Allowance,
     fleet: Fleet,
-    /// Whether it knows the others.
-    knows_fleet: bool,
+    /// Whether the instance has a list of the other instances.
+    fleet_known: bool,
     started_at: Moment,
 }
 
-/// By then all that are alive are listed again.
-const LISTED_AGAIN: Duration = Duration::from_millis(2_500);
+/// Time after a restore of the store by which all running instances are listed again.
+const RELISTING_TIME: Duration = Duration::from_millis(2_500);
 
-/// How long an instance waits that nobody told of the others.
-const START_LIMIT: Duration = Duration::from_secs(3);
+/// How long an instance that reaches no peer waits after its start before it uses the
+/// list of the store alone.
+const MAX_START_WAIT: Duration = Duration::from_secs(3);
 
 impl Instance {
     fn new(now: Moment, record: InstanceRecord) -> Self {
         Self {
             fleet: Fleet::new(record.id.clone()),
-            knows_fleet: false,
+            fleet_known: false,
             started_at: now,
             record,
             down_until: now,
             votes: Votes::new(now),
             lease: KeeperLease::default(),
             renewed_at: Moment::ZERO,
-            book: QuotaCounters::default(),
+            counters: QuotaCounters::default(),
             allowance: Allowance::new(now),
         }
     }
@@ -102,39 +108,41 @@
     }
 }
 
-/// What a play saw.
+/// Results of a simulation.
 #[derive(Debug, Default)]
-pub struct Seen {
-    /// Most operations in a window.
-    pub most: usize,
-    /// Operations that began.
-    pub begun: usize,
-    /// Operations that were refused.
+pub struct Observations {
+    /// Highest number of operations in a window.
+    pub max_in_window: usize,
+    /// Number of operations that started.
+    pub started: usize,
+    /// Number of operations that were refused.
     pub refused: usize,
-    /// Changes of keeper.
-    pub keepers: usize,
-    /// Times at which two instances counted.
-    pub doubles: usize,
+    /// Number of changes of keeper.
+    pub keeper_changes: usize,
+    /// Number of clock steps at which two instances held the lease of the keeper.
+    pub double_keepers: usize,
 }
 
-/// Instances of one account.
-pub struct QuotaWorld {
+/// The instances that serve one account, and the faults between them.
+pub struct QuotaSimulation {
     rng: StdRng,
     without: Option<Rule>,
     now: Moment,
     instances: Vec<Instance>,
-    /// Instances cut off from the others, who reach each other.
+    /// Instances that are partitioned from all others, but reach each other.
     cut_off: HashSet<usize>,
-    heals_at: Moment,
-    /// When each instance is listed again that the store's copy lacks.
+    partition_ends_at: Moment,
+    /// Time from which the store lists each instance; later than now for those that the
+    /// restored store does not list yet.
     listed_from: Vec<Moment>,
-    copied_at: Moment,
+    restored_at: Moment,
     window: VecDeque<Moment>,
-    seen: Seen,
+    observed: Observations,
 }
 
-impl QuotaWorld {
-    /// A world of a seed.
+impl QuotaSimulation {
+    /// Creates a simulation with 1 to 16 instances, determined by `seed`, that leaves out
+    /// the rule `without`.
     pub fn new(seed: u64, without: Option<Rule>) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let count = rng.random_range(1..=16);
@@ -153,55 +161,55 @@
             now,
             instances,
             cut_off: HashSet::new(),
-            heals_at: Moment::ZERO,
+            partition_ends_at: Moment::ZERO,
             listed_from: vec![Moment::ZERO; count],
-            copied_at: Moment::ZERO,
+            restored_at: Moment::ZERO,
             window: VecDeque::new(),
-            seen: Seen::default(),
+            observed: Observations::default(),
         }
     }
 
-    /// Plays twenty seconds of an account that asks for `per_s`, with or without
-    /// faults.
-    pub fn play(mut self, per_s: f64, faults: bool) -> Seen {
+    /// Simulates twenty seconds in which clients of the account request `per_s`
+    /// operations per second, with or without faults.
+    pub fn run(mut self, per_s: f64, faults: bool) -> Observations {
         let end = self.now + Duration::from_secs(20);
         while self.now < end {
             self.now += TICK;
             if faults {
-                self.strike();
+                self.inject_faults();
             }
             for index in 0..self.instances.len() {
-                self.keep(index);
+                self.run_keeper_round(index);
             }
             let expected = per_s * TICK.as_secs_f64();
             let mut wanted = expected.floor();
             wanted += f64::from(u8::from(self.rng.random_bool(expected - wanted)));
             while wanted >= 1.0 {
                 wanted -= 1.0;
-                self.begin_one();
+                self.start_operation();
             }
-            let held = self
+            let lease_holders = self
                 .instances
                 .iter()
                 .filter(|one| one.down_until <= self.now && one.lease.is_held(self.now));
-            self.seen.doubles += usize::from(held.count() > 1);
+            self.observed.double_keepers += usize::from(lease_holders.count() > 1);
         }
-        self.seen
+        self.observed
     }
 
-    /// The store comes back from a copy that lacks some of the instances, which write
-    /// their records again.
-    fn come_back_from_a_copy(&mut self) {
+    /// Restores the store from a backup that does not list some of the instances. They
+    /// write their records again within [`RELISTING_TIME`].
+    fn restore_store_from_backup(&mut self) {
         for index in 0..self.instances.len() {
             if self.rng.random_bool(0.5) {
-                let after = self.rng.random_range(Duration::ZERO..LISTED_AGAIN);
+                let after = self.rng.random_range(Duration::ZERO..RELISTING_TIME);
                 self.listed_from[index] = self.now + after;
             }
         }
         let (now, listed) = (self.now, self.listed());
-        self.copied_at = now;
+        self.restored_at = now;
         for one in &mut self.instances {
-            if self.without == Some(Rule::UnlistedCount) {
+            if self.without == Some(Rule::UnlistedInstancesCount) {
                 one.fleet.replace(now, listed.clone());
             } else {
                 one.fleet.replace_after_store_restore(now, listed.clone());
@@ -209,17 +217,18 @@
         }
     }
 
-    /// What the store lists now.
+    /// The instances that the store lists now.
     fn listed(&self) -> Vec<InstanceRecord> {
         let all = self.instances.iter().zip(&self.listed_from);
         let listed = all.filter(|(_, from)| **from <= self.now);
         listed.map(|(one, _)| one.record.clone()).collect()
     }
 
-    /// An instance learns what is listed, at its start also from others that it reaches.
-    fn learn_fleet(&mut self, index: usize) {
+    /// Updates an instance's list of the others from the store, at its start also from a
+    /// peer that it reaches.
+    fn update_fleet(&mut self, index: usize) {
         let (now, listed) = (self.now, self.listed());
-        if self.instances[index].knows_fleet {
+        if self.instances[index].fleet_known {
             let me = &mut self.instances[index];
             for record in listed {
                 me.fleet.present(now, record);
@@ -227,43 +236,44 @@
             me.fleet.forget_unlisted(now);
             return;
         }
-        let knows = |other: &usize| {
-            *other != index && self.reaches(index, *other) && self.instances[*other].knows_fleet
+        let has_list = |other: &usize| {
+            *other != index && self.reaches(index, *other) && self.instances[*other].fleet_known
         };
-        let told = (0..self.instances.len()).find(knows);
-        let waits = self.copied_at + LISTED_AGAIN > now
-            && self.instances[index].started_at + START_LIMIT > now
-            && self.without != Some(Rule::WaitAfterCopy);
-        if told.is_none() && waits {
+        let reported = (0..self.instances.len()).find(has_list);
+        let must_wait = self.restored_at + RELISTING_TIME > now
+            && self.instances[index].started_at + MAX_START_WAIT > now
+            && self.without != Some(Rule::WaitAfterRestore);
+        if reported.is_none() && must_wait {
             return;
         }
-        let told = told.map(|other| self.recorded(other)).unwrap_or_default();
+        let reported = reported.map(|other| self.recorded(other)).unwrap_or_default();
         let me = &mut self.instances[index];
         me.fleet.replace(now, listed);
-        if self.without != Some(Rule::OthersTell) {
-            me.fleet.add_unlisted(now, told);
+        if self.without != Some(Rule::PeersReportUnlisted) {
+            me.fleet.add_unlisted(now, reported);
         }
-        me.knows_fleet = true;
+        me.fleet_known = true;
     }
 
-    /// The instances that one knows, itself included.
+    /// The instances that an instance has in its list, including itself.
     fn recorded(&self, index: usize) -> Vec<InstanceRecord> {
         let me = &self.instances[index];
         me.fleet.others().chain([&me.record]).cloned().collect()
     }
 
-    fn strike(&mut self) {
+    fn inject_faults(&mut self) {
         if self.rng.random_bool(0.003) {
-            self.come_back_from_a_copy();
+            self.restore_store_from_backup();
         }
-        if self.now >= self.heals_at {
+        if self.now >= self.partition_ends_at {
             self.cut_off.clear();
         }
         if self.rng.random_bool(0.004) {
             let share = self.rng.random_range(0.1..0.6);
             let chosen = (0..self.instances.len()).filter(|_| self.rng.random_bool(share));
             self.cut_off = chosen.collect();
-            self.heals_at = self.now + Duration::from_millis(self.rng.random_range(100..6_000));
+            self.partition_ends_at =
+                self.now + Duration::from_millis(self.rng.random_range(100..6_000));
         }
         if self.rng.random_bool(0.004) {
             let share = if self.rng.random_bool(0.3) { 1.0 } else { 0.4 };
@@ -300,12 +310,12 @@
         self.is_up(from) && self.is_up(to) && same_side
     }
 
-    fn keep(&mut self, index: usize) {
+    fn run_keeper_round(&mut self, index: usize) {
         if !self.is_up(index) {
             return;
         }
-        self.learn_fleet(index);
-        if !self.instances[index].knows_fleet {
+        self.update_fleet(index);
+        if !self.instances[index].fleet_known {
             return;
         }
         let voters = voters(SHARD, &self.recorded(index));
@@ -313,7 +323,7 @@
         let Some(rank) = voters.iter().position(|voter| voter.id == me.record.id) else {
             return;
         };
-        let rank = u32::try_from(rank).expect("few voters");
+        let rank = u32::try_from(rank).expect("there are few voters");
         let due = if me.lease.is_held(self.now) {
             me.renewed_at + RENEWAL_INTERVAL <= self.now
         } else {
@@ -325,7 +335,7 @@
         me.renewed_at = self.now;
         for voter in &voters {
             let is_voter = |one: &Instance| one.record.id == voter.id;
-            let to = self.instances.iter().position(is_voter).expect("one of them");
+            let to = self.instances.iter().position(is_voter).expect("each voter is an instance");
             self.ask_vote(index, to);
         }
         let me = &mut self.instances[index];
@@ -334,11 +344,11 @@
             _ => voters.clone(),
         };
         if me.lease.check(self.now, &needed) {
-            self.seen.keepers += 1;
-            if self.without == Some(Rule::BeginsWithLittle) {
-                me.book = QuotaCounters::default();
+            self.observed.keeper_changes += 1;
+            if self.without == Some(Rule::SmallInitialBurst) {
+                me.counters = QuotaCounters::default();
             } else {
-                me.book.restart_counts();
+                me.counters.restart_counts();
             }
         }
         if !me.lease.is_held(self.now) {
@@ -357,7 +367,7 @@
             return;
         }
         let candidate = self.instances[from].candidate();
-        if self.without == Some(Rule::OneVote) {
+        if self.without == Some(Rule::OneVotePerVoter) {
             self.instances[to].votes = Votes::new(Moment::ZERO);
         }
         let vote = self.instances[to].votes.ask(self.now, SHARD, candidate);
@@ -367,16 +377,16 @@
         }
         let voter = self.instances[to].record.id.clone();
         let asked_at = match self.without {
-            Some(Rule::LeaseEnds) => self.now + Duration::from_secs(60),
+            Some(Rule::LeaseExpires) => self.now + Duration::from_secs(60),
             _ => self.now,
         };
         self.instances[from].lease.answered(asked_at, &voter, &vote);
-        if matches!(vote, Vote::Refused) && self.without == Some(Rule::LeaseEnds) {
+        if matches!(vote, Vote::Refused) && self.without == Some(Rule::LeaseExpires) {
             self.instances[from].renewed_at = self.now;
         }
     }
 
-    fn begin_one(&mut self) {
+    fn start_operation(&mut self) {
         let index = self.rng.random_range(0..self.instances.len());
         if !self.is_up(index) {
             return;
@@ -385,30 +395,34 @@
         let admitted = match self.instances[index].allowance.admit(self.now) {
             Admission::Admitted => true,
             Admission::Refused { .. } => false,
-            Admission::Ask(wanted) => self.ask_keepers(index, &account, wanted),
+            Admission::Ask(wanted) => self.ask_keeper(index, &account, wanted),
         };
         if admitted {
-            self.note_begun();
+            self.record_started();
         } else {
-            self.seen.refused += 1;
+            self.observed.refused += 1;
         }
     }
 
-    /// Any instance that counts may answer an entry that reaches it.
-    fn ask_keepers(&mut self, index: usize, account: &AccountId, wanted: u32) -> bool {
+    /// Requests operations from any instance that holds the keeper's lease and is
+    /// reachable; without one, decides without a keeper. Returns whether the operation is
+    /// admitted.
+    fn ask_keeper(&mut self, index: usize, account: &AccountId, wanted: u32) -> bool {
         let now = self.now;
         let instances = self.instances.len();
-        let keeps = |to: &usize| self.instances[*to].lease.is_held(now) && self.reaches(index, *to);
-        let Some(keeper) = (0..instances).find(keeps) else {
-            let instances = if self.without == Some(Rule::AloneLittle) { 1 } else { instances };
+        let is_keeper =
+            |to: &usize| self.instances[*to].lease.is_held(now) && self.reaches(index, *to);
+        let Some(keeper) = (0..instances).find(is_keeper) else {
+            let instances =
+                if self.without == Some(Rule::LimitedWithoutKeeper) { 1 } else { instances };
             return self.instances[index].allowance.admit_without_keeper(now, LIMIT, instances);
         };
-        let mut grant = TOLERANCE.applied_to(LIMIT);
-        if self.without == Some(Rule::BeginsWithLittle) {
-            grant.first = LIMIT.burst * 2.0;
-            grant.limit.burst = grant.first;
+        let mut quota = TOLERANCE.applied_to(LIMIT);
+        if self.without == Some(Rule::SmallInitialBurst) {
+            quota.initial_burst = LIMIT.burst * 2.0;
+            quota.limit.burst = quota.initial_burst;
         }
-        let answer = self.instances[keeper].book.ask(now, account, grant, wanted);
+        let answer = self.instances[keeper].counters.ask(now, account, quota, wanted);
         let allowance = &mut self.instances[index].allowance;
         match answer {
             QuotaAnswer::Granted(count) => {
@@ -422,12 +436,12 @@
         }
     }
 
-    fn note_begun(&mut self) {
-        self.seen.begun += 1;
+    fn record_started(&mut self) {
+        self.observed.started += 1;
         self.window.push_back(self.now);
         while self.window.front().is_some_and(|at| *at + TOLERANCE.window <= self.now) {
             self.window.pop_front();
         }
-        self.seen.most = self.seen.most.max(self.window.len());
+        self.observed.max_in_window = self.observed.max_in_window.max(self.window.len());
     }
 }
