--- a/daemon/src/engine/lease.rs
+++ b/daemon/src/engine/lease.rs
@@ -2,10 +2,10 @@
 
 use std::sync::Arc;
 
+use chervilwharf_lib::connection_setup::ConnectionSetup;
+use chervilwharf_lib::connection_setup::SessionValues;
 use chervilwharf_lib::id::AccountId;
 use chervilwharf_lib::id::TargetId;
-use chervilwharf_lib::layout::ConnectionLayout;
-use chervilwharf_lib::layout::SessionValues;
 use chervilwharf_lib::moment::Moment;
 use chervilwharf_lib::statement::Prepared;
 
@@ -21,8 +21,8 @@
     pub account: Option<AccountId>,
     /// The connection itself.
     pub connection: Box<dyn ServerConnection>,
-    layout: ConnectionLayout,
-    /// Whether setup statements that `layout` counts as run may not have run.
+    connection_setup: ConnectionSetup,
+    /// Whether setup statements that `connection_setup` counts as run may not have run.
     setup_pending: bool,
     /// When the server last answered on it.
     answered_at: Moment,
@@ -32,20 +32,20 @@
     /// Wraps a connection that was just opened.
     #[must_use]
     pub fn new(account: Option<AccountId>, connection: Box<dyn ServerConnection>) -> Self {
-        let (layout, answered_at) = (ConnectionLayout::default(), now());
-        Self { account, connection, layout, setup_pending: false, answered_at }
+        let (connection_setup, answered_at) = (ConnectionSetup::default(), now());
+        Self { account, connection, connection_setup, setup_pending: false, answered_at }
     }
 
     /// How many statements it takes to set the connection up for a session.
     #[must_use]
     pub fn distance(&self, values: &SessionValues, prepared: Option<&Prepared>) -> usize {
-        self.layout.distance(values, prepared)
+        self.connection_setup.distance(values, prepared)
     }
 
     /// Statements that set the connection up for a session. They count as run from now on,
     /// so the caller has to send them; otherwise the connection cannot be reused.
     pub fn adapt(&mut self, values: &SessionValues, prepared: Option<&Prepared>) -> Vec<Step> {
-        let steps = self.layout.adapt(values, prepared);
+        let steps = self.connection_setup.adapt(values, prepared);
         self.setup_pending |= !steps.is_empty();
         steps.into_iter().map(Step::own).collect()
     }
--- a/daemon/src/engine/waiting.rs
+++ b/daemon/src/engine/waiting.rs
@@ -10,11 +10,11 @@
 use std::time::Duration;
 
 use chervilwharf_lib::admission::Priority;
+use chervilwharf_lib::connection_setup::SessionValues;
 use chervilwharf_lib::error_kind::ErrorKind;
 use chervilwharf_lib::event::Event;
 use chervilwharf_lib::event::EventKind;
 use chervilwharf_lib::id::TargetId;
-use chervilwharf_lib::layout::SessionValues;
 use chervilwharf_lib::load_shedding::QueueDecision;
 use chervilwharf_lib::load_shedding::WaitForecast;
 use chervilwharf_lib::moment::Moment;
