--- a/daemon/src/engine/probe.rs
+++ b/daemon/src/engine/probe.rs
@@ -3,11 +3,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use chervilwharf_lib::connection_setup::SessionValues;
 use chervilwharf_lib::event::Event;
 use chervilwharf_lib::event::EventKind;
 use chervilwharf_lib::group::ServerStatus;
 use chervilwharf_lib::id::TargetId;
-use chervilwharf_lib::layout::SessionValues;
 use chervilwharf_lib::moment::Moment;
 use chervilwharf_lib::pool_share::Need;
 use chervilwharf_lib::pool_share::Owner;
--- a/daemon/src/engine/single.rs
+++ b/daemon/src/engine/single.rs
@@ -328,7 +328,7 @@
     if let Some(refusal) = first_refusal(&replies[..main]) {
         // The write was sent behind the refused step. Only its own reply
         // tells whether it ran.
-        let ran = reply.result.as_ref().err().is_none_or(|own| !own.kind.promises_no_run());
+        let ran = reply.result.as_ref().err().is_none_or(|own| !own.kind.guarantees_not_run());
         return if ran {
             Try::Failed(Failure::new(ErrorKind::OutcomeUnknown))
         } else {
--- a/lib/src/config_check.rs
+++ b/lib/src/config_check.rs
@@ -105,12 +105,12 @@
 }
 
 /// A value and its place in the text.
-struct Placed<'a, T> {
+struct Located<'a, T> {
     raw: &'a RawValue,
     value: T,
 }
 
-type Section<'a, T> = BTreeMap<String, Placed<'a, T>>;
+type Section<'a, T> = BTreeMap<String, Located<'a, T>>;
 
 struct Checker<'a> {
     text: &'a str,
@@ -173,7 +173,7 @@
                 self.error(raw, "a name must not be empty".into());
             }
             if let Some(value) = self.value::<T>(raw) {
-                section.insert(name, Placed { raw, value });
+                section.insert(name, Located { raw, value });
             }
         }
         section
@@ -184,7 +184,10 @@
         let members = match serde_json::from_str::<Members<'a>>(raw.get()) {
             Ok(Members(members)) => members,
             Err(error) => {
-                self.error(raw, format!("{}, expected an object", first_words(&error)));
+                self.error(
+                    raw,
+                    format!("{}, expected an object", message_without_position(&error)),
+                );
                 return None;
             }
         };
@@ -203,7 +206,7 @@
             Err(error) => {
                 let start = self.offset(raw);
                 let inner = offset_of(raw.get(), error.line(), error.column());
-                self.error_at(start + inner, first_words(&error));
+                self.error_at(start + inner, message_without_position(&error));
                 None
             }
         }
@@ -211,13 +214,13 @@
 
     fn check_databases(&mut self, databases: &Section<'a, Database>, domains: &[String]) {
         let mut seen = BTreeSet::new();
-        for (name, placed) in databases {
-            let servers = &placed.value.servers;
+        for (name, located) in databases {
+            let servers = &located.value.servers;
             if servers.is_empty() {
-                self.error(placed.raw, format!("database \"{name}\" has no server"));
+                self.error(located.raw, format!("database \"{name}\" has no server"));
             } else if servers.len() % 2 == 0 {
                 self.warning(
-                    placed.raw,
+                    located.raw,
                     format!(
                         "database \"{name}\" has {} servers; an even number survives no more \
                          failures than one less",
@@ -226,13 +229,13 @@
                 );
             }
             for server in servers {
-                let place = self.find(placed.raw, &server.id);
+                let place = self.first_offset_of(located.raw, &server.id);
                 if !seen.insert(server.id.clone()) {
-                    let place = self.find_last(placed.raw, &server.id);
+                    let place = self.last_offset_of(located.raw, &server.id);
                     self.error_at(place, format!("server \"{}\" stands twice", server.id));
                 }
                 if server.address.parse::<SocketAddr>().is_err() {
-                    let place = self.find(placed.raw, &server.address);
+                    let place = self.first_offset_of(located.raw, &server.address);
                     self.error_at(
                         place,
                         format!(
@@ -242,7 +245,7 @@
                     );
                 }
                 if !domains.iter().any(|domain| **domain == *server.failure_domain) {
-                    let place = self.find(placed.raw, &server.failure_domain);
+                    let place = self.first_offset_of(located.raw, &server.failure_domain);
                     self.error_at(
                         place,
                         format!(
@@ -272,11 +275,11 @@
         services: &Section<'a, Service>,
         databases: &Section<'a, Database>,
     ) {
-        for (name, placed) in services {
-            let service = &placed.value;
+        for (name, located) in services {
+            let service = &located.value;
             if !(service.objective > 0.0 && service.objective < 1.0) {
                 self.error(
-                    placed.raw,
+                    located.raw,
                     format!(
                         "service \"{name}\" has the objective {}, expected a share between 0 and 1",
                         service.objective
@@ -285,7 +288,7 @@
             }
             if service.deadline_ms == 0 || service.deadline_ms > DEADLINE_LIMIT_MS {
                 self.error(
-                    placed.raw,
+                    located.raw,
                     format!(
                         "service \"{name}\" has deadline_ms {}, expected 1 to {DEADLINE_LIMIT_MS}",
                         service.deadline_ms
@@ -294,7 +297,7 @@
             }
             for database in &service.depends_on.databases {
                 if !databases.contains_key(&**database) {
-                    let place = self.find(placed.raw, database);
+                    let place = self.first_offset_of(located.raw, database);
                     let hint = suggest(database, databases.keys().map(String::as_str));
                     let message = format!(
                         "service \"{name}\" needs the unknown database \"{database}\"{hint}"
@@ -304,7 +307,7 @@
             }
             for other in &service.depends_on.services {
                 if !services.contains_key(&**other) {
-                    let place = self.find(placed.raw, other);
+                    let place = self.first_offset_of(located.raw, other);
                     let hint = suggest(other, services.keys().map(String::as_str));
                     let message =
                         format!("service \"{name}\" needs the unknown service \"{other}\"{hint}");
@@ -334,14 +337,14 @@
     }
 
     fn check_accounts(&mut self, accounts: &Section<'a, Account>, services: &Section<'a, Service>) {
-        for (name, placed) in accounts {
-            let account = &placed.value;
+        for (name, located) in accounts {
+            let account = &located.value;
             if account.services.is_empty() {
-                self.error(placed.raw, format!("account \"{name}\" has no service"));
+                self.error(located.raw, format!("account \"{name}\" has no service"));
             }
             for service in &account.services {
                 if !services.contains_key(&**service) {
-                    let place = self.find(placed.raw, service);
+                    let place = self.first_offset_of(located.raw, service);
                     let hint = suggest(service, services.keys().map(String::as_str));
                     let message = format!(
                         "account \"{name}\" acts for the unknown service \"{service}\"{hint}"
@@ -351,7 +354,7 @@
             }
             if parse_verifier(&account.verifier).is_none() {
                 self.error(
-                    placed.raw,
+                    located.raw,
                     format!(
                         "the verifier of account \"{name}\" is not of the form \
                          SCRAM-SHA-256$iterations:salt$stored_key:server_key; \
@@ -368,26 +371,26 @@
         services: &Section<'a, Service>,
         accounts: &Section<'a, Account>,
     ) {
-        for (name, placed) in databases {
+        for (name, located) in databases {
             let used = services
                 .values()
                 .any(|service| service.value.depends_on.databases.iter().any(|id| **id == **name));
             if !used {
-                self.warning(placed.raw, format!("no service needs database \"{name}\""));
+                self.warning(located.raw, format!("no service needs database \"{name}\""));
             }
         }
-        for (name, placed) in services {
+        for (name, located) in services {
             let used = accounts
                 .values()
                 .any(|account| account.value.services.iter().any(|id| **id == **name));
             if !used {
-                self.warning(placed.raw, format!("no account acts for service \"{name}\""));
+                self.warning(located.raw, format!("no account acts for service \"{name}\""));
             }
         }
     }
 
     fn syntax_error(&mut self, error: &serde_json::Error) {
-        let message = first_words(error);
+        let message = message_without_position(error);
         self.findings.push(Finding {
             severity: Severity::Error,
             line: error.line().max(1),
@@ -423,24 +426,24 @@
     }
 
     /// Where a string stands inside a raw value for the last time.
-    fn find_last(&self, raw: &RawValue, needle: &str) -> usize {
+    fn last_offset_of(&self, raw: &RawValue, needle: &str) -> usize {
         let quoted = serde_json::to_string(needle).unwrap_or_default();
         self.offset(raw) + raw.get().rfind(&quoted).unwrap_or(0)
     }
 
     /// Where a string stands inside a raw value.
-    fn find(&self, raw: &RawValue, needle: &str) -> usize {
+    fn first_offset_of(&self, raw: &RawValue, needle: &str) -> usize {
         let quoted = serde_json::to_string(needle).unwrap_or_default();
         self.offset(raw) + raw.get().find(&quoted).unwrap_or(0)
     }
 }
 
 fn into_values<K: From<String> + Ord, T>(section: Section<'_, T>) -> BTreeMap<K, T> {
-    section.into_iter().map(|(name, placed)| (name.into(), placed.value)).collect()
+    section.into_iter().map(|(name, located)| (name.into(), located.value)).collect()
 }
 
 /// The message of an error without its place, which is given apart.
-fn first_words(error: &serde_json::Error) -> String {
+fn message_without_position(error: &serde_json::Error) -> String {
     let text = error.to_string();
     match text.rfind(" at line ") {
         Some(end) => text[..end].to_owned(),
@@ -474,10 +477,10 @@
     path: &mut Vec<String>,
     visited: &mut BTreeSet<String>,
 ) -> bool {
-    let Some(placed) = services.get(at) else {
+    let Some(located) = services.get(at) else {
         return false;
     };
-    for next in &placed.value.depends_on.services {
+    for next in &located.value.depends_on.services {
         path.push(next.to_string());
         if **next == *goal {
             return true;
--- a/lib/src/error_kind.rs
+++ b/lib/src/error_kind.rs
@@ -95,9 +95,9 @@
     pub burns_budget: bool,
 }
 
-const SOON: Option<Duration> = Some(Duration::from_millis(100));
-const AFTER_FAILOVER: Option<Duration> = Some(Duration::from_secs(1));
-const LATER: Option<Duration> = Some(Duration::from_secs(5));
+const RETRY_SOON: Option<Duration> = Some(Duration::from_millis(100));
+const RETRY_AFTER_FAILOVER: Option<Duration> = Some(Duration::from_secs(1));
+const RETRY_LATER: Option<Duration> = Some(Duration::from_secs(5));
 
 impl ErrorKind {
     /// Every kind, in the order of the table in the documentation.
@@ -143,36 +143,36 @@
         use Outcome::Unknown;
         let (sqlstate, outcome, retry_after, burns_budget) = match self {
             Self::ServerRefused => ("XX000", NotRun, None, false),
-            Self::NotOwner => ("57P03", NotRun, SOON, true),
-            Self::NoPrimary => ("57P03", NotRun, AFTER_FAILOVER, true),
-            Self::Overloaded => ("53300", NotRun, SOON, true),
-            Self::DeadlineBeforeStart => ("57014", NotRun, SOON, true),
-            Self::OutcomeUnknown => ("40003", Unknown, SOON, true),
+            Self::NotOwner => ("57P03", NotRun, RETRY_SOON, true),
+            Self::NoPrimary => ("57P03", NotRun, RETRY_AFTER_FAILOVER, true),
+            Self::Overloaded => ("53300", NotRun, RETRY_SOON, true),
+            Self::DeadlineBeforeStart => ("57014", NotRun, RETRY_SOON, true),
+            Self::OutcomeUnknown => ("40003", Unknown, RETRY_SOON, true),
             Self::Cancelled => ("57014", NotRun, None, true),
             Self::RequestIdReused => ("22023", NotRun, None, false),
             Self::RequestIdExpired => ("22023", NotRun, None, false),
             Self::AnswerNotKept => ("54000", NotRun, None, false),
             Self::UnknownDatabase => ("3D000", NotRun, None, false),
             Self::NotAllowed => ("42501", NotRun, None, false),
-            Self::TooManyConnections => ("53300", NotRun, LATER, false),
-            Self::RateLimited => ("53400", NotRun, SOON, false),
+            Self::TooManyConnections => ("53300", NotRun, RETRY_LATER, false),
+            Self::RateLimited => ("53400", NotRun, RETRY_SOON, false),
             Self::StatementTooLarge => ("54000", NotRun, None, false),
             Self::ResultTooLarge => ("54000", NotRun, None, false),
             Self::BadStatement => ("42601", NotRun, None, false),
-            Self::TransactionLost => ("40001", NotRun, SOON, true),
+            Self::TransactionLost => ("40001", NotRun, RETRY_SOON, true),
             Self::TransactionAborted => ("25P02", NotRun, None, false),
             Self::Unsupported => ("0A000", NotRun, None, false),
-            Self::Stopping => ("57P01", NotRun, SOON, true),
-            Self::InFlight => ("55006", Unknown, SOON, false),
+            Self::Stopping => ("57P01", NotRun, RETRY_SOON, true),
+            Self::InFlight => ("55006", Unknown, RETRY_SOON, false),
             Self::ServerFailed => ("XX000", Unknown, None, true),
             Self::ServerTimedOut => ("57014", Unknown, None, true),
             Self::UnknownPreparedName => ("26000", NotRun, None, false),
-            Self::ReplicasBehind => ("57P03", NotRun, SOON, true),
-            Self::NotConfigured => ("57P03", NotRun, SOON, true),
-            Self::CutOff => ("57P03", NotRun, SOON, true),
-            Self::HolderSilent => ("57P03", NotRun, SOON, true),
+            Self::ReplicasBehind => ("57P03", NotRun, RETRY_SOON, true),
+            Self::NotConfigured => ("57P03", NotRun, RETRY_SOON, true),
+            Self::CutOff => ("57P03", NotRun, RETRY_SOON, true),
+            Self::HolderSilent => ("57P03", NotRun, RETRY_SOON, true),
             Self::UnknownKey => ("28000", NotRun, None, false),
-            Self::QuotaUnknown => ("57P03", NotRun, SOON, true),
+            Self::QuotaUnknown => ("57P03", NotRun, RETRY_SOON, true),
         };
         AnswerRule { sqlstate, outcome, retry_after, burns_budget }
     }
--- a/lib/src/story.rs
+++ b/lib/src/explanation.rs
@@ -80,7 +80,7 @@
 
 /// A line of a story: a log line, and how often the same was said.
 #[derive(Clone, Debug, PartialEq)]
-pub struct StoryLine {
+pub struct ExplanationLine {
     /// The first of the lines.
     pub line: LogLine,
     /// How many there were.
@@ -91,9 +91,9 @@
 
 /// The story of one request.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Story {
+pub struct Explanation {
     /// What the logs say, in order of time.
-    pub lines: Vec<StoryLine>,
+    pub lines: Vec<ExplanationLine>,
     /// The cause, as far as the logs tell it.
     pub cause: Option<String>,
     /// What the logs do not tell.
@@ -102,11 +102,11 @@
 
 /// Puts the story of a request together.
 #[must_use]
-pub fn tell(id: &str, mut log: Vec<LogLine>) -> Story {
+pub fn explain_request(id: &str, mut log: Vec<LogLine>) -> Explanation {
     log.sort_by_key(|line| line.at_ms);
     let own: Vec<&LogLine> = log.iter().filter(|line| line.text("id") == Some(id)).collect();
     let (Some(first), Some(last)) = (own.first(), own.last()) else {
-        return Story { missing: absent(&log), ..Story::default() };
+        return Explanation { missing: missing_without_lines(&log), ..Explanation::default() };
     };
     let took_ms = last.number("took_ms").clamp(0.0, 1.0e9);
     #[allow(
@@ -124,14 +124,14 @@
             && CONTEXT_EVENTS.contains(&&*line.event)
             && concerns(line, &group, &servers, &instances)
     };
-    let mut lines: Vec<StoryLine> = Vec::new();
+    let mut lines: Vec<ExplanationLine> = Vec::new();
     for line in log.iter().filter(|line| line.text("id") == Some(id) || related(line)) {
         let own = line.text("id") == Some(id);
-        add(&mut lines, line, own);
+        add_or_count(&mut lines, line, own);
     }
     let cause = cause_of(last, &lines);
     let missing = missing_for(last, &log);
-    Story { lines, cause, missing }
+    Explanation { lines, cause, missing }
 }
 
 fn concerns(
@@ -140,17 +140,17 @@
     servers: &BTreeSet<&str>,
     instances: &BTreeSet<&str>,
 ) -> bool {
-    let mine = instances.contains(&*line.instance);
+    let same_instance = instances.contains(&*line.instance);
     match (line.text("group"), line.text("server")) {
         (Some(of), _) => of == group,
         (None, Some(server)) => servers.contains(server),
-        (None, None) => mine,
+        (None, None) => same_instance,
     }
 }
 
 /// Adds a line, or counts it with one that said the same.
-fn add(lines: &mut Vec<StoryLine>, line: &LogLine, own: bool) {
-    let same = |known: &&mut StoryLine| {
+fn add_or_count(lines: &mut Vec<ExplanationLine>, line: &LogLine, own: bool) {
+    let same = |known: &&mut ExplanationLine| {
         !own && !known.own
             && known.line.instance == line.instance
             && known.line.event == line.event
@@ -159,11 +159,11 @@
     };
     match lines.iter_mut().find(same) {
         Some(known) => known.count += 1,
-        None => lines.push(StoryLine { line: line.clone(), count: 1, own }),
+        None => lines.push(ExplanationLine { line: line.clone(), count: 1, own }),
     }
 }
 
-fn absent(log: &[LogLine]) -> Vec<String> {
+fn missing_without_lines(log: &[LogLine]) -> Vec<String> {
     let mut missing = vec![
         "no line names this id: it was served within its objective, or by an instance whose \
          log is not among these files"
@@ -193,7 +193,7 @@
 
 /// What the lines say of the cause, from the last line of the request and
 /// what happened around it.
-fn cause_of(last: &LogLine, lines: &[StoryLine]) -> Option<String> {
+fn cause_of(last: &LogLine, lines: &[ExplanationLine]) -> Option<String> {
     let event = |name: &str| lines.iter().find(|line| line.line.event == name);
     let server = last.text("server").unwrap_or("none");
     let waited = last.number("waited_ms");
@@ -204,19 +204,19 @@
         let reason = line.line.text("reason").unwrap_or("unknown");
         format!("primary {from} was replaced by {to} ({reason})")
     });
-    let around = replaced.or_else(|| {
+    let context = replaced.or_else(|| {
         let lost = event("leader_lost")?;
         Some(format!("primary {} lost the lead", lost.line.text("server").unwrap_or("none")))
     });
-    let around = around.map_or_else(String::new, |text| format!("; {text}"));
+    let context = context.map_or_else(String::new, |text| format!("; {text}"));
     let text = match (&*last.event, last.text("reason").unwrap_or_default()) {
         ("request_refused", "overloaded") => {
             let waiting = last.number("waiting");
-            format!("refused under load: {waiting} requests were waiting{around}")
+            format!("refused under load: {waiting} requests were waiting{context}")
         }
-        ("request_refused", "no_primary") => format!("the group had no primary{around}"),
+        ("request_refused", "no_primary") => format!("the group had no primary{context}"),
         ("request_refused", "transaction_lost") => {
-            format!("its transaction was lost at server {server}{around}")
+            format!("its transaction was lost at server {server}{context}")
         }
         ("request_refused", "replicas_behind") => {
             format!("no server had applied position {}", last.text("floor").unwrap_or("none"))
@@ -235,37 +235,38 @@
         }
         ("request_refused", "quota_unknown") => {
             let account = last.text("account").unwrap_or("none");
-            format!("no instance that counts the operations of account {account} answered{around}")
+            format!("no instance that counts the operations of account {account} answered{context}")
         }
         ("request_refused", "cut_off") if event("primary_out_of_reach").is_some() => {
             "the primary is beyond a partition, and this side has too few votes to replace it"
                 .to_owned()
         }
         ("request_refused", "holder_silent") => {
-            let silent = lines.iter().filter(|line| line.line.event == "peer_silent");
-            let silent: BTreeSet<_> = silent.filter_map(|line| line.line.text("peer")).collect();
-            let silent: Vec<_> = silent.into_iter().collect();
-            let silent = silent.join(", ");
-            format!("no holder of the group gave a sign of life; silent: {silent}{around}")
+            let unresponsive = lines.iter().filter(|line| line.line.event == "peer_silent");
+            let unresponsive: BTreeSet<_> =
+                unresponsive.filter_map(|line| line.line.text("peer")).collect();
+            let unresponsive: Vec<_> = unresponsive.into_iter().collect();
+            let unresponsive = unresponsive.join(", ");
+            format!("no holder of the group gave a sign of life; silent: {unresponsive}{context}")
         }
         ("request_refused", "cut_off") => {
             let instance = &last.instance;
             format!(
                 "instance {instance} had not the right to use the primary: too few others \
-                 answered it, and neither did the store{around}"
+                 answered it, and neither did the store{context}"
             )
         }
         ("request_unknown", _) if event("commit_unconfirmed").is_some() => {
-            format!("server {server} committed it when it may have been succeeded{around}")
+            format!("server {server} committed it when it may have been succeeded{context}")
         }
         ("request_unknown", _) => {
-            format!("server {server} did not answer for {at_server} ms{around}")
+            format!("server {server} did not answer for {at_server} ms{context}")
         }
         ("request_late", _) if waited > at_server => {
-            format!("it waited {waited} ms for a connection{around}")
+            format!("it waited {waited} ms for a connection{context}")
         }
-        ("request_late", _) => format!("it was {at_server} ms at servers, last {server}{around}"),
-        ("request_refused", reason) => format!("refused: {reason}{around}"),
+        ("request_late", _) => format!("it was {at_server} ms at servers, last {server}{context}"),
+        ("request_refused", reason) => format!("refused: {reason}{context}"),
         _ => return None,
     };
     Some(text)
--- a/lib/src/loss.rs
+++ b/lib/src/loss.rs
@@ -9,14 +9,14 @@
 
 use serde::Serialize;
 
-use crate::story::CAUSE_WITHIN_MS;
-use crate::story::LogLine;
+use crate::explanation::CAUSE_WITHIN_MS;
+use crate::explanation::LogLine;
 
 /// Length of a window of time, in milliseconds.
 pub const WINDOW_MS: u64 = 1_000;
 
 /// Groups and instances named in a row.
-const NAMED: usize = 3;
+const TOP_NAMES: usize = 3;
 
 /// Lines of requests that did not end as they should, and how the report calls
 /// that.
@@ -77,27 +77,27 @@
 
 /// Times of lines that may be causes, by event and by whom they concern.
 #[derive(Default)]
-struct Causes<'a> {
+struct EventTimes<'a> {
     times: BTreeMap<(&'a str, &'a str), Vec<u64>>,
 }
 
-impl<'a> Causes<'a> {
+impl<'a> EventTimes<'a> {
     /// Index of a log in the order of time.
     fn new(log: &[&'a LogLine]) -> Self {
-        let mut causes = Self::default();
+        let mut event_times = Self::default();
         for line in log {
             // Of all, of an instance, of a group, of a server.
             let about = [Some(""), Some(&*line.instance), line.text("group"), line.text("server")];
-            for whom in about.into_iter().flatten() {
-                causes.times.entry((&line.event, whom)).or_default().push(line.at_ms);
+            for subject in about.into_iter().flatten() {
+                event_times.times.entry((&line.event, subject)).or_default().push(line.at_ms);
             }
         }
-        causes
+        event_times
     }
 
     /// Whether an event concerned somebody shortly before a time.
-    fn shortly_before(&self, event: &str, whom: &str, at_ms: u64) -> bool {
-        let Some(times) = self.times.get(&(event, whom)) else {
+    fn shortly_before(&self, event: &str, subject: &str, at_ms: u64) -> bool {
+        let Some(times) = self.times.get(&(event, subject)) else {
             return false;
         };
         let before = times.partition_point(|time| *time <= at_ms);
@@ -111,7 +111,7 @@
     let mut log: Vec<&LogLine> = log.iter().collect();
     log.sort_by_key(|line| line.at_ms);
     let begin_ms = log.first().map_or(0, |line| line.at_ms);
-    let causes = Causes::new(&log);
+    let event_times = EventTimes::new(&log);
     let mut rows: BTreeMap<(&'static str, String, String), Vec<&LogLine>> = BTreeMap::new();
     let mut windows: BTreeMap<u64, LossWindow> = BTreeMap::new();
     for line in &log {
@@ -122,7 +122,7 @@
         let empty = LossWindow { from_ms, ..LossWindow::default() };
         count(windows.entry(from_ms).or_insert(empty), ending);
         let reason = line.text("reason").unwrap_or("served late").to_owned();
-        rows.entry((ending, reason, cause_of(line, &causes))).or_default().push(line);
+        rows.entry((ending, reason, cause_of(line, &event_times))).or_default().push(line);
     }
     let mut rows: Vec<_> = rows
         .into_iter()
@@ -171,25 +171,25 @@
         last_ms: time(lines.last()),
         took_p50_ms: at(5),
         took_p90_ms: at(9),
-        groups: most(lines.iter().map(|line| line.text("group").unwrap_or("none"))),
-        instances: most(lines.iter().map(|line| &*line.instance)),
+        groups: most_frequent(lines.iter().map(|line| line.text("group").unwrap_or("none"))),
+        instances: most_frequent(lines.iter().map(|line| &*line.instance)),
     }
 }
 
 /// The names that stand most often.
-fn most<'a>(names: impl Iterator<Item = &'a str>) -> Vec<(String, usize)> {
+fn most_frequent<'a>(names: impl Iterator<Item = &'a str>) -> Vec<(String, usize)> {
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
     for name in names {
         *counts.entry(name).or_default() += 1;
     }
     let mut counts: Vec<_> = counts.into_iter().map(|(name, n)| (name.to_owned(), n)).collect();
     counts.sort_by_key(|(_, count)| std::cmp::Reverse(*count));
-    counts.truncate(NAMED);
+    counts.truncate(TOP_NAMES);
     counts
 }
 
 /// The cause behind the reason of a request's end.
-fn cause_of(line: &LogLine, causes: &Causes<'_>) -> String {
+fn cause_of(line: &LogLine, event_times: &EventTimes<'_>) -> String {
     match line.text("reason").unwrap_or_default() {
         "rate_limited" => return "the account was at its limit".to_owned(),
         "unknown_key" => return "no account holds the key any more".to_owned(),
@@ -200,10 +200,10 @@
     let (group, instance) = (line.text("group").unwrap_or_default(), &*line.instance);
     // Where it went last: a server, or the instance that holds the connections.
     let last = line.text("server").unwrap_or_default();
-    let of_group = |event| !group.is_empty() && causes.shortly_before(event, group, at_ms);
-    let of_last = |event| !last.is_empty() && causes.shortly_before(event, last, at_ms);
-    let of_instance = |event| causes.shortly_before(event, instance, at_ms);
-    let anywhere = |event| causes.shortly_before(event, "", at_ms);
+    let of_group = |event| !group.is_empty() && event_times.shortly_before(event, group, at_ms);
+    let of_last = |event| !last.is_empty() && event_times.shortly_before(event, last, at_ms);
+    let of_instance = |event| event_times.shortly_before(event, instance, at_ms);
+    let anywhere = |event| event_times.shortly_before(event, "", at_ms);
     // The most particular first: it explains the others.
     let circumstances = [
         (of_instance("stood_still"), "this instance stood still"),
@@ -212,29 +212,29 @@
         (of_group("leader_lost"), "the primary lost the lead"),
         (of_last("stopping"), "the instance that it went through was stopping"),
         (of_last("started"), "the instance that it went through had just started"),
-        (of_instance("peer_silent"), SILENT),
+        (of_instance("peer_silent"), PEERS_UNRESPONSIVE),
         (of_group("connection_dropped"), "a server ended or lost connections"),
         (of_group("connection_failed"), "no connection to a server could be opened"),
-        (anywhere("transaction_rested"), RESTED),
-        (anywhere("store_lost"), STORE_LOST),
+        (anywhere("transaction_rested"), IDLE_TRANSACTIONS),
+        (anywhere("store_lost"), STORE_UNAVAILABLE),
     ];
     let found = circumstances.iter().find(|(seen, text)| *seen && concerns(line, text));
     found.map_or("none that the logs tell", |(_, text)| text).to_owned()
 }
 
-const SILENT: &str = "other instances gave no sign of life";
-const RESTED: &str = "clients rested in transactions";
-const STORE_LOST: &str = "the store was lost to some instances";
+const PEERS_UNRESPONSIVE: &str = "other instances gave no sign of life";
+const IDLE_TRANSACTIONS: &str = "clients rested in transactions";
+const STORE_UNAVAILABLE: &str = "the store was lost to some instances";
 
 /// Whether a circumstance can be behind the reason of a line: a store that was lost
 /// delays nobody who has the right to use a primary.
 fn concerns(line: &LogLine, circumstance: &str) -> bool {
     let reason = line.text("reason").unwrap_or_default();
-    let about_right = matches!(reason, "cut_off" | "no_primary" | "not_configured");
+    let needs_primary_lease = matches!(reason, "cut_off" | "no_primary" | "not_configured");
     match circumstance {
-        STORE_LOST => about_right,
-        SILENT => reason != "overloaded",
-        RESTED => reason == "overloaded",
+        STORE_UNAVAILABLE => needs_primary_lease,
+        PEERS_UNRESPONSIVE => reason != "overloaded",
+        IDLE_TRANSACTIONS => reason == "overloaded",
         _ => true,
     }
 }
--- a/lib/tests/test_loss.rs
+++ b/lib/tests/test_loss.rs
@@ -4,13 +4,13 @@
 
 use chervilwharf_lib::event::Event;
 use chervilwharf_lib::event::EventKind;
+use chervilwharf_lib::explanation;
+use chervilwharf_lib::explanation::LogLine;
 use chervilwharf_lib::loss;
-use chervilwharf_lib::story;
-use chervilwharf_lib::story::LogLine;
 use quickcheck::quickcheck;
 
 fn line(at_ms: u64, instance: &str, event: &Event) -> LogLine {
-    story::parse_line(&event.line(at_ms.into(), instance)).expect("a line that we wrote")
+    explanation::parse_line(&event.line(at_ms.into(), instance)).expect("a line that we wrote")
 }
 
 fn ended(kind: EventKind, group: &str, reason: &str, took_ms: u64) -> Event {
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn test_refusals_are_told_apart_by_the_cause_behind_them() {
+fn test_refusals_are_grouped_by_their_cause() {
     let out_of_reach = Event::new(EventKind::PrimaryOutOfReach).with("group", "hot");
     let silent = Event::new(EventKind::PeerSilent).with("peer", "h1");
     let cut_off = |group| ended(EventKind::RequestRefused, group, "cut_off", 2);
@@ -37,21 +37,21 @@
         line(19_000, "b", &cut_off("hot")),
     ];
     let report = loss::report(&log);
-    let told: Vec<_> =
+    let rows: Vec<_> =
         report.rows.iter().map(|row| (row.count, &*row.reason, &*row.cause)).collect();
-    let beyond = (2, "cut_off", "the primary is beyond a partition");
-    assert!(told.contains(&beyond), "{told:?}");
-    let silent = (1, "holder_silent", "other instances gave no sign of life");
-    assert!(told.contains(&silent), "{told:?}");
+    let beyond_partition = (2, "cut_off", "the primary is beyond a partition");
+    assert!(rows.contains(&beyond_partition), "{rows:?}");
+    let unresponsive = (1, "holder_silent", "other instances gave no sign of life");
+    assert!(rows.contains(&unresponsive), "{rows:?}");
     // What had happened 9 s before is no cause.
-    assert!(told.contains(&(2, "cut_off", "none that the logs tell")), "{told:?}");
-    let row = report.rows.iter().find(|row| row.cause == beyond.2).expect("told above");
+    assert!(rows.contains(&(2, "cut_off", "none that the logs tell")), "{rows:?}");
+    let row = report.rows.iter().find(|row| row.cause == beyond_partition.2).expect("told above");
     assert_eq!(row.instances, [("b".to_owned(), 1), ("c".to_owned(), 1)]);
     assert_eq!((row.first_ms, row.last_ms), (100, 200));
 }
 
 #[test]
-fn test_a_cause_of_another_group_is_none() {
+fn test_event_of_another_group_is_not_a_cause() {
     let replaced = Event::new(EventKind::ReplacementBegun).with("group", "other");
     let refused = ended(EventKind::RequestRefused, "db", "no_primary", 800);
     let log = [line(1_000, "a", &replaced), line(1_500, "a", &refused)];
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn test_refusals_of_accounts_are_not_put_down_to_what_happened_beside_them() {
+fn test_refusals_of_accounts_are_not_attributed_to_concurrent_events() {
     let stood_still = Event::new(EventKind::StoodStill);
     let mut log = vec![line(10_000, "a", &stood_still)];
     for reason in ["rate_limited", "unknown_key", "quota_unknown"] {
