--- a/lib/src/catalog.rs
+++ b/lib/src/catalog.rs
@@ -1,5 +1,8 @@
-//! The configuration of the session engine: which database name leads to
-//! which group of servers, under which rules.
+//! The catalog: the shared configuration of the session engine.
+//!
+//! It maps each database name that clients can connect to, to a group of
+//! servers and to the rules for its statements, such as the consistency of
+//! reads.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -9,56 +12,57 @@
 use crate::admission::Priority;
 use crate::id::GroupId;
 
-/// How current the reads of a route must be.
+/// Consistency of the reads of a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Consistency {
-    /// Every acknowledged commit is seen.
+    /// A read returns every commit that was acknowledged before it.
     Latest,
-    /// Commits older than this are seen.
+    /// A read returns every commit that is older than this.
     Bounded(Duration),
-    /// Commits older than this are seen, and all commits of the session.
+    /// A read returns every commit that is older than this, and all commits of
+    /// its own session.
     ReadYourWrites(Duration),
 }
 
-/// One database name that clients may use.
+/// A database name that clients can connect to, and the rules for its statements.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// The name.
+    /// The database name.
     pub database: Arc<str>,
-    /// The group that holds the data.
+    /// Group of servers that stores the database.
     pub group: GroupId,
-    /// How current reads must be.
+    /// Consistency of reads.
     pub consistency: Consistency,
-    /// Longest time for one statement.
+    /// Time limit of one statement.
     pub timeout: Duration,
-    /// Latency objective of a whole operation.
+    /// Latency objective of an operation: a transaction, or a statement outside of one.
     pub objective: Duration,
-    /// Order of service; lower goes first.
+    /// Scheduling priority; a lower number is served first.
     pub priority: Priority,
-    /// Whether clients need no key.
+    /// Whether clients may connect without the key of an account.
     pub is_public: bool,
 }
 
-/// What the configuration says of one group.
+/// Settings of one group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GroupSettings {
-    /// Connections that one server takes from all instances together.
+    /// Connections that one server accepts from all instances together.
     pub max_connections: usize,
-    /// Replicas that must have received a commit before it is acknowledged.
+    /// Number of replicas that must have received a commit before it is acknowledged.
     pub sync_replicas: usize,
 }
 
-/// A whole configuration.
+/// A version of the whole configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Catalog {
-    /// Its version; 0 before the first one.
+    /// Version as counted by the platform; 0 if no configuration was read yet.
     pub version: u64,
     /// Routes by database name.
     pub routes: HashMap<Arc<str>, Arc<Route>>,
     /// Groups by name.
     pub groups: HashMap<GroupId, GroupSettings>,
-    /// A transaction without a statement for this long may be ended.
+    /// A transaction that is idle for this long may be rolled back.
     pub transaction_idle: Option<Duration>,
-    /// The client accounts; `None` where clients need no key.
+    /// The client accounts; `None` if clients need no key.
     pub accounts: Option<Accounts>,
 }
--- a/lib/src/config.rs
+++ b/lib/src/config.rs
@@ -1,8 +1,9 @@
-//! The configuration text: services, databases, accounts and limits.
+//! Types of the configuration text: services, databases, accounts and limits.
 //!
-//! One JSON text, kept in the platform's store, describes everything the
-//! instances share. The types here are its shape; [`crate::config_check`]
-//! reads a text and finds what is wrong with it.
+//! The configuration text is one JSON document in the platform's store, from
+//! which all instances read their shared configuration. [`crate::config_check`]
+//! parses and validates it. What differs between instances is in
+//! [`crate::settings`].
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,14 +20,14 @@
 use crate::id::ServiceId;
 use crate::id::TargetId;
 
-/// The whole text.
+/// The whole configuration text.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
     /// Names of the failure domains.
     pub failure_domains: Vec<FailureDomainId>,
-    /// Database groups by name.
+    /// Database groups by database name.
     pub databases: BTreeMap<DatabaseId, Database>,
     /// Services by name.
     pub services: BTreeMap<ServiceId, Service>,
@@ -34,17 +35,18 @@
     pub accounts: BTreeMap<AccountId, Account>,
 }
 
-/// A database group.
+/// A database group: the primary and the replicas of one database.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Database {
-    /// Its servers; an odd number, so that a majority can be lost evenly.
+    /// Servers of the group. Their number should be odd: an even number
+    /// tolerates no more failures than one server fewer.
     pub servers: Vec<Server>,
-    /// Login name at the servers.
+    /// User name with which instances log in to the servers.
     #[serde(default = "default_login")]
     pub login: Arc<str>,
-    /// Password at the servers.
+    /// Password with which instances log in to the servers.
     #[serde(default = "default_login")]
     pub password: Arc<str>,
 }
@@ -58,22 +60,24 @@
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Server {
-    /// Its name, unique in the text.
+    /// Name of the server, unique in the configuration text.
     pub id: TargetId,
-    /// IP number and port where it takes connections.
+    /// IP address and port on which the server accepts connections.
     pub address: Arc<str>,
-    /// Where the others of its group fetch its log, if that differs.
+    /// Address from which the other servers of the group replicate, if it differs
+    /// from `address`.
     #[serde(default)]
     pub replication_address: Option<Arc<str>>,
-    /// Where it runs.
+    /// Failure domain in which the server runs.
     pub failure_domain: FailureDomainId,
-    /// Statements it runs at once.
+    /// Statements that the server runs concurrently.
     #[serde(default = "default_slots")]
     pub slots: usize,
-    /// Connections it accepts.
+    /// Connections that the server accepts at once.
     #[serde(default = "default_connections")]
     pub connections: usize,
-    /// It is about to be stopped: no new work, and no primary role.
+    /// Whether the server is about to stop. Such a server gets no new work and
+    /// is not made primary.
     #[serde(default)]
     pub leaving: bool,
 }
@@ -86,28 +90,28 @@
     20
 }
 
-/// What a service asks of the databases.
+/// Requirements of a service: its priority, objective and consistency.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Lower is served first.
+    /// Scheduling priority; a lower number is served first.
     #[serde(default = "default_priority")]
     pub priority: Priority,
-    /// Share of requests that have to succeed in time, for the report on
-    /// service-level burn.
+    /// Service-level objective: the fraction of requests that must succeed
+    /// before their deadline. The error-budget report uses it.
     #[serde(default = "default_objective")]
     pub objective: f64,
-    /// How current its reads are unless a statement says otherwise.
+    /// Freshness of reads whose statement requests none.
     #[serde(default)]
     pub freshness: DefaultFreshness,
-    /// When a write is acknowledged.
+    /// Replication that a write needs before it is acknowledged.
     #[serde(default)]
     pub acknowledge: Acknowledge,
-    /// Time a request may take unless the caller says otherwise.
+    /// Time limit of requests whose statement requests none, in milliseconds.
     #[serde(default = "default_deadline_ms")]
     pub deadline_ms: u64,
-    /// What it needs to work.
+    /// Databases and services that it uses.
     #[serde(default)]
     pub depends_on: Dependencies,
 }
@@ -125,37 +129,38 @@
 }
 
 impl Service {
-    /// Time a request may take.
+    /// Time limit of requests whose statement requests none.
     #[must_use]
     pub fn deadline(&self) -> Duration {
         Duration::from_millis(self.deadline_ms)
     }
 }
 
-/// What a service needs to work.
+/// Databases and services that a service uses.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Dependencies {
-    /// Databases it uses. An account reaches only these.
+    /// Databases that the service uses. An account that acts for the service can
+    /// access only these.
     #[serde(default)]
     pub databases: Vec<DatabaseId>,
-    /// Services it calls. Their databases are not reached through it.
+    /// Services that it calls. This gives no access to their databases.
     #[serde(default)]
     pub services: Vec<ServiceId>,
 }
 
-/// How current the reads of a service are.
+/// Default freshness of the reads of a service; see [`Freshness`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DefaultFreshness {
-    /// The account's own writes are seen.
+    /// A read returns all earlier writes of the same account.
     #[default]
     OwnWrites,
-    /// Everybody's acknowledged writes are seen.
+    /// A read returns all writes that were acknowledged to any account before it.
     Fresh,
-    /// Own writes are seen, and nothing is older than this many milliseconds.
+    /// As `OwnWrites`, and the data is at most this many milliseconds old.
     MaxAgeMs(u64),
 }
 
@@ -169,17 +174,17 @@
     }
 }
 
-/// When a write is acknowledged.
+/// Replication that a write needs before it is acknowledged to the client.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Acknowledge {
-    /// Once a replica has received it too. It survives the loss of any one
-    /// server.
+    /// At least one replica has received the write, so that it survives the
+    /// loss of any one server.
     #[default]
     Replica,
-    /// Once the primary has committed it. Faster, but the last such writes
-    /// are lost with the primary.
+    /// The primary has committed the write. This is faster, but the latest
+    /// writes are lost if the primary fails.
     Primary,
 }
 
@@ -188,15 +193,16 @@
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Account {
-    /// Verifier of its password, in the form PostgreSQL uses:
+    /// SCRAM verifier of its password, in PostgreSQL's format:
     /// `SCRAM-SHA-256$iterations:salt$stored_key:server_key`.
     pub verifier: Arc<str>,
-    /// Services it may act for; the first unless it says otherwise.
+    /// Services that the account may act for. The first is the default if a
+    /// client names none.
     pub services: Vec<ServiceId>,
-    /// Connections it may hold at one instance.
+    /// Connections that the account may have open at one instance.
     #[serde(default = "default_max_connections")]
     pub max_connections: u32,
-    /// Requests a second it may send to one instance.
+    /// Requests per second that the account may send to one instance.
     #[serde(default = "default_requests_per_s")]
     pub requests_per_s: u32,
 }
@@ -210,7 +216,7 @@
 }
 
 impl Config {
-    /// Whether `account` may use `database` for `service`.
+    /// Whether `account` may use `database` on behalf of `service`.
     #[must_use]
     pub fn allows(&self, account: &str, service: &str, database: &str) -> bool {
         let Some(account) = self.accounts.get(account) else {
--- a/lib/src/config_check.rs
+++ b/lib/src/config_check.rs
@@ -1,4 +1,5 @@
-//! Reads a configuration text and reports all that is wrong with it.
+//! Parses and validates a configuration text, and reports all errors and
+//! warnings at once, each with its position in the text.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -19,31 +20,32 @@
 use crate::config::Service;
 use crate::verifier::parse_verifier;
 
-/// Largest accepted text; the platform's store holds values up to a megabyte.
+/// Largest accepted configuration text. The platform's store accepts values of
+/// up to one megabyte.
 pub const TEXT_LIMIT_BYTES: usize = 1_000_000;
 
-/// Longest deadline a service may ask for, in milliseconds.
+/// Largest value of `deadline_ms` of a service, in milliseconds.
 const DEADLINE_LIMIT_MS: u64 = 3_600_000;
 
-/// How bad a finding is.
+/// Severity of a finding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Severity {
-    /// The text cannot be put in force.
+    /// The configuration is invalid and cannot be applied.
     Error,
-    /// It can, but probably does not say what was meant.
+    /// The configuration is valid, but probably not what its author intended.
     Warning,
 }
 
-/// One thing found in a text.
+/// An error or warning about a configuration text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
-    /// How bad it is.
+    /// Whether it is an error or a warning.
     pub severity: Severity,
-    /// Line, counted from one.
+    /// Line in the text, starting at 1.
     pub line: usize,
-    /// Column, counted from one.
+    /// Column in bytes within the line, starting at 1.
     pub column: usize,
-    /// What is wrong and what was expected.
+    /// Description of the problem and of what was expected.
     pub message: String,
 }
 
@@ -57,16 +59,16 @@
     }
 }
 
-/// A text that was read, with everything found in it.
+/// The result of [`check`].
 #[derive(Clone, Debug)]
 pub struct Checked {
-    /// The configuration, if there is no error.
+    /// The parsed configuration; `None` if there is an error.
     pub config: Option<Config>,
-    /// All findings, in the order of the text.
+    /// All findings, in the order of their positions.
     pub findings: Vec<Finding>,
 }
 
-/// Reads and checks a text.
+/// Parses and validates a configuration text.
 #[must_use]
 pub fn check(text: &str) -> Checked {
     let mut checker = Checker { text, findings: Vec::new() };
@@ -76,10 +78,10 @@
     Checked { config: config.filter(|_| !has_error), findings: checker.findings }
 }
 
-/// Members of a JSON object in their order, duplicates included.
+/// Members of a JSON object in the order of the text, including duplicates.
 ///
-/// A map would silently keep the last of two members with one name, and an
-/// operator would look at the other one.
+/// A map would silently keep only the last of two members with the same name,
+/// while an operator may edit the first one.
 struct Members<'a>(Vec<(String, &'a RawValue)>);
 
 impl<'de: 'a, 'a> Deserialize<'de> for Members<'a> {
@@ -104,7 +106,7 @@
     }
 }
 
-/// A value and its place in the text.
+/// A parsed value with the slice of the text that it was parsed from.
 struct Located<'a, T> {
     raw: &'a RawValue,
     value: T,
@@ -179,7 +181,7 @@
         section
     }
 
-    /// Members of an object; reports a name that stands twice.
+    /// Returns the members of an object, and reports duplicate names.
     fn members(&mut self, raw: &'a RawValue) -> Option<Vec<(String, &'a RawValue)>> {
         let members = match serde_json::from_str::<Members<'a>>(raw.get()) {
             Ok(Members(members)) => members,
@@ -194,7 +196,7 @@
         let mut seen = BTreeSet::new();
         for (name, raw) in &members {
             if !seen.insert(name.clone()) {
-                self.error(raw, format!("\"{name}\" stands here for the second time"));
+                self.error(raw, format!("duplicate name \"{name}\""));
             }
         }
         Some(members)
@@ -222,8 +224,8 @@
                 self.warning(
                     located.raw,
                     format!(
-                        "database \"{name}\" has {} servers; an even number survives no more \
-                         failures than one less",
+                        "database \"{name}\" has {} servers; an even number tolerates no \
+                         more failures than one server fewer",
                         servers.len()
                     ),
                 );
@@ -232,14 +234,14 @@
                 let place = self.first_offset_of(located.raw, &server.id);
                 if !seen.insert(server.id.clone()) {
                     let place = self.last_offset_of(located.raw, &server.id);
-                    self.error_at(place, format!("server \"{}\" stands twice", server.id));
+                    self.error_at(place, format!("duplicate server \"{}\"", server.id));
                 }
                 if server.address.parse::<SocketAddr>().is_err() {
                     let place = self.first_offset_of(located.raw, &server.address);
                     self.error_at(
                         place,
                         format!(
-                            "address \"{}\" of server \"{}\" is not an IP number and a port",
+                            "address \"{}\" of server \"{}\" is not an IP address and a port",
                             server.address, server.id
                         ),
                     );
@@ -281,7 +283,7 @@
                 self.error(
                     located.raw,
                     format!(
-                        "service \"{name}\" has the objective {}, expected a share between 0 and 1",
+                        "service \"{name}\" has the objective {}, expected a fraction between 0 and 1",
                         service.objective
                     ),
                 );
@@ -300,7 +302,7 @@
                     let place = self.first_offset_of(located.raw, database);
                     let hint = suggest(database, databases.keys().map(String::as_str));
                     let message = format!(
-                        "service \"{name}\" needs the unknown database \"{database}\"{hint}"
+                        "service \"{name}\" depends on the unknown database \"{database}\"{hint}"
                     );
                     self.error_at(place, message);
                 }
@@ -309,8 +311,9 @@
                 if !services.contains_key(&**other) {
                     let place = self.first_offset_of(located.raw, other);
                     let hint = suggest(other, services.keys().map(String::as_str));
-                    let message =
-                        format!("service \"{name}\" needs the unknown service \"{other}\"{hint}");
+                    let message = format!(
+                        "service \"{name}\" depends on the unknown service \"{other}\"{hint}"
+                    );
                     self.error_at(place, message);
                 }
             }
@@ -331,7 +334,7 @@
             let raw = services[name].raw;
             self.error(
                 raw,
-                format!("services need each other in a circle: {}", cycle.join(" -> ")),
+                format!("services depend on each other in a cycle: {}", cycle.join(" -> ")),
             );
         }
     }
@@ -358,7 +361,7 @@
                     format!(
                         "the verifier of account \"{name}\" is not of the form \
                          SCRAM-SHA-256$iterations:salt$stored_key:server_key; \
-                         `chervilwharf verifier` makes one"
+                         `chervilwharf verifier` generates one"
                     ),
                 );
             }
@@ -376,7 +379,7 @@
                 .values()
                 .any(|service| service.value.depends_on.databases.iter().any(|id| **id == **name));
             if !used {
-                self.warning(located.raw, format!("no service needs database \"{name}\""));
+                self.warning(located.raw, format!("no service uses database \"{name}\""));
             }
         }
         for (name, located) in services {
@@ -418,20 +421,22 @@
         self.findings.push(Finding { severity, line, column, message });
     }
 
-    /// Where a raw value begins. It is a slice of the text itself, so the
-    /// difference of the addresses is its offset.
+    /// Byte offset of a raw value in the text. The raw value is a slice of the
+    /// text, so the offset is the difference of their addresses.
     fn offset(&self, raw: &RawValue) -> usize {
         let start = self.text.as_ptr() as usize;
         (raw.get().as_ptr() as usize).saturating_sub(start).min(self.text.len())
     }
 
-    /// Where a string stands inside a raw value for the last time.
+    /// Byte offset in the text of the last occurrence of a JSON string in a raw
+    /// value.
     fn last_offset_of(&self, raw: &RawValue, needle: &str) -> usize {
         let quoted = serde_json::to_string(needle).unwrap_or_default();
         self.offset(raw) + raw.get().rfind(&quoted).unwrap_or(0)
     }
 
-    /// Where a string stands inside a raw value.
+    /// Byte offset in the text of the first occurrence of a JSON string in a raw
+    /// value.
     fn first_offset_of(&self, raw: &RawValue, needle: &str) -> usize {
         let quoted = serde_json::to_string(needle).unwrap_or_default();
         self.offset(raw) + raw.get().find(&quoted).unwrap_or(0)
@@ -442,7 +447,8 @@
     section.into_iter().map(|(name, located)| (name.into(), located.value)).collect()
 }
 
-/// The message of an error without its place, which is given apart.
+/// The message of an error without its position, which a [`Finding`] has in
+/// fields of its own.
 fn message_without_position(error: &serde_json::Error) -> String {
     let text = error.to_string();
     match text.rfind(" at line ") {
@@ -493,7 +499,8 @@
     false
 }
 
-/// Names the known word that is most like an unknown one.
+/// Returns a hint with the known name that is most similar to `unknown`, or an
+/// empty text if none is similar enough.
 fn suggest<'b>(unknown: &str, known: impl Iterator<Item = &'b str>) -> String {
     let closest = known
         .map(|word| (edit_distance(unknown, word), word))
--- a/lib/src/id.rs
+++ b/lib/src/id.rs
@@ -1,38 +1,40 @@
-//! Aliases for the identifiers used throughout the product.
+//! Type aliases of the identifiers that are used in all crates.
 
 use std::sync::Arc;
 
-/// Names one running `chervilwharfd`.
+/// Name of an instance: one running proxy process (`chervilwharfd`). A
+/// restarted process may keep the name; [`HolderId`] tells its runs apart.
 pub type InstanceId = Arc<str>;
 
-/// Names one life of an instance: its name and what tells this life from
-/// those before a restart. Servers grant terms to holders, not to instances.
+/// Name of one incarnation of an instance, that is one run between its start
+/// and its exit: the name of the instance with a part that differs in each run.
+/// Servers grant terms to holders, not to instances.
 pub type HolderId = Arc<str>;
 
-/// Names one database group: a database with its primary and replicas.
+/// Name of a database group: a database with its primary and replicas.
 pub type DatabaseId = Arc<str>;
 
-/// Names one database group of the session engine: a primary and its replicas,
-/// behind one or more database names.
+/// Name of a database group of the session engine: a primary and its replicas,
+/// which serve one or more database names.
 pub type GroupId = Arc<str>;
 
-/// Names one database server of a group.
+/// Name of a database server of a group.
 pub type TargetId = Arc<str>;
 
-/// Names a client account, as used at login.
+/// Login name of a client account.
 pub type AccountId = Arc<str>;
 
-/// Names a service of the configuration text.
+/// Name of a service in the configuration text.
 pub type ServiceId = Arc<str>;
 
-/// Names a failure domain: what can fail together.
+/// Name of a failure domain: servers and instances that can fail together.
 pub type FailureDomainId = Arc<str>;
 
-/// Names one request of one account, for ever.
+/// Identifier of a request, unique among all requests of its account.
 pub type RequestId = Arc<str>;
 
-/// Fencing token of a database group. A higher term shuts out all lower ones.
+/// Fencing token of a database group. A higher term supersedes all lower ones.
 pub type Term = u64;
 
-/// Version of the configuration text, as counted by the platform's store.
+/// Version of the configuration text, counted by the platform's store.
 pub type ConfigVersion = u64;
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -1,8 +1,8 @@
-//! The decisions of chervilwharf, free of sockets, tasks and clocks.
+//! The decision logic of chervilwharf, without input, output, tasks or clocks.
 //!
-//! Every module here is a plain value that takes events together with the
-//! current time and returns what has to be done. The daemon performs the
-//! actions; the tests drive the same values on a virtual clock.
+//! Most modules define state machines: a caller passes in events and the
+//! current time, and gets back the actions to perform. The daemon performs the
+//! actions; the tests run the same state machines on a virtual clock.
 
 pub mod account;
 pub mod account_rates;
@@ -61,7 +61,8 @@
 pub mod wait_queue;
 pub mod waits;
 
-/// Messages between instances, generated from `protos/peer.proto`.
+/// Messages between instances that coordinate the ownership of databases,
+/// generated from `protos/peer.proto`.
 #[allow(clippy::all, clippy::pedantic, missing_docs, reason = "generated")]
 #[rustfmt::skip]
 pub mod protos {
--- a/lib/src/settings.rs
+++ b/lib/src/settings.rs
@@ -1,4 +1,6 @@
-//! Settings of one instance: what it cannot learn from the shared text.
+//! Settings file of one instance: its name, its addresses and how it reaches the
+//! platform's store, from which it reads the shared configuration
+//! ([`crate::config`]).
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,51 +18,53 @@
 pub struct Settings {
     /// Name of the instance, unique in the deployment.
     pub instance: InstanceId,
-    /// Where it runs.
+    /// Failure domain in which it runs.
     pub failure_domain: FailureDomainId,
-    /// Where callers connect.
+    /// Address on which it accepts client connections.
     pub client_address: SocketAddr,
-    /// Where other instances connect.
+    /// Address on which it accepts connections of other instances.
     pub peer_address: SocketAddr,
-    /// Address told to other instances, if they reach it by another one.
+    /// Address that it publishes to other instances, if it differs from
+    /// `peer_address`.
     #[serde(default)]
     pub advertised_peer_address: Option<Arc<str>>,
-    /// Where operators and the metrics collector connect.
+    /// Address on which it accepts connections of operators and of the metrics
+    /// collector.
     pub admin_address: SocketAddr,
-    /// Base address of the platform's store.
+    /// Base URL of the platform's store.
     pub store_url: Arc<str>,
-    /// Secret shared by all instances; proves to a peer that we belong.
+    /// Secret shared by all instances, with which they authenticate to each other.
     pub peer_key: Arc<str>,
-    /// Instances to ask when the store is down at the start.
+    /// Instances to contact if the store is unavailable at the start.
     #[serde(default)]
     pub seeds: Vec<Seed>,
-    /// How much is logged.
+    /// Log level and format.
     #[serde(default)]
     pub log: LogSettings,
 }
 
-/// An instance known from the settings.
+/// Another instance, as listed in the settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Seed {
-    /// Its name.
+    /// Name of the instance.
     pub instance: InstanceId,
-    /// Where it takes connections of instances.
+    /// Address on which it accepts connections of other instances.
     pub peer_address: Arc<str>,
-    /// Where it runs.
+    /// Failure domain in which it runs.
     pub failure_domain: FailureDomainId,
 }
 
-/// How much is logged, and in which form.
+/// Log level and format.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LogSettings {
-    /// Least important level that is written: error, warn, info, debug, trace.
+    /// Most verbose level that is written: error, warn, info, debug or trace.
     #[serde(default = "default_level")]
     pub level: Arc<str>,
-    /// One JSON object a line instead of plain text.
+    /// Whether to write each line as a JSON object instead of plain text.
     #[serde(default)]
     pub json: bool,
 }
@@ -75,14 +79,15 @@
     }
 }
 
-/// Shortest accepted peer key.
+/// Shortest accepted peer key, in bytes.
 pub const PEER_KEY_MIN_BYTES: usize = 16;
 
-/// Reads settings.
+/// Parses and validates a settings file.
 ///
 /// # Errors
 ///
-/// Returns what is wrong and where, in words for an operator.
+/// Returns a message for the operator that describes the problem. For a JSON
+/// error it includes the line and column.
 pub fn parse(text: &str) -> Result<Settings, String> {
     let settings: Settings = serde_json::from_str(text).map_err(|error| error.to_string())?;
     if settings.instance.is_empty() {
