--- a/lib/src/catalog.rs
+++ b/lib/src/catalog.rs
@@ -35,7 +35,7 @@
     pub consistency: Consistency,
     /// Time limit of one statement.
     pub timeout: Duration,
-    /// Latency objective of an operation: a transaction, or a statement outside of one.
+    /// Latency objective of a whole operation, from its arrival to its answer.
     pub objective: Duration,
     /// Scheduling priority; a lower number is served first.
     pub priority: Priority,
--- a/lib/src/classify.rs
+++ b/lib/src/classify.rs
@@ -1,4 +1,5 @@
-//! What a statement is, and what its comment says about it.
+//! Parses SQL texts: splits them into statements, classifies each statement,
+//! and reads the options in its comment.
 
 use std::ops::ControlFlow;
 use std::time::Duration;
@@ -15,15 +16,15 @@
 
 use crate::floors::Freshness;
 
-/// Largest accepted statement.
+/// Largest accepted statement, in bytes.
 pub const STATEMENT_LIMIT_BYTES: usize = 1024 * 1024;
 
-/// What a statement does.
+/// Kind of a statement, which determines where and how often it may run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StatementClass {
-    /// Reads only; may run at a replica and may be repeated.
+    /// Only reads: it may run at a replica and may run more than once.
     Read,
-    /// Changes something; runs at most once.
+    /// May change data: it runs at the primary and at most once.
     Write,
     /// `BEGIN`.
     Begin,
@@ -31,7 +32,8 @@
     Commit,
     /// `ROLLBACK`.
     Rollback,
-    /// `SET chervilwharf.…`, or another variable, which is kept by the entry.
+    /// `SET` of a `chervilwharf.…` variable or of another one. The instance that
+    /// the client is connected to keeps the value.
     Set {
         /// Name of the variable, in lower case.
         variable: String,
@@ -45,20 +47,21 @@
     },
     /// Nothing but white space and comments.
     Empty,
-    /// Cannot work through a proxy that runs each statement anywhere.
+    /// Not supported, since the proxy may run each statement of a session on
+    /// another connection. The text names the feature.
     Unsupported(&'static str),
 }
 
-/// Splits a text of several statements and classifies each.
+/// Splits a text into its statements and classifies each.
 ///
 /// # Errors
 ///
-/// Returns the message of the SQL parser, with the place.
+/// Returns the message of the SQL parser, which includes the position.
 pub fn split(sql: &str) -> Result<Vec<(String, StatementClass)>, String> {
     if sql.trim().is_empty() {
         return Ok(vec![(String::new(), StatementClass::Empty)]);
     }
-    // The parser wants the data of a COPY in the text itself.
+    // The parser expects the data of a COPY in the text itself and would fail.
     if sql.trim_start().get(..5).is_some_and(|word| word.eq_ignore_ascii_case("copy ")) {
         return Ok(vec![(sql.to_owned(), StatementClass::Unsupported("COPY"))]);
     }
@@ -66,8 +69,8 @@
     if statements.is_empty() {
         return Ok(vec![(String::new(), StatementClass::Empty)]);
     }
-    // A single statement keeps its text to the letter; only a text of
-    // several has to be written anew from the tree.
+    // The text of a single statement stays unchanged. Of several statements,
+    // each is formatted from its syntax tree.
     if let [statement] = statements.as_slice() {
         let text = sql.trim().trim_end_matches(';').to_owned();
         return Ok(vec![(text, classify(statement))]);
@@ -126,14 +129,14 @@
     if finder.found { StatementClass::Write } else { StatementClass::Read }
 }
 
-/// Looks for a part of a query that writes or locks.
+/// Visits the syntax tree of a query to find parts that write or lock.
 struct WriteFinder {
     found: bool,
 }
 
-/// Functions with an effect that a plain name betrays. Any other function
-/// that writes is refused by a replica, and by the read-only transaction in
-/// which a primary runs reads; it then runs as a write.
+/// Built-in functions with side effects. A query that calls any other function
+/// that writes is classified as a read; a replica refuses it, and so does the
+/// read-only transaction in which a primary runs reads. It then runs as a write.
 const WRITING_FUNCTIONS: [&str; 4] = ["nextval", "setval", "pg_advisory_lock", "txid_current"];
 
 impl Visitor for WriteFinder {
@@ -157,19 +160,21 @@
     }
 }
 
-/// What the comment of a statement asks for.
+/// Options that a client sets in the comment of a statement.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CommentHints {
-    /// Names the request.
+    /// Id of the request.
     pub request_id: Option<String>,
-    /// How current its read must be.
+    /// Freshness that a read must have.
     pub freshness: Option<Freshness>,
-    /// How long it may take.
+    /// Time limit of the request.
     pub deadline: Option<Duration>,
 }
 
-/// Reads the last comment of a statement, in the form of sqlcommenter:
+/// Parses the comment at the end of a statement, in the sqlcommenter format:
 /// `/*request_id='…',freshness='fresh',max_age_ms='500',deadline_ms='2000'*/`.
+///
+/// Unknown keys and invalid values are ignored.
 #[must_use]
 pub fn comment_hints(sql: &str) -> CommentHints {
     let mut hints = CommentHints::default();
@@ -198,7 +203,7 @@
     hints
 }
 
-/// Reads `own_writes`, `fresh` or a number of milliseconds.
+/// Parses `own_writes`, `fresh` or a maximum age in milliseconds.
 #[must_use]
 pub fn parse_freshness(value: &str) -> Option<Freshness> {
     match value {
--- a/lib/src/connection_setup.rs
+++ b/lib/src/connection_setup.rs
@@ -1,4 +1,8 @@
-//! What is set up on a connection to a server, and what a session needs.
+//! The setup of a connection to a server: the session values that are set and
+//! the statements that are prepared on it.
+//!
+//! Sessions share connections. Before a session uses one, the connection gets
+//! the values and the prepared statement that the session needs.
 
 use std::collections::BTreeMap;
 use std::collections::HashSet;
@@ -7,10 +11,10 @@
 use crate::statement::Prepared;
 use crate::statement::Statement;
 
-/// Values of a session by name.
+/// Session values by name.
 pub type SessionValues = BTreeMap<Arc<str>, Arc<str>>;
 
-/// What is set up on one connection to a server.
+/// Session values and prepared statements of one connection to a server.
 #[derive(Clone, Debug, Default)]
 pub struct ConnectionSetup {
     values: SessionValues,
@@ -18,11 +22,12 @@
 }
 
 impl ConnectionSetup {
-    /// Statements that make the connection fit a session with `values` that
-    /// is about to use `prepared`. The layout counts them as done.
+    /// Returns the statements that prepare the connection for a session that has
+    /// `values` and is about to execute `prepared`. They are recorded as already
+    /// run, so the caller must run them all.
     pub fn adapt(&mut self, values: &SessionValues, prepared: Option<&Prepared>) -> Vec<Statement> {
         let mut steps = Vec::new();
-        // A value that the session never set cannot be taken back one by one.
+        // A single value of another session cannot be unset; only a reset clears it.
         if self.needs_reset(values) {
             steps.push(Statement::Reset);
             self.values.clear();
@@ -44,7 +49,8 @@
         steps
     }
 
-    /// How many statements `adapt` would need, to choose among connections.
+    /// Number of statements that `adapt` would return. A request uses the connection
+    /// with the fewest.
     #[must_use]
     pub fn distance(&self, values: &SessionValues, prepared: Option<&Prepared>) -> usize {
         let reset = self.needs_reset(values);
--- a/lib/src/error_kind.rs
+++ b/lib/src/error_kind.rs
@@ -1,19 +1,22 @@
-//! The closed list of error kinds and the table from kind to answer.
+//! All kinds of errors that a request can end with, and the properties of the
+//! answer for each: SQLSTATE, whether the request may have run, and when to retry.
 
 use std::time::Duration;
 
 use displaydoc::Display;
 
-/// What a caller may conclude about a request that got an error.
+/// Whether a request that ended with an error may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The request did not run and will not run unless it is sent again.
+    /// The request did not run, and does not run unless it is sent again.
     NotRun,
-    /// It may have run. Ask, or send it again under the same id.
+    /// The request may have run. The client can inquire, or send it again with the
+    /// same request id.
     Unknown,
 }
 
-/// Every way in which a request can end without its result.
+/// Kind of an error that a request can end with. The text of each kind is the
+/// message that clients get.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(Display)]
 pub enum ErrorKind {
@@ -81,17 +84,17 @@
     QuotaUnknown,
 }
 
-/// One row of the table from kind to answer.
+/// Properties of the answer for one error kind.
 #[derive(Clone, Copy, Debug)]
 pub struct AnswerRule {
-    /// SQLSTATE the caller sees.
+    /// SQLSTATE that the client gets.
     pub sqlstate: &'static str,
-    /// What the caller may conclude.
+    /// Whether the request may have run.
     pub outcome: Outcome,
-    /// When to come back, unless a better estimate is at hand. `None` means
-    /// that the same request would fail in the same way.
+    /// Default delay before a retry, used if there is no better estimate. `None`
+    /// means that the same request would fail in the same way.
     pub retry_after: Option<Duration>,
-    /// Whether the kind burns the error budget of the service.
+    /// Whether the error counts against the error budget of the service.
     pub burns_budget: bool,
 }
 
@@ -135,7 +138,7 @@
         Self::QuotaUnknown,
     ];
 
-    /// The table from kind to answer.
+    /// Returns the properties of the answer for this kind.
     #[must_use]
     #[allow(clippy::match_same_arms, reason = "a table with one row for each kind")]
     pub fn rule(self) -> AnswerRule {
@@ -177,7 +180,8 @@
         AnswerRule { sqlstate, outcome, retry_after, burns_budget }
     }
 
-    /// Stable name used between instances, in metrics and in reports.
+    /// Stable name of the kind, used in messages between instances, in metrics and in
+    /// reports.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -215,22 +219,22 @@
         }
     }
 
-    /// Whether an instance on the other side of a partition may be able to serve
-    /// what this one cannot.
+    /// Whether another instance, on the other side of a network partition, may be
+    /// able to serve the request.
     #[must_use]
     pub fn may_be_served_elsewhere(self) -> bool {
         matches!(self, Self::CutOff | Self::HolderSilent | Self::NotOwner)
     }
 
-    /// Whether a session should end once its client was told: another instance may
-    /// serve it, or nobody does.
+    /// Whether the session should end after the client got the error: another
+    /// instance may be able to serve the client, or no instance accepts its key.
     #[must_use]
     pub fn ends_session(self) -> bool {
         self.may_be_served_elsewhere() || self == Self::UnknownKey
     }
 
-    /// Finds a kind by its name. A name from a newer version reads as
-    /// [`ErrorKind::OutcomeUnknown`], the only answer that promises nothing.
+    /// Returns the kind with a name. An unknown name, from an instance of a newer
+    /// version, gives [`ErrorKind::OutcomeUnknown`], since the request may have run.
     #[must_use]
     pub fn from_name(name: &str) -> Self {
         Self::ALL.into_iter().find(|kind| kind.name() == name).unwrap_or(Self::OutcomeUnknown)
--- a/lib/src/server_refusal.rs
+++ b/lib/src/server_refusal.rs
@@ -1,47 +1,48 @@
-//! Errors that a server answers a statement with.
+//! Error replies of database servers.
 
 use std::sync::Arc;
 
 use crate::error_kind::ErrorKind;
 
-/// An error answer of a server, decoded once at the border.
+/// An error reply of a server to a statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerRefusal {
-    /// What it means.
+    /// Meaning of the reply.
     pub kind: RefusalKind,
-    /// What the server wrote besides.
+    /// Text of the reply.
     pub text: Arc<str>,
 }
 
-/// What an error answer of a server means.
+/// Meaning of an error reply of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RefusalKind {
-    /// Too much work at the server; not run.
+    /// The server is overloaded. The statement did not run.
     Busy,
-    /// No such prepared name; not run.
+    /// No statement is prepared under the name. The statement did not run.
     UnknownPreparedName,
-    /// The log lacks the position that was required; not run.
+    /// The server's log has not reached the required position. The statement did
+    /// not run.
     Lagging,
-    /// The server does not lead; not run.
+    /// The server is not the primary. The statement did not run.
     NotLeading,
-    /// The server is another one than was expected; not run.
+    /// The server is not the one that was addressed. The statement did not run.
     WrongServer,
-    /// No more connections; not run.
+    /// The server accepts no more connections. The statement did not run.
     TooManyConnections,
-    /// The transaction was rolled back; nothing of it is kept.
+    /// The server rolled the transaction back, and none of its changes are kept.
     RolledBack,
-    /// The statement does not fit the state of the connection; not run.
+    /// The statement is not valid in the state of the connection. It did not run.
     Malformed,
-    /// It was run and failed.
+    /// The statement ran and failed.
     Failed,
-    /// It was run and took too long.
+    /// The statement ran and exceeded the server's time limit.
     TimedOut,
-    /// The server promises nothing.
+    /// The reply does not show whether the statement ran.
     Unknown,
 }
 
 impl RefusalKind {
-    /// Whether the server promises that the statement did not run.
+    /// Whether the statement certainly did not run or was rolled back.
     #[must_use]
     pub fn guarantees_not_run(self) -> bool {
         match self {
@@ -57,7 +58,7 @@
         }
     }
 
-    /// What a client is told when the refusal ends its request.
+    /// Error that the client gets if the refusal ends its request.
     #[must_use]
     pub fn error_kind(self) -> ErrorKind {
         match self {
--- a/lib/src/statement.rs
+++ b/lib/src/statement.rs
@@ -1,8 +1,9 @@
-//! Statements of a client session, independent of the protocol they came in.
+//! Statements of a client session in the session engine, independent of the wire
+//! protocol of the client.
 
 use std::sync::Arc;
 
-/// What a prepared statement does with the item it is executed on.
+/// Whether a prepared statement reads or writes the item that it is executed on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Access {
     /// Reads the item.
@@ -11,72 +12,75 @@
     Write,
 }
 
-/// A statement, decoded once at the border.
+/// A statement, as decoded from the wire protocol.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Statement {
     /// Begins a transaction.
     Begin {
-        /// Whether the transaction may only read, and so run at a replica.
+        /// Whether the transaction is read-only and so may run at a replica.
         read_only: bool,
     },
-    /// Ends a transaction and keeps its changes.
+    /// Commits a transaction.
     Commit,
-    /// Ends a transaction and drops its changes.
+    /// Rolls a transaction back.
     Rollback,
     /// Reads an item.
     Read {
-        /// The item, as the client wrote it.
+        /// The item, in the notation of the client.
         item: Arc<str>,
     },
     /// Writes an item.
     Write {
-        /// The item and its new data, as the client wrote them.
+        /// The item and its new data, in the notation of the client.
         item_and_data: Arc<str>,
     },
-    /// Sets a value of the session.
+    /// Sets a session value.
     Set {
         /// Name of the value.
         name: Arc<str>,
         /// The value.
         value: Arc<str>,
     },
-    /// Prepares a statement under a name of the session.
+    /// Prepares a statement under a name that is local to the session.
     Prepare {
         /// The name.
         name: Arc<str>,
-        /// What it will be executed for.
+        /// The prepared statement.
         prepared: Prepared,
     },
     /// Executes a prepared statement.
     Execute {
         /// Its name.
         name: Arc<str>,
-        /// Item and data, as the client wrote them.
+        /// Item and data, in the notation of the client.
         arguments: Arc<str>,
     },
-    /// Forgets a prepared statement.
+    /// Discards a prepared statement.
     Deallocate {
         /// Its name.
         name: Arc<str>,
     },
-    /// Clears values and prepared names of a connection to a server.
+    /// Clears all session values and prepared statements of a connection to a
+    /// server.
     Reset,
 }
 
-/// What a prepared name stands for.
+/// A prepared statement, without its name.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Prepared {
-    /// Whether it reads or writes.
+    /// Whether it reads or writes the item.
     pub access: Access,
-    /// Its shape: two names of the same shape are interchangeable.
+    /// What the statement does, without item and data. Prepared statements of
+    /// the same shape and access are interchangeable.
     pub shape: Arc<str>,
 }
 
 impl Prepared {
-    /// Name under which this shape is prepared at servers.
+    /// Name under which the statement is prepared at servers.
     ///
-    /// One name a shape instead of one a client: names of clients collide on
-    /// a shared connection, and a shape prepared once serves all of them.
+    /// The name depends on the shape and not on the name that a client chose:
+    /// client names would collide on a shared connection, and a statement that
+    /// is prepared once serves all clients.
     #[must_use]
     pub fn shared_name(&self) -> Arc<str> {
         let prefix = match self.access {
@@ -87,23 +91,23 @@
     }
 }
 
-/// What a server said to one statement that it ran.
+/// A server's answer to one statement that it ran.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Answer {
     /// Rows, in order.
     pub rows: Vec<Arc<str>>,
-    /// The server's proof that it ran this statement.
+    /// The signature with which the server proves that it ran this statement.
     pub signature: Arc<str>,
 }
 
-/// Whether a session or connection is inside a transaction.
+/// Whether a transaction is open on a session or connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum TransactionState {
-    /// Outside.
+    /// No transaction is open.
     #[default]
     Idle,
-    /// Inside.
+    /// A transaction is open.
     Open,
-    /// Inside one that failed: only ending it is left.
+    /// The open transaction has failed and can only be ended.
     Failed,
 }
--- a/lib/src/verifier.rs
+++ b/lib/src/verifier.rs
@@ -1,4 +1,5 @@
-//! SCRAM verifiers: what the configuration holds in place of passwords.
+//! SCRAM verifiers, which the configuration contains instead of passwords: they
+//! allow an instance to check a password but not to derive it.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -7,7 +8,7 @@
 use sha2::Digest;
 use sha2::Sha256;
 
-/// Iterations of new verifiers, as PostgreSQL makes them.
+/// PBKDF2 iterations of new verifiers; PostgreSQL uses the same number.
 pub const ITERATIONS: u32 = 4096;
 
 fn hmac(key: &[u8], message: &[u8]) -> Vec<u8> {
@@ -16,7 +17,7 @@
     mac.finalize().into_bytes().to_vec()
 }
 
-/// Makes the verifier of a password (RFC 5802, with SHA-256).
+/// Derives the verifier of a password (RFC 5802, with SHA-256).
 #[must_use]
 pub fn make_verifier(password: &str, salt: &[u8]) -> String {
     let salted = pbkdf2::pbkdf2_hmac_array::<Sha256, 32>(password.as_bytes(), salt, ITERATIONS);
@@ -27,8 +28,8 @@
     format!("SCRAM-SHA-256${ITERATIONS}:{salt}${stored_key}:{server_key}")
 }
 
-/// The parts of a verifier, still in base64: iterations, salt, stored key,
-/// server key.
+/// Splits a verifier into iterations, salt, stored key and server key. The last
+/// three stay encoded in base64. `None` if the text has another format.
 #[must_use]
 pub fn parse_verifier(text: &str) -> Option<(usize, &str, &str, &str)> {
     let rest = text.strip_prefix("SCRAM-SHA-256$")?;
