--- a/lib/gen-protos/src/main.rs
+++ b/lib/gen-protos/src/main.rs
@@ -1,6 +1,6 @@
-//! Generates the message types in `lib/src/protos` from the `.proto` file
-//! beside them. Run it after a change of the protocol and commit the result;
-//! a build of the product needs neither this program nor `protoc`.
+//! Generates the message types in `lib/src/protos` from the `.proto` files in the
+//! same folder. Run it after a change of these files and commit the result, so that
+//! other builds need neither this program nor `protoc`.
 
 use std::error::Error;
 use std::path::Path;
--- a/lib/src/protos/chervilwharf.peer.rs
+++ b/lib/src/protos/chervilwharf.peer.rs
@@ -2,7 +2,7 @@
 /// One frame of a link.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct Frame {
-    /// Names the exchange; chosen by its initiator, unique within the link.
+    /// Chosen by the sender of the request, unique within the link.
     #[prost(uint64, tag = "1")]
     pub exchange_id: u64,
     #[prost(oneof = "frame::Body", tags = "2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14")]
@@ -45,15 +45,15 @@
 pub struct Hello {
     #[prost(string, tag = "1")]
     pub instance: ::prost::alloc::string::String,
-    /// Grows with every link this instance opens to the same peer. The peer
-    /// drops the older link when it sees a higher number.
+    /// Increases with every link that this instance opens to the same peer. The
+    /// peer closes the older link when it gets a higher number.
     #[prost(uint64, tag = "2")]
     pub link_number: u64,
-    /// Proof that the sender knows the shared peer key.
+    /// Digest that proves that the sender has the shared peer key.
     #[prost(bytes = "vec", tag = "3")]
     pub proof: ::prost::alloc::vec::Vec<u8>,
 }
-/// Ownership of one database as far as the sender knows.
+/// Ownership of one database, according to the sender.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Ownership {
     #[prost(string, tag = "1")]
@@ -63,7 +63,7 @@
     #[prost(uint64, tag = "3")]
     pub term: u64,
 }
-/// Liveness, and what is spread from instance to instance.
+/// Liveness, and gossip: changes of ownership that instances pass on.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct Heartbeat {
     #[prost(string, tag = "1")]
@@ -78,16 +78,16 @@
     pub leaving: bool,
     #[prost(uint64, tag = "6")]
     pub configuration_version: u64,
-    /// Databases the sender owns and serves now.
+    /// Databases that the sender owns and serves.
     #[prost(message, repeated, tag = "7")]
     pub owned: ::prost::alloc::vec::Vec<Ownership>,
-    /// Recent changes of ownership the sender has heard of.
+    /// Recent changes of ownership that the sender has learned from others.
     #[prost(message, repeated, tag = "8")]
     pub heard: ::prost::alloc::vec::Vec<Ownership>,
     #[prost(uint64, tag = "9")]
     pub sequence: u64,
 }
-/// How current a read has to be.
+/// Freshness that a read requires.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Freshness {
     #[prost(enumeration = "freshness::Kind", tag = "1")]
@@ -145,7 +145,7 @@
     #[prost(bytes = "vec", tag = "2")]
     pub value: ::prost::alloc::vec::Vec<u8>,
 }
-/// A statement with everything needed to run it once.
+/// Submits a statement to the owner, which runs it at most once.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct Submit {
     #[prost(string, tag = "1")]
@@ -156,10 +156,10 @@
     pub service: ::prost::alloc::string::String,
     #[prost(string, tag = "4")]
     pub request_id: ::prost::alloc::string::String,
-    /// The same request may have reached an owner before.
+    /// Whether the same request may have reached an owner before.
     #[prost(bool, tag = "5")]
     pub resend: bool,
-    /// Time left until the caller's deadline.
+    /// Remaining time until the deadline of the request.
     #[prost(uint64, tag = "6")]
     pub deadline_ms: u64,
     #[prost(message, optional, tag = "7")]
@@ -179,14 +179,14 @@
     /// Empty outside an interactive transaction.
     #[prost(string, tag = "14")]
     pub transaction_id: ::prost::alloc::string::String,
-    /// Digests of the statements of the transaction, for COMMIT.
+    /// Digest of all statements of the transaction, for COMMIT.
     #[prost(bytes = "vec", tag = "15")]
     pub digest: ::prost::alloc::vec::Vec<u8>,
-    /// An earlier statement of the same interactive transaction has run.
+    /// Whether an earlier statement of the same interactive transaction has run.
     #[prost(bool, tag = "16")]
     pub continues: bool,
 }
-/// Asks for parameter and column types of a statement.
+/// Asks for the parameter and column types of a statement.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Describe {
     #[prost(string, tag = "1")]
@@ -200,7 +200,7 @@
     #[prost(uint64, tag = "5")]
     pub deadline_ms: u64,
 }
-/// Ends an interactive transaction without a trace; has no answer.
+/// Rolls back an interactive transaction. It has no answer.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Rollback {
     #[prost(string, tag = "1")]
@@ -222,7 +222,7 @@
     #[prost(int32, tag = "5")]
     pub format: i32,
 }
-/// One row as encoded by the server.
+/// One row, in the encoding of the server.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Row {
     #[prost(int32, tag = "1")]
@@ -243,38 +243,39 @@
     pub command_tag: ::prost::alloc::string::String,
     #[prost(uint32, repeated, tag = "5")]
     pub parameter_type_oids: ::prost::alloc::vec::Vec<u32>,
-    /// True when the answer comes from the ledger instead of a new run.
+    /// Whether the result comes from the ledger, since the request ran before.
     #[prost(bool, tag = "6")]
     pub from_ledger: bool,
     #[prost(uint64, tag = "7")]
     pub position_term: u64,
     #[prost(uint64, tag = "8")]
     pub position_index: u64,
-    /// The server that ran it was a replica.
+    /// Whether a replica ran the statement.
     #[prost(bool, tag = "9")]
     pub by_replica: bool,
 }
 /// Why a statement has no result.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Failure {
-    /// Name of the error kind; see the table of error kinds.
+    /// Name of the error kind, see error_kind.rs.
     #[prost(string, tag = "1")]
     pub kind: ::prost::alloc::string::String,
-    /// SQLSTATE and text of the server, when the server refused the statement.
+    /// SQLSTATE and text of the server, if the server refused the statement.
     #[prost(string, tag = "2")]
     pub server_sqlstate: ::prost::alloc::string::String,
     #[prost(string, tag = "3")]
     pub message: ::prost::alloc::string::String,
-    /// 0 when the kind's own default applies.
+    /// 0 for the default of the error kind.
     #[prost(uint64, tag = "4")]
     pub retry_after_ms: u64,
-    /// Who owns the database, for the kind "not owner"; empty if unknown.
+    /// Owner of the database, for the kind "not_owner"; empty if unknown.
     #[prost(string, tag = "5")]
     pub owner: ::prost::alloc::string::String,
     #[prost(uint64, tag = "6")]
     pub owner_term: u64,
-    /// The request may have run; only the present owner's ledger can tell. Set
-    /// with the kinds after which the entry asks another owner.
+    /// Whether the request may have run, so that only the ledger of the present
+    /// owner shows it. Set for error kinds after which the instance that the client
+    /// is connected to sends the request to another owner.
     #[prost(bool, tag = "7")]
     pub maybe_ran: bool,
 }
@@ -293,7 +294,7 @@
         Failure(super::Failure),
     }
 }
-/// "What became of this request?"
+/// Asks for the outcome of a request.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Inquiry {
     #[prost(string, tag = "1")]
@@ -302,7 +303,7 @@
     pub account: ::prost::alloc::string::String,
     #[prost(string, tag = "3")]
     pub request_id: ::prost::alloc::string::String,
-    /// Prevent the request from running from now on, if it has not run.
+    /// Whether to prevent the request from running later, if it has not run.
     #[prost(bool, tag = "4")]
     pub settle: bool,
 }
@@ -364,7 +365,7 @@
         }
     }
 }
-/// Passes ownership of a database to the receiver.
+/// Offers the ownership of a database to the receiver.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Handover {
     #[prost(string, tag = "1")]
@@ -373,7 +374,8 @@
     pub term: u64,
     #[prost(string, tag = "3")]
     pub owner: ::prost::alloc::string::String,
-    /// Only open connections to the servers; the offer itself follows.
+    /// Only asks the receiver to open connections to the servers. The offer follows
+    /// in another message.
     #[prost(bool, tag = "4")]
     pub prepare: bool,
 }
@@ -394,13 +396,13 @@
     #[prost(string, tag = "2")]
     pub text: ::prost::alloc::string::String,
 }
-/// What the owner is to do with a statement.
+/// How the owner runs a statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, ::prost::Enumeration)]
 #[repr(i32)]
 pub enum StatementKind {
     Read = 0,
     Write = 1,
-    /// A statement inside an interactive transaction.
+    /// A statement within an interactive transaction.
     InTransaction = 2,
     Commit = 3,
 }
