--- a/lib/tests/test_config_check.rs
+++ b/lib/tests/test_config_check.rs
@@ -1,4 +1,4 @@
-//! Reading and checking of the configuration text.
+//! Tests of parsing and validating the configuration text.
 
 use chervilwharf_lib::config_check::Severity;
 use chervilwharf_lib::config_check::check;
--- a/lib/tests/test_docs.rs
+++ b/lib/tests/test_docs.rs
@@ -1,4 +1,5 @@
-//! The reference of settings and configuration names what the code reads.
+//! Tests that the reference documentation matches the settings, configuration keys
+//! and SQLSTATEs in the code.
 
 use std::collections::BTreeSet;
 
@@ -12,12 +13,12 @@
 const DESIGN: &str = include_str!("../../docs/DESIGN.md");
 const PL_MID: &str = include_str!("../../examples/pl-mid.json");
 
-/// Names of the members of an object.
+/// Returns the names of the members of an object.
 fn names(value: &Value) -> BTreeSet<String> {
     value.as_object().map(|object| object.keys().cloned().collect()).unwrap_or_default()
 }
 
-/// Last parts of all keys the reference lists.
+/// Returns the last part of each key that the reference lists.
 fn documented() -> BTreeSet<String> {
     REFERENCE
         .lines()
--- a/lib/tests/test_session_parts.rs
+++ b/lib/tests/test_session_parts.rs
@@ -1,4 +1,4 @@
-//! Layout of connections, the list of servers, and the plan of a stop.
+//! Tests of connection setup, the list of servers, and the plan of a stop.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -37,9 +37,9 @@
 
 #[test]
 fn test_reset_clears_prepared_statements_too() {
-    // Symptom: EXECUTE of a prepared statement is answered "no such name".
-    // Sequence: a connection is reset for another session, then lent back.
-    // Cause: the reset clears prepared names as well as values.
+    // A reset for another session clears prepared statements as well as values. If
+    // only the values counted as cleared, the server would refuse a later EXECUTE
+    // with "no such name".
     let mut connection_setup = ConnectionSetup::default();
     let read = shape(Access::Read, "q");
     connection_setup.adapt(&values(&[("a", "1")]), Some(&read));
@@ -59,8 +59,8 @@
 }
 
 quickcheck! {
-    /// Whatever sessions used a connection before, after `adapt` it has the
-    /// values of the present one, and no others.
+    /// After `adapt`, a connection has exactly the values of the current session,
+    /// whatever sessions used it before.
     fn prop_adapted_connection_has_exactly_the_session_values(
         sessions: Vec<Vec<(u8, u8)>>
     ) -> bool {
@@ -117,10 +117,9 @@
 
 #[test]
 fn test_entry_that_expired_during_an_outage_is_kept_for_a_while() {
-    // Symptom: no server is left for seconds though all are alive.
-    // Sequence: the store is down, entries expire, the store is back and the
-    // servers write their entries again within two seconds.
-    // Cause: each removal taken for the end of the server.
+    // During an outage of the store the entries of servers expire, and the servers
+    // write them again within two seconds after it. If the list dropped a server with
+    // its entry, no server would be left for seconds although all are running.
     let mut list = ServerList::default();
     list.present("db".into(), server("s", false));
     list.replace(at(1_000), revision(1), Vec::new());
@@ -130,7 +129,7 @@
     assert!(!list.drop_missing(at(9_000)));
     list.missing(at(9_000), "s");
     assert!(!list.drop_missing(at(12_600)));
-    assert!(list.take_changed()["db"].is_empty(), "the group is told that all are gone");
+    assert!(list.take_changed()["db"].is_empty(), "the change reports that no server is left");
 }
 
 #[test]
@@ -145,9 +144,9 @@
 fn test_stop_keeps_the_order_of_its_steps() {
     let plan = StopPlan::new(at(100_000), at(6_000));
     let after = |moment: Duration| moment.saturating_sub(at(100_000));
-    assert!(after(plan.closing_begins_at()) >= at(2_000), "two questions of the balancer");
+    assert!(after(plan.closing_begins_at()) >= at(2_000), "two checks of the load balancer");
     assert!(plan.close_at(0) < plan.close_at(999));
-    assert!(after(plan.transactions_end_at()) >= at(3_000), "half of the grace");
+    assert!(after(plan.transactions_end_at()) >= at(3_000), "half of the grace period");
     assert!(plan.close_at(999) < plan.transactions_end_at());
     assert!(plan.transactions_end_at() < plan.ends_at());
     assert!(after(plan.ends_at()) < at(6_000));
@@ -155,12 +154,10 @@
 
 #[test]
 fn test_only_changed_groups_are_reported_and_only_changes_advance_the_list() {
-    // Symptom: with 640 groups each change of one server costs every instance
-    // as much as the whole list, and all pull it from each other again.
-    // Sequence: a server is listed again as it was; the store counts on for
-    // changes of other kinds.
-    // Cause: all groups told at each change, and the store's revision taken
-    // for that of the list.
+    // If every change updated all groups, a change of one server among 640 groups would
+    // cost each instance as much as the whole list. If the list took the revision of
+    // the store, which also counts changes of other kinds, instances would pull an
+    // unchanged list from each other again.
     let mut list = ServerList::default();
     list.present("db1".into(), server("s1", false));
     list.present("db2".into(), server("s2", false));
@@ -179,8 +176,9 @@
     assert_eq!(list.changed_at(), revision(13), "a leaving server is dropped at once");
 }
 
-/// Guards against a copy of the store that shows a server as it was before it began to
-/// drain, and against one that brings back a list of the lost history.
+/// A store that was restored from a backup may list a server as it was before it began
+/// to drain; the server must stay draining until it writes its entry again. A list from
+/// before the restore must not replace a later one, though its number is higher.
 #[test]
 fn test_list_of_a_restored_store_replaces_a_list_with_a_higher_number() {
     let mut list = ServerList::default();
@@ -195,9 +193,9 @@
     assert_eq!(draining(&list, "new"), Some(false));
     assert_eq!(draining(&list, "drains"), Some(true));
     assert_eq!(draining(&list, "goes"), None);
-    assert_eq!(list.changed_at(), Revision::new(2, 880), "others are told");
+    assert_eq!(list.changed_at(), Revision::new(2, 880), "other instances get the new list");
     list.replace(at(20), Revision::new(1, 950), listed(&["goes"]));
     assert_eq!(draining(&list, "new"), Some(false));
     list.present("db".into(), server("drains", false));
-    assert_eq!(draining(&list, "drains"), Some(false), "it wrote its entry again");
+    assert_eq!(draining(&list, "drains"), Some(false), "the server wrote its entry again");
 }
