--- a/lib/src/event.rs
+++ b/lib/src/event.rs
@@ -9,7 +9,8 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-/// Rate limit of the log lines of one event kind.
+/// Rate limit of the log lines of one event kind. Lines above it are omitted and
+/// counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LineBudget {
     /// Changes of the state of an instance, which are rare.
@@ -151,7 +152,8 @@
     CommitUnconfirmed, "commit_unconfirmed", Request;
     /// The platform answered a promotion order, or the call failed.
     PromotionAnswered, "promotion_answered", State;
-    /// An instance took the duty of a group.
+    /// An instance took the duty of a group, that is the responsibility for replacing
+    /// its primary.
     DutyTaken, "duty_taken", State;
     /// This instance failed to take a duty.
     DutyFailed, "duty_failed", State;
@@ -203,7 +205,7 @@
         Self { kind, fields: String::new() }
     }
 
-    /// Adds a text field. Texts longer than 200 characters are truncated.
+    /// Adds a text field. Long texts are truncated.
     #[must_use]
     pub fn with(mut self, name: &str, value: impl Display) -> Self {
         self.begin_field(name);
--- a/lib/src/protos/chervilwharf.engine.rs
+++ b/lib/src/protos/chervilwharf.engine.rs
@@ -386,7 +386,7 @@
     pub fresh: bool,
 }
 /// Asks the keeper of an account whether operations of the account may begin at the
-/// sender.
+/// sender. The keeper is the instance that counts the operations of the account.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct QuotaQuestion {
     #[prost(string, tag = "1")]
--- a/lib/src/server_refusal.rs
+++ b/lib/src/server_refusal.rs
@@ -42,7 +42,8 @@
 }
 
 impl RefusalKind {
-    /// Whether the statement certainly did not run or was rolled back.
+    /// Whether the server guarantees that the statement did not run, or that it was
+    /// rolled back.
     #[must_use]
     pub fn guarantees_not_run(self) -> bool {
         match self {
