--- a/daemon/src/engine/lease.rs
+++ b/daemon/src/engine/lease.rs
@@ -99,7 +99,7 @@
 
     /// No statement is at the server until [`Lease::resume`]: the client
     /// rests in its transaction.
-    pub fn rest(&mut self) {
+    pub fn idle(&mut self) {
         if std::mem::take(&mut self.running) {
             self.shard.end_running(&self.server);
             self.shard.pump();
--- a/daemon/src/owner.rs
+++ b/daemon/src/owner.rs
@@ -148,7 +148,7 @@
 ) -> Entrance {
     let entrance = context.databases.with_database(database, |state| {
         state.ownership.requested(Instant::now());
-        if !state.ownership.is_engaged() {
+        if !state.ownership.owns_or_is_taking() {
             return Entrance::NotOurs;
         }
         let shut = match state.gate {
--- a/lib/tests/test_loss.rs
+++ b/lib/tests/test_loss.rs
@@ -93,8 +93,8 @@
 
 #[test]
 fn test_refusals_of_accounts_are_not_attributed_to_concurrent_events() {
-    let stood_still = Event::new(EventKind::StoodStill);
-    let mut log = vec![line(10_000, "a", &stood_still)];
+    let process_paused = Event::new(EventKind::StoodStill);
+    let mut log = vec![line(10_000, "a", &process_paused)];
     for reason in ["rate_limited", "unknown_key", "quota_unknown"] {
         log.push(line(10_100, "a", &ended(EventKind::RequestRefused, "db", reason, 1)));
     }
