--- a/lib/src/config_check.rs
+++ b/lib/src/config_check.rs
@@ -1,4 +1,5 @@
-//! Reads a configuration text and reports all that is wrong with it.
+//! Parses and validates a configuration text, and reports all errors and
+//! warnings at once, each with its position in the text.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -19,31 +20,32 @@
 use crate::config::Service;
 use crate::verifier::parse_verifier;
 
-/// Largest accepted text; the platform's store holds values up to a megabyte.
+/// Largest accepted configuration text. The platform's store accepts values of
+/// up to one megabyte.
 pub const TEXT_LIMIT_BYTES: usize = 1_000_000;
 
-/// Longest deadline a service may ask for, in milliseconds.
+/// Largest value of `deadline_ms` of a service, in milliseconds.
 const DEADLINE_LIMIT_MS: u64 = 3_600_000;
 
-/// How bad a finding is.
+/// Severity of a finding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Severity {
-    /// The text cannot be put in force.
+    /// The configuration is invalid and cannot be applied.
     Error,
-    /// It can, but probably does not say what was meant.
+    /// The configuration is valid, but probably not what its author intended.
     Warning,
 }
 
-/// One thing found in a text.
+/// An error or warning about a configuration text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
-    /// How bad it is.
+    /// Whether it is an error or a warning.
     pub severity: Severity,
-    /// Line, counted from one.
+    /// Line in the text, starting at 1.
     pub line: usize,
-    /// Column, counted from one.
+    /// Column in bytes within the line, starting at 1.
     pub column: usize,
-    /// What is wrong and what was expected.
+    /// Description of the problem and of what was expected.
     pub message: String,
 }
 
@@ -57,16 +59,16 @@
     }
 }
 
-/// A text that was read, with everything found in it.
+/// The result of [`check`].
 #[derive(Clone, Debug)]
 pub struct Checked {
-    /// The configuration, if there is no error.
+    /// The parsed configuration; `None` if there is an error.
     pub config: Option<Config>,
-    /// All findings, in the order of the text.
+    /// All findings, in the order of their positions.
     pub findings: Vec<Finding>,
 }
 
-/// Reads and checks a text.
+/// Parses and validates a configuration text.
 #[must_use]
 pub fn check(text: &str) -> Checked {
     let mut checker = Checker { text, findings: Vec::new() };
@@ -76,10 +78,10 @@
     Checked { config: config.filter(|_| !has_error), findings: checker.findings }
 }
 
-/// Members of a JSON object in their order, duplicates included.
+/// Members of a JSON object in the order of the text, including duplicates.
 ///
-/// A map would silently keep the last of two members with one name, and an
-/// operator would look at the other one.
+/// A map would silently keep only the last of two members with the same name,
+/// while an operator may edit the first one.
 struct Members<'a>(Vec<(String, &'a RawValue)>);
 
 impl<'de: 'a, 'a> Deserialize<'de> for Members<'a> {
@@ -104,13 +106,13 @@
     }
 }
 
-/// A value and its place in the text.
-struct Placed<'a, T> {
+/// A parsed value with the slice of the text that it was parsed from.
+struct Located<'a, T> {
     raw: &'a RawValue,
     value: T,
 }
 
-type Section<'a, T> = BTreeMap<String, Placed<'a, T>>;
+type Section<'a, T> = BTreeMap<String, Located<'a, T>>;
 
 struct Checker<'a> {
     text: &'a str,
@@ -173,25 +175,28 @@
                 self.error(raw, "a name must not be empty".into());
             }
             if let Some(value) = self.value::<T>(raw) {
-                section.insert(name, Placed { raw, value });
+                section.insert(name, Located { raw, value });
             }
         }
         section
     }
 
-    /// Members of an object; reports a name that stands twice.
+    /// Returns the members of an object, and reports duplicate names.
     fn members(&mut self, raw: &'a RawValue) -> Option<Vec<(String, &'a RawValue)>> {
         let members = match serde_json::from_str::<Members<'a>>(raw.get()) {
             Ok(Members(members)) => members,
             Err(error) => {
-                self.error(raw, format!("{}, expected an object", first_words(&error)));
+                self.error(
+                    raw,
+                    format!("{}, expected an object", message_without_position(&error)),
+                );
                 return None;
             }
         };
         let mut seen = BTreeSet::new();
         for (name, raw) in &members {
             if !seen.insert(name.clone()) {
-                self.error(raw, format!("\"{name}\" stands here for the second time"));
+                self.error(raw, format!("duplicate name \"{name}\""));
             }
         }
         Some(members)
@@ -203,7 +208,7 @@
             Err(error) => {
                 let start = self.offset(raw);
                 let inner = offset_of(raw.get(), error.line(), error.column());
-                self.error_at(start + inner, first_words(&error));
+                self.error_at(start + inner, message_without_position(&error));
                 None
             }
         }
@@ -211,38 +216,38 @@
 
     fn check_databases(&mut self, databases: &Section<'a, Database>, domains: &[String]) {
         let mut seen = BTreeSet::new();
-        for (name, placed) in databases {
-            let servers = &placed.value.servers;
+        for (name, located) in databases {
+            let servers = &located.value.servers;
             if servers.is_empty() {
-                self.error(placed.raw, format!("database \"{name}\" has no server"));
+                self.error(located.raw, format!("database \"{name}\" has no server"));
             } else if servers.len() % 2 == 0 {
                 self.warning(
-                    placed.raw,
+                    located.raw,
                     format!(
-                        "database \"{name}\" has {} servers; an even number survives no more \
-                         failures than one less",
+                        "database \"{name}\" has {} servers; an even number tolerates no \
+                         more failures than one server fewer",
                         servers.len()
                     ),
                 );
             }
             for server in servers {
-                let place = self.find(placed.raw, &server.id);
+                let place = self.first_offset_of(located.raw, &server.id);
                 if !seen.insert(server.id.clone()) {
-                    let place = self.find_last(placed.raw, &server.id);
-                    self.error_at(place, format!("server \"{}\" stands twice", server.id));
+                    let place = self.last_offset_of(located.raw, &server.id);
+                    self.error_at(place, format!("duplicate server \"{}\"", server.id));
                 }
                 if server.address.parse::<SocketAddr>().is_err() {
-                    let place = self.find(placed.raw, &server.address);
+                    let place = self.first_offset_of(located.raw, &server.address);
                     self.error_at(
                         place,
                         format!(
-                            "address \"{}\" of server \"{}\" is not an IP number and a port",
+                            "address \"{}\" of server \"{}\" is not an IP address and a port",
                             server.address, server.id
                         ),
                     );
                 }
                 if !domains.iter().any(|domain| **domain == *server.failure_domain) {
-                    let place = self.find(placed.raw, &server.failure_domain);
+                    let place = self.first_offset_of(located.raw, &server.failure_domain);
                     self.error_at(
                         place,
                         format!(
@@ -272,20 +277,20 @@
         services: &Section<'a, Service>,
         databases: &Section<'a, Database>,
     ) {
-        for (name, placed) in services {
-            let service = &placed.value;
+        for (name, located) in services {
+            let service = &located.value;
             if !(service.objective > 0.0 && service.objective < 1.0) {
                 self.error(
-                    placed.raw,
+                    located.raw,
                     format!(
-                        "service \"{name}\" has the objective {}, expected a share between 0 and 1",
+                        "service \"{name}\" has the objective {}, expected a fraction between 0 and 1",
                         service.objective
                     ),
                 );
             }
             if service.deadline_ms == 0 || service.deadline_ms > DEADLINE_LIMIT_MS {
                 self.error(
-                    placed.raw,
+                    located.raw,
                     format!(
                         "service \"{name}\" has deadline_ms {}, expected 1 to {DEADLINE_LIMIT_MS}",
                         service.deadline_ms
@@ -294,20 +299,21 @@
             }
             for database in &service.depends_on.databases {
                 if !databases.contains_key(&**database) {
-                    let place = self.find(placed.raw, database);
+                    let place = self.first_offset_of(located.raw, database);
                     let hint = suggest(database, databases.keys().map(String::as_str));
                     let message = format!(
-                        "service \"{name}\" needs the unknown database \"{database}\"{hint}"
+                        "service \"{name}\" depends on the unknown database \"{database}\"{hint}"
                     );
                     self.error_at(place, message);
                 }
             }
             for other in &service.depends_on.services {
                 if !services.contains_key(&**other) {
-                    let place = self.find(placed.raw, other);
+                    let place = self.first_offset_of(located.raw, other);
                     let hint = suggest(other, services.keys().map(String::as_str));
-                    let message =
-                        format!("service \"{name}\" needs the unknown service \"{other}\"{hint}");
+                    let message = format!(
+                        "service \"{name}\" depends on the unknown service \"{other}\"{hint}"
+                    );
                     self.error_at(place, message);
                 }
             }
@@ -328,20 +334,20 @@
             let raw = services[name].raw;
             self.error(
                 raw,
-                format!("services need each other in a circle: {}", cycle.join(" -> ")),
+                format!("services depend on each other in a cycle: {}", cycle.join(" -> ")),
             );
         }
     }
 
     fn check_accounts(&mut self, accounts: &Section<'a, Account>, services: &Section<'a, Service>) {
-        for (name, placed) in accounts {
-            let account = &placed.value;
+        for (name, located) in accounts {
+            let account = &located.value;
             if account.services.is_empty() {
-                self.error(placed.raw, format!("account \"{name}\" has no service"));
+                self.error(located.raw, format!("account \"{name}\" has no service"));
             }
             for service in &account.services {
                 if !services.contains_key(&**service) {
-                    let place = self.find(placed.raw, service);
+                    let place = self.first_offset_of(located.raw, service);
                     let hint = suggest(service, services.keys().map(String::as_str));
                     let message = format!(
                         "account \"{name}\" acts for the unknown service \"{service}\"{hint}"
@@ -351,11 +357,11 @@
             }
             if parse_verifier(&account.verifier).is_none() {
                 self.error(
-                    placed.raw,
+                    located.raw,
                     format!(
                         "the verifier of account \"{name}\" is not of the form \
                          SCRAM-SHA-256$iterations:salt$stored_key:server_key; \
-                         `chervilwharf verifier` makes one"
+                         `chervilwharf verifier` generates one"
                     ),
                 );
             }
@@ -368,26 +374,26 @@
         services: &Section<'a, Service>,
         accounts: &Section<'a, Account>,
     ) {
-        for (name, placed) in databases {
+        for (name, located) in databases {
             let used = services
                 .values()
                 .any(|service| service.value.depends_on.databases.iter().any(|id| **id == **name));
             if !used {
-                self.warning(placed.raw, format!("no service needs database \"{name}\""));
+                self.warning(located.raw, format!("no service uses database \"{name}\""));
             }
         }
-        for (name, placed) in services {
+        for (name, located) in services {
             let used = accounts
                 .values()
                 .any(|account| account.value.services.iter().any(|id| **id == **name));
             if !used {
-                self.warning(placed.raw, format!("no account acts for service \"{name}\""));
+                self.warning(located.raw, format!("no account acts for service \"{name}\""));
             }
         }
     }
 
     fn syntax_error(&mut self, error: &serde_json::Error) {
-        let message = first_words(error);
+        let message = message_without_position(error);
         self.findings.push(Finding {
             severity: Severity::Error,
             line: error.line().max(1),
@@ -415,32 +421,35 @@
         self.findings.push(Finding { severity, line, column, message });
     }
 
-    /// Where a raw value begins. It is a slice of the text itself, so the
-    /// difference of the addresses is its offset.
+    /// Byte offset of a raw value in the text. The raw value is a slice of the
+    /// text, so the offset is the difference of their addresses.
     fn offset(&self, raw: &RawValue) -> usize {
         let start = self.text.as_ptr() as usize;
         (raw.get().as_ptr() as usize).saturating_sub(start).min(self.text.len())
     }
 
-    /// Where a string stands inside a raw value for the last time.
-    fn find_last(&self, raw: &RawValue, needle: &str) -> usize {
+    /// Byte offset in the text of the last occurrence of a JSON string in a raw
+    /// value.
+    fn last_offset_of(&self, raw: &RawValue, needle: &str) -> usize {
         let quoted = serde_json::to_string(needle).unwrap_or_default();
         self.offset(raw) + raw.get().rfind(&quoted).unwrap_or(0)
     }
 
-    /// Where a string stands inside a raw value.
-    fn find(&self, raw: &RawValue, needle: &str) -> usize {
+    /// Byte offset in the text of the first occurrence of a JSON string in a raw
+    /// value.
+    fn first_offset_of(&self, raw: &RawValue, needle: &str) -> usize {
         let quoted = serde_json::to_string(needle).unwrap_or_default();
         self.offset(raw) + raw.get().find(&quoted).unwrap_or(0)
     }
 }
 
 fn into_values<K: From<String> + Ord, T>(section: Section<'_, T>) -> BTreeMap<K, T> {
-    section.into_iter().map(|(name, placed)| (name.into(), placed.value)).collect()
+    section.into_iter().map(|(name, located)| (name.into(), located.value)).collect()
 }
 
-/// The message of an error without its place, which is given apart.
-fn first_words(error: &serde_json::Error) -> String {
+/// The message of an error without its position, which a [`Finding`] has in
+/// fields of its own.
+fn message_without_position(error: &serde_json::Error) -> String {
     let text = error.to_string();
     match text.rfind(" at line ") {
         Some(end) => text[..end].to_owned(),
@@ -474,10 +483,10 @@
     path: &mut Vec<String>,
     visited: &mut BTreeSet<String>,
 ) -> bool {
-    let Some(placed) = services.get(at) else {
+    let Some(located) = services.get(at) else {
         return false;
     };
-    for next in &placed.value.depends_on.services {
+    for next in &located.value.depends_on.services {
         path.push(next.to_string());
         if **next == *goal {
             return true;
@@ -490,7 +499,8 @@
     false
 }
 
-/// Names the known word that is most like an unknown one.
+/// Returns a hint with the known name that is most similar to `unknown`, or an
+/// empty text if none is similar enough.
 fn suggest<'b>(unknown: &str, known: impl Iterator<Item = &'b str>) -> String {
     let closest = known
         .map(|word| (edit_distance(unknown, word), word))
