--- a/daemon/src/answer.rs
+++ b/daemon/src/answer.rs
@@ -1,4 +1,5 @@
-//! Failures on their way to the caller.
+//! Builds failures and answers of requests, and translates failures into
+//! PostgreSQL errors for clients.
 
 use std::time::Duration;
 
@@ -11,26 +12,26 @@
 use pgwire::error::ErrorInfo;
 use pgwire::error::PgWireError;
 
-/// A failure of a kind, with the kind's own text.
+/// Creates a failure with the standard message of its kind.
 #[must_use]
 pub fn failure(kind: ErrorKind) -> Failure {
     Failure { kind: kind.name().to_owned(), message: kind.to_string(), ..Failure::default() }
 }
 
-/// A failure with a text of its own.
+/// Creates a failure with a message that differs from that of its kind.
 #[must_use]
 pub fn failure_with(kind: ErrorKind, message: impl Into<String>) -> Failure {
     Failure { message: message.into(), ..failure(kind) }
 }
 
-/// A failure with an estimate of when to come back.
+/// Creates a failure with an estimate of when a retry can succeed.
 #[must_use]
 pub fn failure_after(kind: ErrorKind, retry_after: Duration) -> Failure {
     let retry_after_ms = u64::try_from(retry_after.as_millis()).unwrap_or(u64::MAX).max(1);
     Failure { retry_after_ms, ..failure(kind) }
 }
 
-/// The refusal of a database server.
+/// Creates the failure of a statement that a database server refused.
 #[must_use]
 pub fn refused_by_server(sqlstate: &str, message: &str) -> Failure {
     Failure {
@@ -39,7 +40,8 @@
     }
 }
 
-/// Wraps a result or a failure for the way back to the entry.
+/// Wraps a result or a failure in the message that goes back to the entry
+/// instance.
 #[must_use]
 pub fn to_answer(result: Result<StatementResult, Failure>) -> Answer {
     let outcome = match result {
@@ -49,7 +51,8 @@
     Answer { outcome: Some(outcome) }
 }
 
-/// Unwraps an answer. An empty one stems from a fault and promises nothing.
+/// Unwraps an answer. An empty answer is a fault of the sender and says nothing
+/// about the request, so it becomes [`ErrorKind::OutcomeUnknown`].
 ///
 /// # Errors
 ///
@@ -62,14 +65,16 @@
     }
 }
 
-/// Kind of a failure.
+/// Returns the kind of a failure.
 #[must_use]
 pub fn kind_of(failure: &Failure) -> ErrorKind {
     ErrorKind::from_name(&failure.kind)
 }
 
-/// The error a caller gets: SQLSTATE, text, what it may conclude, and when to
-/// come back.
+/// Translates a failure into the PostgreSQL error for the client.
+///
+/// The detail field says whether the request may have run, the hint field when to
+/// retry.
 #[must_use]
 pub fn to_wire(failure: &Failure, request_id: Option<&str>) -> PgWireError {
     let kind = kind_of(failure);
@@ -87,7 +92,7 @@
     let request = request_id.map(|id| format!(" request_id={id}")).unwrap_or_default();
     info.detail = Some(format!("outcome={outcome} kind={}{request}", kind.name()));
     if kind == ErrorKind::Stopping {
-        // The connection ends with this answer.
+        // FATAL says that the connection closes after this error.
         "FATAL".clone_into(&mut info.severity);
     }
     info.hint = retry_hint(failure, rule.retry_after, rule.outcome);
--- a/daemon/src/checkout.rs
+++ b/daemon/src/checkout.rs
@@ -1,4 +1,8 @@
-//! Slots and connections of the servers, as guards.
+//! Acquires execution slots and connections of database servers. Guards release
+//! them when they are dropped.
+//!
+//! A slot permits one statement at a server. The number of slots limits how many
+//! statements run there at the same time; requests queue for them by priority.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,7 +25,7 @@
 use crate::postgres::ServerConnection;
 use crate::postgres::Step;
 
-/// The right to run one statement at a server. Gives it back when dropped.
+/// Permission to run one statement at a server. The slot is released on drop.
 pub struct SlotGuard {
     databases: Arc<Databases>,
     database: DatabaseId,
@@ -45,7 +49,8 @@
     wake(databases, database, server, granted.flatten().unwrap_or_default());
 }
 
-/// Wakes those with a slot; the slot of one who has left goes to the next.
+/// Wakes the waiters whose tickets were granted. The slot of a waiter that has
+/// left the queue is granted to the next one.
 fn wake(
     databases: &Arc<Databases>,
     database: &DatabaseId,
@@ -67,8 +72,9 @@
     }
 }
 
-/// Refuses those who cannot make their deadline any more, and widens the
-/// slots of a new primary. Called by the control loop.
+/// Refuses waiters that can no longer start before their deadline, and raises the
+/// number of slots of a new primary step by step. The control loop calls this
+/// periodically.
 pub fn maintain(databases: &Arc<Databases>, database: &DatabaseId) {
     let now = Instant::now();
     let servers = databases.with_database(database, |state| {
@@ -91,7 +97,9 @@
 ///
 /// # Errors
 ///
-/// Refused at once when the deadline cannot be made.
+/// When the queue refuses the request: at once if it cannot start before its
+/// deadline, or later if a more important request displaces it. Also when the
+/// configuration no longer has the server.
 pub async fn acquire_slot(
     databases: &Arc<Databases>,
     database: &DatabaseId,
@@ -106,8 +114,8 @@
             let slots = state.slots.get_mut(server)?;
             let admission = slots.request(Instant::now(), priority, deadline);
             if let Admission::Queued(ticket) = admission {
-                // Under the lock of the shard, so that the turn cannot come
-                // before the waiter can be found.
+                // Done under the lock of the database, so that the ticket cannot
+                // be granted before the waiter is registered.
                 known.connections.waiting.lock().expect("never poisoned").insert(ticket, sender);
             }
             Some((admission, slots.displaced()))
@@ -139,7 +147,8 @@
     }
 }
 
-/// Takes a slot for a statement of an open transaction, without waiting.
+/// Takes a slot for a statement of an open transaction without waiting, even if
+/// none is free.
 pub fn overdraw_slot(
     databases: &Arc<Databases>,
     database: &DatabaseId,
@@ -158,8 +167,9 @@
     }
 }
 
-/// One who waits for a slot. Leaves the queue when its request is dropped;
-/// otherwise the slot would be granted to nobody and lost.
+/// A request that waits for a slot. It leaves the queue when it is dropped.
+/// Otherwise the slot would be granted to a request that no longer exists and
+/// never be released.
 struct Waiter<'a> {
     databases: &'a Arc<Databases>,
     database: &'a DatabaseId,
@@ -170,8 +180,8 @@
 
 impl Drop for Waiter<'_> {
     fn drop(&mut self) {
-        // Closed first: a turn that is announced from now on fails and is
-        // passed on by its sender, one announced before is found here. The
+        // The channel is closed first. A grant sent after that fails, and its
+        // sender passes the slot on; a grant sent before is received here. The
         // slot is released exactly once in either case.
         self.receiver.close();
         if matches!(self.receiver.try_recv(), Ok(Turn::Granted)) {
@@ -187,10 +197,11 @@
     }
 }
 
-/// Longest wait for the answer to a rollback.
+/// Timeout of a rollback.
 const ROLLBACK_LIMIT: Duration = Duration::from_secs(1);
 
-/// A connection in use. Goes back to the pool when dropped, if it is whole.
+/// A connection in use. When dropped, it returns to the pool if it is reusable
+/// and is closed otherwise.
 pub struct ConnectionGuard {
     databases: Arc<Databases>,
     database: DatabaseId,
@@ -200,17 +211,17 @@
 }
 
 impl ConnectionGuard {
-    /// The connection.
+    /// Returns the connection.
     ///
     /// # Panics
     ///
-    /// Never: the connection is there until the guard is dropped.
+    /// Never: the guard holds the connection until it is dropped.
     pub fn get(&mut self) -> &mut ServerConnection {
         self.connection.as_mut().expect("a guard holds its connection until it is dropped")
     }
 
-    /// Ends a failed transaction in the background, so that the connection can
-    /// be used again.
+    /// Rolls back the open transaction in the background, so that the connection
+    /// can be reused.
     pub fn end_transaction(mut self) {
         if !self.get().is_whole() {
             return;
@@ -218,7 +229,7 @@
         tokio::spawn(async move {
             let rollback = [Step::own("ROLLBACK")];
             let run = self.get().run(&rollback);
-            // A connection that does not answer in this time is closed instead.
+            // The guard closes a connection that does not answer in this time.
             let _ = tokio::time::timeout(ROLLBACK_LIMIT, run).await;
         });
     }
@@ -234,8 +245,8 @@
                 return;
             };
             match (connection, known) {
-                // A connection whose answer did not arrive whole is closed:
-                // what comes late on it must not reach the next request.
+                // A connection with an incomplete answer is closed: the rest of
+                // the answer must not reach the next request.
                 (None, _) | (_, None) => pool.closed(),
                 (Some(connection), Some(known)) => {
                     let mut idle = known.connections.idle.lock().expect("never poisoned");
@@ -247,7 +258,8 @@
     }
 }
 
-/// An opening that was started; counts as failed unless it is completed.
+/// Guard of a connection that is being opened. The pool counts the opening as
+/// failed if the guard is dropped before [`Opening::complete`].
 struct Opening<'a> {
     databases: &'a Arc<Databases>,
     database: &'a DatabaseId,
@@ -278,14 +290,15 @@
     }
 }
 
-/// Longest wait for a new connection to a server.
+/// Timeout of opening a connection to a server.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Gets a connection to a server.
+/// Acquires a connection to a server from its pool.
 ///
 /// # Errors
 ///
-/// When none can be had before the deadline, or the server cannot be reached.
+/// When the pool has no free connection before the deadline, or the server cannot
+/// be reached.
 pub async fn checkout(
     databases: &Arc<Databases>,
     database: &DatabaseId,
@@ -305,7 +318,8 @@
                     _ => None,
                 };
                 if matches!(decision, Checkout::Reuse(_)) && connection.is_none() {
-                    // The server's address changed and its store with it.
+                    // The address of the server changed, and its connections
+                    // were replaced by a new, empty store.
                     pool.closed();
                 }
                 Some((decision, connection))
@@ -338,7 +352,7 @@
     }
 }
 
-/// Opens a connection ahead of need, if one is missing.
+/// Opens one connection in advance if the pool has fewer than `warm`.
 pub async fn warm_up(
     databases: Arc<Databases>,
     database: DatabaseId,
@@ -370,7 +384,7 @@
     });
 }
 
-/// Closes connections that nobody has used for a while, but for a few.
+/// Closes connections that have been idle for long, except for `warm` of them.
 pub fn close_expired(
     databases: &Arc<Databases>,
     database: &DatabaseId,
@@ -391,7 +405,7 @@
     });
 }
 
-/// Closes connections to a server that has failed or that nobody needs.
+/// Closes all idle connections to a server, because it may have failed.
 pub fn close_idle(databases: &Arc<Databases>, database: &DatabaseId, server: &TargetId) {
     let Some(known) = databases.server(server) else {
         return;
--- a/daemon/src/confirm.rs
+++ b/daemon/src/confirm.rs
@@ -1,4 +1,7 @@
-//! Waits until a replica has received a write.
+//! Confirmation of writes: waits until a replica has received a log position.
+//!
+//! Writes and reads of one database that wait at the same time share the probes
+//! that ask its replicas how much of the log they have received.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -17,21 +20,24 @@
 use crate::databases::Databases;
 use crate::databases::Interruption;
 
-/// Waiters of one database. They share one position probe.
+/// Waiters for confirmation in one database, and the probes that serve them.
 #[derive(Default)]
 pub struct ConfirmHub {
     waiting: AtomicUsize,
     advanced: Notify,
-    /// Position the waiters were last told of.
+    /// Confirmed position at which the waiters were last woken.
     announced: Mutex<Position>,
-    /// Replicas that are being asked.
+    /// Replicas that a task is probing.
     asking: Mutex<HashSet<TargetId>>,
 }
 
 impl ConfirmHub {
-    /// Wakes the waiters if more is confirmed than they were told. The paced
-    /// probes also learn of positions, so what was known before this answer
-    /// says nothing about what the waiters know.
+    /// Wakes the waiters if `confirmed` is above the position at which they were
+    /// last woken. Returns whether it is.
+    ///
+    /// The periodic probes of the control loop also advance the confirmed
+    /// position, and they wake no waiters. So the comparison is with the
+    /// announced position, not with the one confirmed before this probe.
     fn announce(&self, confirmed: Position) -> bool {
         let mut announced = self.announced.lock().expect("never poisoned");
         if confirmed <= *announced {
@@ -52,19 +58,19 @@
     }
 }
 
-/// Why a position was not confirmed.
+/// Reason why a position was not confirmed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotConfirmed {
     /// The deadline passed.
     Late,
-    /// The term is over: another primary serves, or another owner.
+    /// The term ended: the primary or the owner is being replaced.
     TermOver,
 }
 
-/// Pause between two probes when the first brought nothing new.
+/// Pause after a probe that did not advance the confirmed position.
 const PROBE_PAUSE: Duration = Duration::from_micros(200);
 
-/// Waits for confirmation, by database.
+/// The waiters for confirmation of every database.
 #[derive(Default)]
 pub struct Confirmations {
     hubs: Mutex<HashMap<DatabaseId, Arc<ConfirmHub>>>,
@@ -76,8 +82,10 @@
         hubs.entry(database.clone()).or_default().clone()
     }
 
-    /// Waits until what was committed at `position` survives the loss of the
-    /// primary. Holds neither a slot nor a connection.
+    /// Waits until a replica has received the log up to `position`, so that what
+    /// was committed there survives the loss of the primary. In a group of one
+    /// server the log of the primary itself counts. Occupies neither a slot nor a
+    /// connection for statements during the wait.
     ///
     /// # Errors
     ///
@@ -125,10 +133,10 @@
     confirmed.flatten().ok_or(NotConfirmed::TermOver)
 }
 
-/// Starts asking each replica that is not being asked already.
+/// Starts a probe task for each replica that has none.
 ///
-/// Each is asked by a task of its own: one that does not answer must not
-/// delay what the others have to say.
+/// Every replica has its own task, so that an unresponsive replica does not
+/// delay the answers of the others.
 fn ask_replicas(databases: &Arc<Databases>, database: &DatabaseId, hub: &Arc<ConfirmHub>) {
     let replicas = databases.with_database(database, |state| {
         let primary = state.ownership.serving().map(|(_, primary)| primary);
@@ -143,7 +151,8 @@
     }
 }
 
-/// Asks one replica for its position again and again while anyone waits.
+/// Probes one replica for its received position for as long as there are
+/// waiters.
 async fn ask(
     databases: Arc<Databases>,
     database: DatabaseId,
@@ -152,8 +161,8 @@
 ) {
     loop {
         {
-            // Checked and left under one lock, so that a waiter that comes
-            // now either is seen here or starts the next task.
+            // The check and the removal happen under one lock. A waiter that
+            // arrives now is either counted here or starts the next task.
             let mut asking = hub.asking.lock().expect("never poisoned");
             if hub.waiting.load(Ordering::SeqCst) == 0 {
                 asking.remove(&replica);
@@ -167,7 +176,8 @@
     }
 }
 
-/// Tokio's timer works in milliseconds; a yield is the shortest pause it has.
+/// Pauses for [`PROBE_PAUSE`]. Tokio's timer has a resolution of a millisecond,
+/// so this yields until the time has passed.
 async fn pause() {
     let until = Instant::now() + PROBE_PAUSE;
     while Instant::now() < until {
@@ -175,7 +185,8 @@
     }
 }
 
-/// Asks a replica once and returns what is confirmed after its answer.
+/// Probes a replica once. Returns the position that is confirmed afterwards, or
+/// [`Position::ZERO`] if the replica did not answer.
 async fn ask_once(
     databases: &Arc<Databases>,
     database: &DatabaseId,
--- a/daemon/src/connection_store.rs
+++ b/daemon/src/connection_store.rs
@@ -1,4 +1,5 @@
-//! Idle connections to one server, and those who wait for a slot on it.
+//! The idle connections to one server, and the requests that wait for an
+//! execution slot there.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -9,24 +10,25 @@
 
 use crate::postgres::ServerConnection;
 
-/// Open connections of one server that nobody uses, and those who wait for a
-/// slot on it.
+/// The idle connections to one server by connection id, and the requests that
+/// wait for an execution slot there by ticket.
 #[derive(Default)]
 pub struct ConnectionStore {
     pub(crate) idle: Mutex<HashMap<u64, ServerConnection>>,
     pub(crate) waiting: Mutex<HashMap<Ticket, oneshot::Sender<Turn>>>,
 }
 
-/// What becomes of a request that waited for a slot.
+/// Decision about a request that waits for a slot.
 pub(crate) enum Turn {
-    /// It may run.
+    /// The request has a slot now.
     Granted,
-    /// It is refused, with the time to come back.
+    /// The request is refused and may be retried after this time.
     Refused(Duration),
 }
 
 impl ConnectionStore {
-    /// Wakes those who have a slot now. Returns those who have left.
+    /// Wakes the waiters of these tickets. Returns the tickets whose waiters have
+    /// left the queue.
     pub(crate) fn grant(&self, tickets: Vec<Ticket>) -> Vec<Ticket> {
         let mut waiting = self.waiting.lock().expect("never poisoned");
         let mut gone = Vec::new();
@@ -39,12 +41,12 @@
         gone
     }
 
-    /// Tells those who wait that they are refused.
+    /// Refuses the waiters of these tickets.
     pub(crate) fn refuse(&self, tickets: Vec<(Ticket, Duration)>) {
         let mut waiting = self.waiting.lock().expect("never poisoned");
         for (ticket, retry_after) in tickets {
             if let Some(sender) = waiting.remove(&ticket) {
-                // A waiter that left in the meantime needs no answer.
+                // Sending fails if the waiter has left, which needs no action.
                 let _ = sender.send(Turn::Refused(retry_after));
             }
         }
--- a/daemon/src/control.rs
+++ b/daemon/src/control.rs
@@ -1,4 +1,9 @@
-//! The control loop: ticks the decisions and performs what they ask for.
+//! The control loop of an instance: sends clock ticks to its state machines and
+//! performs the actions that they return, such as probing, fencing and
+//! promoting database servers, heartbeats and handovers.
+//!
+//! Fencing makes a server refuse all lower terms. A handover passes a database
+//! to another instance without interrupting requests in progress.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -31,43 +36,46 @@
 use crate::serving::Serving;
 use crate::write;
 
-/// Pace of the ticks.
+/// Interval of the clock ticks.
 const TICK: Duration = Duration::from_millis(20);
 
-/// Pace of pool and queue maintenance, in ticks.
+/// Interval of the maintenance of connection pools and slot queues, in ticks.
 const MAINTENANCE_TICKS: u64 = 2;
 
-/// Pace of forgetting what is not needed any more, in ticks.
+/// Interval at which old floors, connections and ledger rows are removed, in
+/// ticks.
 const CLEAN_UP_TICKS: u64 = 500;
 
-/// Connections kept open to the primary ahead of need.
+/// Number of connections to the primary that are kept open in advance.
 const WARM_PRIMARY: usize = 4;
 
-/// Connections kept open to each replica ahead of need.
+/// Number of connections to each replica that are kept open in advance.
 const WARM_REPLICA: usize = 3;
 
-/// Spacing of the connections opened ahead of a handover.
+/// Interval between openings of connections to one server before a handover.
+/// It is longer than the interval at which a pool permits openings.
 const OPENING_TURN: Duration = Duration::from_millis(6);
 
-/// Longest wait for open transactions before a handover is put off.
+/// Longest wait for open transactions to end before a handover is postponed.
 const TRANSACTION_GRACE: Duration = Duration::from_secs(12);
 
-/// Longest wait for requests in progress once nothing new starts.
+/// Longest wait for requests in progress to end once no new ones start.
 const WORK_GRACE: Duration = Duration::from_secs(5);
 
-/// Longest wait for the answer to an offer.
+/// Longest wait for the answer to a handover offer.
 const HANDOVER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Pause after an offer to an instance that could not prepare for it.
+/// Delay before the next handover attempt when the other instance did not
+/// prepare for this one.
 const HANDOVER_PAUSE: Duration = Duration::from_millis(200);
 
-/// Pause before another try to make the ledger.
+/// Delay before another attempt to create the ledger.
 const LEDGER_PAUSE: Duration = Duration::from_millis(50);
 
-/// When takes began, to measure how long each phase lasts.
+/// Start times of the takeovers in progress, to measure how long each takes.
 type TakeStarts = Mutex<HashMap<DatabaseId, Instant>>;
 
-/// Runs until the instance has stopped.
+/// Runs the control loop for as long as the instance runs.
 pub async fn run(context: Shared, mut actions: mpsc::UnboundedReceiver<InstanceAction>) {
     let starts: std::sync::Arc<TakeStarts> = std::sync::Arc::default();
     let mut ticks = tokio::time::interval(TICK);
@@ -103,8 +111,8 @@
             let primary = state.ownership.serving().map(|(_, primary)| primary);
             let now = Instant::now();
             let position = primary.as_ref().and_then(|id| state.ownership.server_state(id));
-            if let Some(applied) = position.map(|state| state.received) {
-                state.floors.sample(now, applied);
+            if let Some(received) = position.map(|state| state.received) {
+                state.floors.sample(now, received);
             }
             let ids: Vec<_> = state.ownership.servers().map(|server| server.id.clone()).collect();
             let usable: Vec<_> =
@@ -126,8 +134,8 @@
     }
 }
 
-/// Forgets floors that every server has passed, idle connections, and old
-/// ledger rows.
+/// Removes read floors that every server has applied, idle connections beyond those
+/// kept in advance, and ledger rows past their retention.
 fn clean_up(context: &Shared) {
     for (database, term) in context.databases.instance.owned() {
         let view = context.databases.with_database(&database, |state| {
@@ -147,7 +155,8 @@
         tokio::spawn(async move {
             let serving = Serving { term, primary };
             let deadline = Instant::now() + WORK_GRACE;
-            // The next round tries again; a late clean-up harms nobody.
+            // The next clean-up tries again. Ledger rows that are kept longer
+            // do no harm.
             let _ = write::expire_ledger(&context, &database, &serving, deadline).await;
         });
     }
@@ -255,7 +264,7 @@
         return;
     };
     let address = upstream.replication_address.clone();
-    // A failed call is repeated by the decisions after the next probe.
+    // After the next probe the ownership state machine repeats a failed call.
     let _ =
         known.control.follow(term, context.databases.instance.holder(), &primary, &address).await;
 }
@@ -269,7 +278,8 @@
     context.databases.handle_ownership(&database, event);
 }
 
-/// Opens control connections and some for statements, ahead of a handover.
+/// Opens the control connections and some connections for statements to every
+/// server of a database, before this instance takes it over.
 pub async fn prepare_connections(context: &Shared, database: &DatabaseId) {
     let servers = context.databases.with_database(database, |state| {
         state.ownership.servers().map(|server| server.id.clone()).collect::<Vec<_>>()
@@ -283,7 +293,8 @@
         }
         for number in 0..WARM_PRIMARY {
             let (context, database, server) = (context.clone(), database.clone(), server.clone());
-            // Openings are spaced; each waits for its turn.
+            // Started one after the other, since the pool skips an opening that
+            // follows the previous one too closely.
             let turn = OPENING_TURN * u32::try_from(number).unwrap_or(0);
             openings.spawn(async move {
                 tokio::time::sleep(turn).await;
@@ -295,7 +306,8 @@
     while openings.join_next().await.is_some() {}
 }
 
-/// Closes connections of servers that may not answer, and makes the ledger.
+/// Closes idle connections to the servers other than the new primary, since the
+/// replaced primary may be unresponsive, and creates the ledger if it is missing.
 async fn prepare_database(context: Shared, database: DatabaseId, term: Term, primary: TargetId) {
     let others = context.databases.with_database(&database, |state| {
         let ids = state.ownership.servers().map(|server| server.id.clone());
@@ -307,8 +319,8 @@
     make_ledger(&context, &database, term, primary).await;
 }
 
-/// Creates the ledger unless it is known to exist, for as long as we serve in
-/// `term`.
+/// Creates the ledger unless it is known to exist. Retries for as long as this
+/// instance serves the database in `term`.
 async fn make_ledger(context: &Shared, database: &DatabaseId, term: Term, primary: TargetId) {
     let serving = Serving { term, primary };
     loop {
@@ -347,7 +359,7 @@
     context.databases.handle(event);
 }
 
-/// Waits until `done` holds, at most `limit`.
+/// Waits at most `limit` until `done` returns true. Returns whether it did.
 async fn wait_until(context: &Shared, limit: Duration, done: impl Fn() -> bool) -> bool {
     let deadline = Instant::now() + limit;
     loop {
@@ -362,8 +374,11 @@
     }
 }
 
-/// Lets everything in progress on a database end; nothing new starts after.
-/// Returns whether it ended. If not, the database is open again.
+/// Waits until the transactions and requests in progress on a database have
+/// ended, and lets no new ones start.
+///
+/// Returns whether all of them ended in time. If not, the database accepts new
+/// work again.
 async fn quiesce(context: &Shared, database: &DatabaseId) -> bool {
     let no_transactions = wait_until(context, TRANSACTION_GRACE, || {
         context.databases.with_database(database, |state| state.open_transactions == 0)
@@ -396,8 +411,8 @@
         owner: context.settings.instance.to_string(),
         prepare: false,
     };
-    // The other opens its connections while we still serve: opening them is
-    // most of what a handover takes.
+    // The other instance opens its connections while this one still serves the
+    // database: opening them is the longest part of a handover.
     let prepared = Handover { prepare: true, ..offer.clone() };
     let ready = send_handover(&context, &to, prepared).await;
     let quiet = ready && quiesce(&context, &database).await;
@@ -411,10 +426,11 @@
     context.databases.changed.notify_waiters();
 }
 
-/// Replaces a leaving primary without losing or refusing a write.
+/// Replaces a primary that is planned to leave, without losing or refusing a
+/// write: new writes wait until a replica has received the last log entry.
 async fn drain_primary(context: Shared, database: DatabaseId) {
     if quiesce(&context, &database).await {
-        // Any replica that has the last entry can be promoted without loss.
+        // A replica that has the last log entry can be promoted without loss.
         let last = context.databases.with_database(&database, |state| {
             let (_, primary) = state.ownership.serving()?;
             state.ownership.server_state(&primary).map(|state| state.received)
--- a/daemon/src/databases.rs
+++ b/daemon/src/databases.rs
@@ -1,6 +1,6 @@
-//! The databases of the configuration as this instance sees them: the
-//! decisions about them, their servers, and the term in which each is served
-//! here.
+//! The databases of the configuration at this instance: the state machines that
+//! decide about them, connections to their servers, and the term in which this
+//! instance serves each database.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -29,29 +29,30 @@
 use crate::target::SharedTarget;
 use crate::target::address_of;
 
-/// A server of the configuration, with what is needed to talk to it.
+/// A database server of the configuration, with its connections.
 pub struct KnownServer {
-    /// Database it belongs to.
+    /// Database that the server belongs to.
     pub database: DatabaseId,
-    /// Where it is.
+    /// Address and login.
     pub address: ServerAddress,
-    /// Where the others of its group fetch its log.
+    /// Address from which the other servers of the group replicate its log.
     pub replication_address: Arc<str>,
-    /// Control over it.
+    /// Control connection: fences, promotes and probes the server.
     pub control: SharedTarget,
-    /// A second control connection, for writes that wait for confirmation,
-    /// so that they never delay the probes.
+    /// Second control connection, for the probes of writes that wait for
+    /// confirmation, so that they never delay the periodic probes.
     pub confirm: SharedTarget,
-    /// Idle connections for statements.
+    /// Idle connections for statements, and the requests that wait for a slot.
     pub connections: ConnectionStore,
 }
 
-/// Why work at a server was given up.
+/// Reason why work at a server was abandoned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Interruption {
-    /// The primary is being replaced, or the database is not ours any more.
+    /// The term ended: the primary is being replaced, or this instance no longer
+    /// owns the database.
     TermOver,
-    /// The time for it is up.
+    /// The time limit passed.
     Late,
 }
 
@@ -64,23 +65,27 @@
 
 /// The databases of the configuration.
 pub struct Databases {
-    /// The decisions.
+    /// State machines of the instance and its databases.
     pub instance: Instance,
-    /// Woken when an owner phase, a gate or a known owner changed.
+    /// Notified when an ownership phase, a gate, a known owner or the
+    /// configuration changes, and when a transaction or the last request before a
+    /// handover ends.
     pub changed: Notify,
     servers: RwLock<KnownServers>,
-    /// Term in which each database is served here; 0 while it is not.
+    /// Term in which this instance serves each database; 0 while it does not.
     served_terms: Mutex<HashMap<DatabaseId, watch::Sender<Term>>>,
-    /// Actions to perform, for the control loop.
+    /// Queue of actions that the control loop performs.
     actions: mpsc::UnboundedSender<InstanceAction>,
 }
 
-/// Longest wait for one control call. Well above a round trip between failure
-/// domains plus a new connection, well below the time to suspect a server.
+/// Timeout of one control call. It is well above a round trip between failure
+/// domains plus the opening of a connection, and well below the time after which
+/// a server is suspected to have failed.
 const CONTROL_TIMEOUT: Duration = Duration::from_millis(120);
 
 impl Databases {
-    /// No databases yet. What the decisions ask for goes to `actions`.
+    /// Creates an empty set of databases. Actions that the state machines return
+    /// are sent to `actions`.
     #[must_use]
     pub fn new(instance: Instance, actions: mpsc::UnboundedSender<InstanceAction>) -> Self {
         Self {
@@ -92,19 +97,21 @@
         }
     }
 
-    /// A server of the configuration.
+    /// Looks up a server of the configuration.
     #[must_use]
     pub fn server(&self, id: &str) -> Option<Arc<KnownServer>> {
         self.servers.read().expect("never poisoned").by_id.get(id).cloned()
     }
 
-    /// Gives an event to the decisions and queues what follows from it.
+    /// Passes an event to the state machine of the instance and queues the
+    /// actions that it returns.
     pub fn handle(&self, event: InstanceEvent) {
         let actions = self.instance.handle(Instant::now(), event);
         self.queue(actions);
     }
 
-    /// Gives an event of one database to the decisions.
+    /// Passes an event to the ownership state machine of one database and queues
+    /// the actions that it returns.
     pub fn handle_ownership(&self, database: &DatabaseId, event: OwnershipEvent) {
         self.handle(InstanceEvent::Ownership { database: database.clone(), event });
     }
@@ -112,12 +119,13 @@
     /// Queues actions for the control loop.
     pub fn queue(&self, actions: Vec<InstanceAction>) {
         for action in actions {
-            // Only fails while the whole instance is going down.
+            // Fails only while the process shuts down.
             let _ = self.actions.send(action);
         }
     }
 
-    /// Runs `f` on a database of the configuration.
+    /// Runs `f` on the state of a database under its lock. Returns `None` if the
+    /// configuration has no such database.
     pub fn with_database<R>(
         &self,
         database: &str,
@@ -126,14 +134,16 @@
         self.instance.with_database(database, f)
     }
 
-    /// Term in which a database is served here, to be told when it ends.
+    /// Subscribes to the term in which this instance serves a database. The value
+    /// is 0 while it does not serve the database.
     #[must_use]
     pub fn served_term(&self, database: &DatabaseId) -> watch::Receiver<Term> {
         let mut terms = self.served_terms.lock().expect("never poisoned");
         terms.entry(database.clone()).or_default().subscribe()
     }
 
-    /// Announces the term in which a database is served here from now on.
+    /// Publishes the term in which this instance serves a database from now on, 0
+    /// for none.
     pub fn set_served_term(&self, database: &DatabaseId, term: Term) {
         let mut terms = self.served_terms.lock().expect("never poisoned");
         terms.entry(database.clone()).or_default().send_replace(term);
@@ -141,16 +151,16 @@
         self.changed.notify_waiters();
     }
 
-    /// Does work at a server while the database is served in `term`, at most
-    /// until `limit`.
+    /// Runs `work` at a server for as long as this instance serves the database in
+    /// `term`, at most until `limit`.
     ///
-    /// Packets to a dead server can vanish without an error. Without the end of
-    /// the term as a signal, whoever had a statement on its way there would wait
-    /// until the deadline, long after another primary serves.
+    /// Packets to a dead server can be lost without an error. If the end of the
+    /// term did not interrupt the work, a request with a statement at a dead
+    /// primary would wait until its deadline, long after another primary serves.
     ///
     /// # Errors
     ///
-    /// Why it was given up. The work itself is dropped then.
+    /// The reason of the interruption. The future `work` is dropped.
     pub async fn within_term<T>(
         &self,
         database: &DatabaseId,
@@ -167,11 +177,12 @@
         }
     }
 
-    /// Takes a configuration over, unless it is older than the present one, and
-    /// lets `put_in_force` announce it. Returns whether it did.
+    /// Applies a configuration if its version is above the current one, and calls
+    /// `put_in_force` to publish it. Returns whether it was applied.
     ///
-    /// Versions are compared under the lock of the servers: two tasks may bring
-    /// two of them at the same time, and the older must not win.
+    /// The versions are compared under the lock of the servers, since two tasks
+    /// may apply two versions at the same time and the older one must not replace
+    /// the newer.
     pub fn configure(
         &self,
         config: &Config,
@@ -192,8 +203,8 @@
     }
 }
 
-/// The servers of a configuration. Those that did not change keep their
-/// connections.
+/// Returns the servers of a configuration. Servers whose addresses and login did
+/// not change keep their connections.
 fn known_servers(
     config: &Config,
     before: &HashMap<TargetId, Arc<KnownServer>>,
--- a/daemon/src/in_flight.rs
+++ b/daemon/src/in_flight.rs
@@ -1,4 +1,5 @@
-//! Writes in progress at this owner, so that copies of one run only once.
+//! Writes in progress at this owner. Copies of the same write are detected here
+//! and share one run.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -21,16 +22,16 @@
 use crate::answer::to_answer;
 use crate::metrics::since_epoch;
 
-/// Names a request: its account and its id.
+/// Key of a request: its client account and its request id.
 pub type InFlightKey = (AccountId, RequestId);
 
 type AnswerReceiver = watch::Receiver<Option<Answer>>;
 
 /// Writes in progress at this owner.
 ///
-/// An entry sends a request again when it lost sight of it. The second copy
-/// must wait for the first: until that has committed the ledger cannot know
-/// of it, and both would run.
+/// An entry instance resends a request when it loses the connection to the owner
+/// before the answer. The second copy must wait for the first: the ledger has no
+/// row of the first copy before that commits, so both would run.
 #[derive(Default)]
 pub struct InFlight {
     running: Mutex<HashMap<InFlightKey, Running>>,
@@ -41,7 +42,7 @@
     answer: AnswerReceiver,
 }
 
-/// A place in [`InFlight`], given up when dropped.
+/// An entry in [`InFlight`], removed when dropped.
 struct InFlightGuard {
     in_flight: Arc<InFlight>,
     key: InFlightKey,
@@ -54,11 +55,12 @@
     }
 }
 
-/// What to do with a request that has arrived.
+/// Decision about a request that has arrived.
 enum Started {
     Run(InFlightGuard),
     Join(AnswerReceiver),
-    /// The id belongs to another statement that is in progress.
+    /// Refuse it: a request with the same id and another statement is in
+    /// progress.
     Reused,
 }
 
@@ -81,14 +83,16 @@
         Started::Run(InFlightGuard { in_flight: self.clone(), key, sender })
     }
 
-    /// Runs `work` for a request, or joins the copy of it that is in progress.
+    /// Runs `work` for a request, or waits for the answer of the copy that is in
+    /// progress. `digest` is the digest of the request's statement.
     ///
-    /// The work gets a task of its own: the entry may go away in the middle, and
-    /// the write must still come to a known end.
+    /// The work runs in a task of its own: the entry instance may disconnect
+    /// during the write, which must still reach a known outcome.
     ///
     /// # Errors
     ///
-    /// The failure for the caller.
+    /// The failure for the client: that of `work`, or a refusal of a request id
+    /// that has expired or is in use for another statement.
     pub async fn run_once(
         self: &Arc<Self>,
         key: InFlightKey,
--- a/daemon/src/inquiry.rs
+++ b/daemon/src/inquiry.rs
@@ -1,4 +1,4 @@
-//! "What became of this request?"
+//! Inquiries: a client asks whether an earlier request of its account ran.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -19,13 +19,13 @@
 use crate::owner::Request;
 use crate::write;
 
-/// An inquiry gives up after this time.
+/// Longest time that the owner works on an inquiry.
 const INQUIRY_TIME: Duration = Duration::from_secs(5);
 
-/// Answers an inquiry at the owner.
+/// Answers an inquiry at the owner of the database.
 ///
-/// "Did not run" is only said once a tombstone is confirmed, which keeps the
-/// request from running for ever.
+/// The answer is "did not run" only after a tombstone, a ledger row that cancels
+/// the request, is confirmed. From then on the request can never run.
 pub async fn answer(context: Shared, inquiry: Inquiry) -> InquiryReply {
     match answer_inner(&context, &inquiry).await {
         Ok(reply) => reply,
@@ -54,8 +54,8 @@
         let entered =
             owner::enter(context, &request.database, request.deadline, false, false).await;
         let (serving, _work) = entered?;
-        // Once more after the wait: an inquiry must not put a tombstone before
-        // a request that has just been started.
+        // Checked again after the wait: an inquiry must not write a tombstone
+        // for a request that has started in the meantime.
         if context.in_flight.contains(&key) {
             return Ok(state(State::InFlight));
         }
--- a/daemon/src/lib.rs
+++ b/daemon/src/lib.rs
@@ -1,5 +1,6 @@
-//! The daemon: drives the decisions of `chervilwharf-lib` with sockets,
-//! tasks and the clock.
+//! The proxy process. Performs the network input and output, the timing and
+//! the scheduling for the state machines of `chervilwharf-lib`, which decide
+//! without input or output of their own.
 
 pub mod admin;
 pub mod answer;
--- a/daemon/src/owner.rs
+++ b/daemon/src/owner.rs
@@ -1,5 +1,12 @@
-//! The owner's side of a request: finds out whether it can be served here, and
-//! gets at the servers.
+//! Shared steps of every request at the owner of its database.
+//!
+//! The owner is the one instance that serves a database. It holds the term of
+//! the database: a number that rises with each change of owner or primary. The
+//! database servers refuse statements that declare a lower term than they hold.
+//!
+//! The functions here wait until this instance serves the database, acquire an
+//! execution slot and a connection on which the term is declared, and delay an
+//! answer until it may be given.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -37,25 +44,28 @@
 use crate::target::WRONG_TERM;
 use crate::target::held_term;
 
-/// A request as the owner works on it.
+/// A client's request as its owner processes it.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// The message it came in.
+    /// Message in which the entry instance sent the request.
     pub submit: Submit,
-    /// Its database.
+    /// Database that the request is for.
     pub database: DatabaseId,
-    /// Its account.
+    /// Client account that sent the request.
     pub account: AccountId,
-    /// When it has to be answered.
+    /// Time by which the request must be answered.
     pub deadline: Instant,
-    /// Place in the queues.
+    /// Priority in the slot queues of the servers, from the configuration of
+    /// the request's service.
     pub priority: Priority,
-    /// When a write counts as done.
+    /// Condition under which a write may be acknowledged, from the
+    /// configuration of the request's service.
     pub acknowledge: Acknowledge,
 }
 
 impl Request {
-    /// A request that has arrived now.
+    /// Creates a request from a message that has just arrived; its deadline
+    /// counts from now.
     #[must_use]
     pub fn new(context: &Context, submit: Submit) -> Self {
         let active = context.config();
@@ -70,19 +80,19 @@
         }
     }
 
-    /// Name of the request.
+    /// Request id, chosen by the client or its entry instance.
     #[must_use]
     pub fn id(&self) -> RequestId {
         self.submit.request_id.as_str().into()
     }
 
-    /// Names it among the writes in progress.
+    /// Key of the request among the writes in progress.
     #[must_use]
     pub fn key(&self) -> InFlightKey {
         (self.account.clone(), self.id())
     }
 
-    /// How current its read must be.
+    /// How recent the data of a read must be.
     #[must_use]
     pub fn freshness(&self) -> Freshness {
         let Some(wanted) = &self.submit.freshness else {
@@ -96,11 +106,11 @@
     }
 }
 
-/// A request waits this long for a primary. Beyond the expected length of a
-/// failover it is refused at once, with a hint when to come back.
+/// Expected duration of a failover. A request waits at most this long for a
+/// primary and is then refused with a time after which to retry.
 pub const EXPECTED_GAP: Duration = Duration::from_secs(3);
 
-/// How often a wait looks again even when nothing was announced.
+/// Interval at which a wait checks its condition even without a notification.
 const LOOK_AGAIN: Duration = Duration::from_millis(20);
 
 enum Entrance {
@@ -110,12 +120,14 @@
     Unknown,
 }
 
-/// Waits until the database can be served here.
+/// Waits until this instance serves the database, and counts the request as in
+/// progress. Returns the term and primary to use.
 ///
 /// # Errors
 ///
-/// When another instance owns it, or no primary comes in time. Nothing has
-/// run then.
+/// When another instance owns the database, when the database does not exist,
+/// or when no primary is available before `deadline` or within
+/// [`EXPECTED_GAP`]. No part of the request has run in these cases.
 pub async fn enter(
     context: &Shared,
     database: &DatabaseId,
@@ -166,7 +178,8 @@
     entrance.unwrap_or(Entrance::Unknown)
 }
 
-/// Names the owner as far as we know it.
+/// Builds the failure of a request that came to an instance that does not own
+/// the database. The failure names the owner if this instance knows it.
 #[must_use]
 pub fn not_owner(context: &Context, database: &str) -> Failure {
     let membership = context.databases.instance.membership();
@@ -179,12 +192,13 @@
     failure
 }
 
-/// Gets a slot and a connection at a server, for as long as the term lasts.
+/// Acquires an execution slot at a server and a connection to it.
 ///
 /// # Errors
 ///
-/// When they cannot be had before the deadline or the term ends. Nothing was
-/// sent then.
+/// When the deadline passes or the term ends first, when the slot queue refuses
+/// the request, or when no connection can be opened. No part of the request was
+/// sent in these cases.
 pub async fn reach(
     context: &Shared,
     request: &Request,
@@ -210,12 +224,12 @@
     }
 }
 
-/// Gets a connection on which our term is declared, for as long as the term
-/// lasts.
+/// Acquires a connection to a server on which the term is declared.
 ///
 /// # Errors
 ///
-/// When none can be had, or the server holds another term.
+/// When the deadline passes or the term ends first, when no connection can be
+/// opened, or when the server holds another term.
 pub async fn connect(
     context: &Shared,
     database: &DatabaseId,
@@ -247,7 +261,7 @@
                 guard.get().term = serving.term;
                 return Ok(guard);
             }
-            // An idle connection may have been closed long ago: the next one.
+            // The server may have closed an idle connection: use the next one.
             Ok(Err(BatchError::Broken(_))) if Instant::now() < deadline => {}
             Ok(Err(error)) => return Err(batch_failure(context, database, serving, &error)),
             Err(_) => return Err(failure(ErrorKind::DeadlineBeforeStart)),
@@ -255,8 +269,9 @@
     }
 }
 
-/// Turns a failed batch into an answer for a request that did not run, and
-/// tells the decisions of a higher term.
+/// Turns the failure of a batch that has not committed into the answer to the
+/// request. Reports a higher term at the server to the ownership state machine,
+/// which then gives the database up.
 #[must_use]
 pub fn batch_failure(
     context: &Context,
@@ -281,12 +296,15 @@
     }
 }
 
-/// Waits until an answer seen at `position` may be given: it survives the
-/// loss of the primary, and the database is still ours.
+/// Waits until an answer that depends on the log up to `position` may be given.
+///
+/// With `needs_confirmation` and [`Acknowledge::Replica`] a replica must have
+/// received that position, so that the answer survives the loss of the primary.
+/// In all cases a majority of the servers must have confirmed the term recently.
 ///
 /// # Errors
 ///
-/// When that cannot be known before the deadline, or the term ends.
+/// When the deadline passes or the term ends before that.
 pub async fn wait_answerable(
     context: &Shared,
     request: &Request,
@@ -306,12 +324,14 @@
     })
 }
 
-/// Waits until answers may be given: a new owner lets the currency of the
-/// earlier one run out first.
+/// Waits until answers may be given in `term`: a majority of the servers has
+/// confirmed the term recently, and the previous owner can no longer answer
+/// reads. The previous owner may answer until its own last confirmation
+/// expires.
 ///
 /// # Errors
 ///
-/// When the term ends or the deadline passes.
+/// When the term ends or the deadline passes first.
 pub async fn wait_until_current(
     context: &Shared,
     database: &DatabaseId,
@@ -333,7 +353,8 @@
         if !waited {
             waited = true;
             context.metrics.currency_waits.inc();
-            // An idle database is probed seldom; ask now instead of waiting.
+            // The servers of an idle database are probed rarely. A tick sends
+            // the probes now instead of at the next interval.
             context.databases.handle_ownership(database, OwnershipEvent::Tick);
         }
         if now >= deadline {
--- a/daemon/src/postgres.rs
+++ b/daemon/src/postgres.rs
@@ -1,5 +1,8 @@
-//! One connection to a database server, by the message level of a
-//! PostgreSQL client library.
+//! Connections to database servers, with the PostgreSQL protocol at the level of
+//! its messages.
+//!
+//! A batch is a sequence of statements that is sent in one round trip. Its first
+//! refused step ends it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -29,36 +32,37 @@
 use pgwire::messages::response::TransactionStatus;
 use pgwire::tokio::client::PgWireClient;
 
-/// Largest result that is passed on. It is held in memory once at the owner
-/// and once at the entry.
+/// Largest result of a batch that is accepted. The owner and the entry instance
+/// each hold a result in memory as a whole.
 pub const RESULT_LIMIT_BYTES: usize = 16 * 1024 * 1024;
 
 /// One statement of a batch.
 #[derive(Clone, Debug, Default)]
 pub struct Step {
-    /// Its text.
+    /// SQL text.
     pub sql: String,
-    /// Its parameters as the caller encoded them; `None` is NULL.
+    /// Parameters as the client encoded them; `None` is NULL.
     pub parameters: Vec<Option<Bytes>>,
-    /// Types the caller gave; 0 where it gave none.
+    /// Type object ids that the client gave; 0 where it gave none.
     pub parameter_types: Vec<u32>,
     /// Formats of the parameters, by the rules of the Bind message.
     pub parameter_formats: Vec<i16>,
-    /// Formats wanted for the columns, by the rules of the Bind message.
+    /// Formats requested for the columns, by the rules of the Bind message.
     pub result_formats: Vec<i16>,
-    /// The columns are known already: do not ask for their description, which
-    /// is most of the answer to a small statement.
+    /// Whether to leave out the description of the columns, because the sender
+    /// already has it. It is most of the answer to a small statement.
     pub skip_columns: bool,
 }
 
 impl Step {
-    /// A statement without parameters.
+    /// Creates a step without parameters.
     #[must_use]
     pub fn new(sql: impl Into<String>) -> Self {
         Self { sql: sql.into(), ..Self::default() }
     }
 
-    /// A statement of our own, whose columns we know.
+    /// Creates a step without parameters for a statement of the proxy itself. The
+    /// columns of its result are fixed, so their description is left out.
     #[must_use]
     pub fn own(sql: impl Into<String>) -> Self {
         Self { sql: sql.into(), skip_columns: true, ..Self::default() }
@@ -72,7 +76,7 @@
         self
     }
 
-    /// Adds a parameter in binary form.
+    /// Adds a parameter in binary form; `None` is NULL.
     #[must_use]
     pub fn with_bytes(mut self, value: Option<Bytes>) -> Self {
         self.parameters.push(value);
@@ -80,7 +84,7 @@
         self
     }
 
-    /// Names the types of the parameters.
+    /// Sets the object ids of the parameters' types.
     #[must_use]
     pub fn with_types(mut self, types: &[u32]) -> Self {
         self.parameter_types = types.to_vec();
@@ -88,7 +92,7 @@
     }
 }
 
-/// Why a batch did not run to its end.
+/// Reason why a batch did not run to its end.
 #[derive(Clone, Debug)]
 #[derive(Display)]
 pub enum BatchError {
@@ -98,21 +102,21 @@
         step: usize,
         /// Results of the steps before it.
         done: Vec<StatementResult>,
-        /// SQLSTATE of the server.
+        /// SQLSTATE of the refusal.
         sqlstate: String,
-        /// Its message.
+        /// Message of the refusal.
         message: String,
     },
     /// the connection broke: {0}
     Broken(String),
-    /// the result is larger than is passed on
+    /// the result exceeds the size limit
     TooLarge,
 }
 
-/// Where and how to log in.
+/// Address and login of a database server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerAddress {
-    /// IP number and port.
+    /// IP address and port.
     pub address: SocketAddr,
     /// Login name.
     pub login: Arc<str>,
@@ -122,23 +126,23 @@
     pub database: Arc<str>,
 }
 
-/// An open connection.
+/// An open connection to a database server.
 pub struct ServerConnection {
     client: PgWireClient,
-    /// A batch was started and its end was not seen. Nothing may be sent any
-    /// more: the next answer could belong to the unfinished batch.
+    /// Whether a batch was started whose answer is incomplete. Nothing may be sent
+    /// after that: the next answer could belong to the unfinished batch.
     unfinished: bool,
     idle: bool,
-    /// Term declared on this connection.
+    /// Term declared on this connection; 0 for none.
     pub term: u64,
 }
 
 impl ServerConnection {
-    /// Connects and logs in.
+    /// Connects to a server and logs in.
     ///
     /// # Errors
     ///
-    /// When it takes longer than `timeout` or the server refuses.
+    /// When this takes longer than `timeout` or the server refuses.
     pub async fn open(server: &ServerAddress, timeout: Duration) -> Result<Self, BatchError> {
         let broken = |error: &dyn std::fmt::Display| BatchError::Broken(error.to_string());
         let mut config: Config = "sslmode=disable".parse().map_err(|e| broken(&e))?;
@@ -158,26 +162,29 @@
         Ok(Self { client, unfinished: false, idle: true, term: 0 })
     }
 
-    /// Whether the connection can be used for someone else.
+    /// Whether the connection can be used for another request: the last answer is
+    /// complete and no transaction is open.
     #[must_use]
     pub fn is_reusable(&self) -> bool {
         !self.unfinished && self.idle
     }
 
-    /// Whether the last batch was answered to its end.
+    /// Whether the answer to the last batch is complete.
     #[must_use]
     pub fn is_whole(&self) -> bool {
         !self.unfinished
     }
 
-    /// Runs all steps in one round trip; the first refused one ends it.
+    /// Runs a batch in one round trip. The first refused step ends it. Returns one
+    /// result per step.
     ///
-    /// When the future is dropped half-way the connection stays marked as
+    /// If the future is dropped before its end, the connection stays marked as
     /// unfinished, so that a late answer cannot reach the next request.
     ///
     /// # Errors
     ///
-    /// When a step is refused or the connection breaks.
+    /// When a step is refused, the connection breaks, or the result exceeds
+    /// [`RESULT_LIMIT_BYTES`].
     pub async fn run(&mut self, steps: &[Step]) -> Result<Vec<StatementResult>, BatchError> {
         if self.unfinished {
             return Err(BatchError::Broken("an earlier answer is missing".into()));
@@ -266,7 +273,7 @@
         }
     }
 
-    /// Learns the types of parameters and columns of a statement.
+    /// Asks the server for the types of the parameters and columns of a statement.
     ///
     /// # Errors
     ///
@@ -335,7 +342,8 @@
     BatchError::Refused { step: done.len(), done, sqlstate, message }
 }
 
-/// Reads the columns of a row in text or binary form, as the server sent it.
+/// Splits a row into its values, in the text or binary form in which the server
+/// sent them; `None` is NULL.
 #[must_use]
 pub fn row_values(row: &Row) -> Vec<Option<Bytes>> {
     let mut data = Bytes::from(BytesMut::from(row.data.as_slice()));
@@ -355,14 +363,14 @@
     values
 }
 
-/// A value of a row in text form.
+/// Returns a value that the server sent in text form.
 #[must_use]
 pub fn text_value(values: &[Option<Bytes>], index: usize) -> Option<String> {
     let bytes = values.get(index)?.as_ref()?;
     Some(String::from_utf8_lossy(bytes).into_owned())
 }
 
-/// A number of a row in text form.
+/// Returns a number that the server sent in text form.
 #[must_use]
 pub fn number_value(values: &[Option<Bytes>], index: usize) -> Option<u64> {
     text_value(values, index)?.parse().ok()
--- a/daemon/src/read.rs
+++ b/daemon/src/read.rs
@@ -1,4 +1,8 @@
-//! Reads: routed by how current they must be, and checked at the server.
+//! Reads outside interactive transactions, at the owner of the database.
+//!
+//! A read goes to a server that has probably applied its floor, the lowest log
+//! position that the read must see. The server checks this, and the read is
+//! retried at another server if the floor is not applied.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -28,25 +32,25 @@
 use crate::target::read_position;
 use crate::write;
 
-/// Tries of one read before the caller is told to come back.
+/// Number of attempts of one read before the client is told to retry.
 const MAX_TRIES: usize = 6;
 
-/// A first try without an answer for this long is given up for another
-/// server or connection: this one may have gone silent.
+/// The first attempt of a read is abandoned after this time without an answer and
+/// retried at another server: the server or the connection may be dead.
 const STALL_LIMIT: Duration = Duration::from_millis(400);
 
-/// Index of the caller's statement in the batch of a read.
+/// Index of the client's statement in the batch of a read.
 const STATEMENT_STEP: usize = 2;
 
-/// Index of the position after the statement.
+/// Index of the step that reads the log position after the statement.
 const POSITION_STEP: usize = 3;
 
-/// What one try of a read gave.
+/// Result of one attempt of a read.
 enum Tried {
     Done(StatementResult, Position),
-    /// Try elsewhere: this server cannot answer it now.
+    /// This server cannot answer the read now; another one may.
     Elsewhere,
-    /// The statement writes after all.
+    /// The server found that the statement writes.
     Writes,
     Failed(Failure),
 }
@@ -55,7 +59,8 @@
 ///
 /// # Errors
 ///
-/// The failure for the caller. A read has no effect, so it never ran.
+/// The failure for the client. A read has no effect, so a failed one counts as
+/// not run.
 pub async fn run(context: &Shared, request: &Request) -> Result<StatementResult, Failure> {
     let mut excluded: Vec<TargetId> = Vec::new();
     for tries in 0..MAX_TRIES {
@@ -90,7 +95,8 @@
             return Err(failure(ErrorKind::DeadlineBeforeStart));
         }
         context.metrics.retries.inc();
-        // The primary may just be changing; the next round waits for it.
+        // The primary may be in replacement. The next attempt waits for a new
+        // one.
         if excluded.contains(&serving.primary) {
             excluded.clear();
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -99,7 +105,8 @@
     Err(failure(ErrorKind::NoPrimary))
 }
 
-/// Picks a server and the position it must have applied.
+/// Chooses a server for a read, and returns it with the position that it must
+/// have applied; `None` for the primary, which needs no check.
 fn choose(
     context: &Shared,
     request: &Request,
@@ -136,8 +143,8 @@
     }
 }
 
-/// The batch of a read: a read-only transaction, the floor checked at the
-/// server, the statement, and how far the server was afterwards.
+/// Builds the batch of a read: a read-only transaction that checks the floor at
+/// the server, runs the statement, and reads the server's log position after it.
 fn batch(request: &Request, floor: Option<Position>) -> Vec<Step> {
     let floor = floor.unwrap_or(Position::ZERO);
     let require =
@@ -196,8 +203,9 @@
         }
         BatchError::Refused { sqlstate, .. } if sqlstate == READ_ONLY => Tried::Writes,
         BatchError::Refused { sqlstate, .. } if sqlstate == WRONG_TERM && !by_primary => {
-            // A replica that just came back, or one fenced a moment before
-            // us; the primary's term decides whether we still own it.
+            // The replica has just come back, or another instance has just
+            // fenced it. Whether this instance still owns the database depends
+            // on the term of the primary.
             Tried::Elsewhere
         }
         BatchError::Broken(_) => Tried::Elsewhere,
@@ -205,8 +213,8 @@
     }
 }
 
-/// Checks after the server's reply that we still own the database, so that a
-/// pause of this process cannot let a stale answer slip through.
+/// Checks after the server's answer that this instance still owns the database.
+/// Without this check a process that was paused could return a stale answer.
 async fn finish(
     context: &Shared,
     request: &Request,
@@ -214,13 +222,15 @@
     position: Position,
     by_replica: bool,
 ) -> Result<(), NotConfirmed> {
-    // The primary may have shown a write that no replica has yet. Were it
-    // lost, the caller would have seen what never happened.
+    // The primary may have returned a write that no replica has received yet. If
+    // the primary fails and that write is lost, the client has read data that
+    // no longer exists.
     owner::wait_answerable(context, request, serving, position, !by_replica).await?;
     if by_replica {
-        // Replicas differ; the account must not go back from one to the
-        // other. After a read at the primary the same rule would keep it
-        // there for as long as it reads more often than replicas lag.
+        // Replicas lag by different amounts, and an account must not read older
+        // data after newer. The floor is not raised after a read at the primary:
+        // an account that reads more often than the replication lag would then
+        // read from the primary only.
         context.databases.with_database(&request.database, |state| {
             state.floors.raise(&request.account, position);
         });
--- a/daemon/src/target.rs
+++ b/daemon/src/target.rs
@@ -1,4 +1,9 @@
-//! Control of a database server: fence, promote, follow and state.
+//! Control of a database server through the SQL functions
+//! `chervilwharf_state`, `chervilwharf_fence`, `chervilwharf_promote` and
+//! `chervilwharf_follow` that every server provides.
+//!
+//! A fence makes the server refuse all terms lower than the given one. A holder
+//! is the incarnation of an instance that a term is granted to.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,31 +30,36 @@
 use crate::postgres::row_values;
 use crate::postgres::text_value;
 
-/// SQLSTATE of a server that holds another term than the session.
+/// SQLSTATE of a statement whose session declared another term than the server
+/// holds.
 pub const WRONG_TERM: &str = "CW001";
 
-/// SQLSTATE of a server that has not applied a required position.
+/// SQLSTATE of a read that requires a log position that the server has not
+/// applied.
 pub const NOT_APPLIED: &str = "CW002";
 
-/// SQLSTATE of a write in a read-only transaction or at a replica.
+/// SQLSTATE of a write in a read-only transaction or at a replica; defined by
+/// PostgreSQL.
 pub const READ_ONLY: &str = "25006";
 
-/// SQLSTATE of a row that exists already.
+/// SQLSTATE of the insertion of a row that exists already; defined by PostgreSQL.
 pub const UNIQUE_VIOLATION: &str = "23505";
 
 /// Control functions of one server. See docs/TARGETS.md.
 #[async_trait]
 pub trait Target: Send + Sync {
-    /// Asks for its state.
+    /// Returns the server's term, role and log positions.
     async fn state(&self) -> Result<ServerState, FenceFailure>;
 
-    /// Makes it refuse all terms below `term`.
+    /// Makes the server refuse all terms below `term`. Returns its state.
     async fn fence(&self, term: Term, holder: &HolderId) -> Result<ServerState, FenceFailure>;
 
-    /// Makes it the primary of `term`. Returns the first entry of the term.
+    /// Makes the server the primary of `term`. Returns the log position of the
+    /// first entry of the term.
     async fn promote(&self, term: Term, holder: &HolderId) -> Result<Position, FenceFailure>;
 
-    /// Makes it follow a primary.
+    /// Makes the server replicate from a primary. `primary_address` is the
+    /// replication address of the primary.
     async fn follow(
         &self,
         term: Term,
@@ -59,7 +69,7 @@
     ) -> Result<(), FenceFailure>;
 }
 
-/// A server controlled over its SQL functions.
+/// A server that is controlled by SQL functions over a PostgreSQL connection.
 pub struct PgTarget {
     address: ServerAddress,
     connection: Mutex<Option<ServerConnection>>,
@@ -67,16 +77,18 @@
 }
 
 impl PgTarget {
-    /// Controls the server at `address`; each try takes at most `timeout`.
+    /// Creates the control of the server at `address`. Each attempt of a call
+    /// takes at most `timeout`.
     #[must_use]
     pub fn new(address: ServerAddress, timeout: Duration) -> Self {
         Self { address, connection: Mutex::new(None), timeout }
     }
 
-    /// Runs a control statement, on a new connection if the open one fails.
+    /// Runs a control statement, and repeats it on a new connection if the open
+    /// one fails.
     ///
-    /// An open connection can have gone silent while new ones work. Taking
-    /// its silence for the server's would replace a healthy primary.
+    /// An open connection can stop working while new ones work. If its timeout
+    /// counted as a failure of the server, a healthy primary would be replaced.
     async fn call(&self, sql: &str) -> Result<StatementResult, FenceFailure> {
         let mut slot = self.connection.lock().await;
         let steps = [Step::own(sql)];
@@ -110,7 +122,8 @@
     results.into_iter().next().ok_or(FenceFailure::Unreachable)
 }
 
-/// Reads `term N is held by OWNER` out of a refusal.
+/// Parses the message `term N is held by OWNER` of a refusal. Returns the term
+/// and its holder.
 #[must_use]
 pub fn held_term(message: &str) -> Option<(Term, &str)> {
     let rest = message.strip_prefix("term ")?;
@@ -170,7 +183,8 @@
     }
 }
 
-/// Reads the row of `chervilwharf_position()` and its like.
+/// Parses the term and the index of a log position from the first two columns of
+/// a result, such as that of `chervilwharf_position()`.
 #[must_use]
 pub fn read_position(result: &StatementResult) -> Option<Position> {
     let values = row_values(result.rows.first()?);
@@ -191,7 +205,8 @@
     })
 }
 
-/// Address and login of a server of the configuration.
+/// Returns the address and login of a server of the configuration, or `None` if
+/// its address is not an IP address with a port.
 #[must_use]
 pub fn address_of(
     database_id: &DatabaseId,
@@ -207,5 +222,5 @@
     })
 }
 
-/// A server as trait object, shared by the tasks that control it.
+/// Control of a server, shared by tasks.
 pub type SharedTarget = Arc<dyn Target>;
--- a/daemon/src/transaction.rs
+++ b/daemon/src/transaction.rs
@@ -1,5 +1,5 @@
-//! Statements and the end of interactive transactions, each on one connection
-//! to the primary.
+//! Interactive transactions at the owner: runs their statements and commits
+//! them. Each transaction occupies one connection to the primary until it ends.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -26,7 +26,8 @@
 use crate::write;
 
 tokio::task_local! {
-    /// Link over which the present request came.
+    /// Link, a connection from another instance, over which the current request
+    /// came.
     pub static LINK: u64;
 }
 
@@ -38,16 +39,19 @@
 ///
 /// # Errors
 ///
-/// The failure for the caller. The whole transaction did not run then.
+/// The failure for the client. A statement that the server refused leaves the
+/// transaction open, in the aborted state. After any other failure the whole
+/// transaction is rolled back.
 pub async fn run(context: &Shared, request: &Request) -> Result<StatementResult, Failure> {
     let id = &request.submit.transaction_id;
     let (slot, is_new) = context.transactions.slot(id, present_link());
     let mut held = slot.lock().await;
     if held.is_none() {
         if !is_new || request.submit.resend || request.submit.continues {
-            // It was rolled back here, or lived at an owner that is gone. A
-            // new transaction in its place would commit without what ran
-            // before, and tell the caller that all of it is there.
+            // The transaction was rolled back here, or it was held by an earlier
+            // owner. A new transaction in its place would commit without the
+            // earlier statements, and the client would take all of them as
+            // committed.
             context.transactions.roll_back(id);
             return Err(failure(ErrorKind::TransactionLost));
         }
@@ -109,11 +113,12 @@
     }
 }
 
-/// Commits an interactive transaction, with its ledger row.
+/// Commits an interactive transaction together with its ledger row.
 ///
 /// # Errors
 ///
-/// The failure for the caller; its kind says whether it may have run.
+/// The failure for the client. Its kind says whether the transaction may have
+/// committed.
 pub async fn commit(context: &Shared, request: &Request) -> Result<StatementResult, Failure> {
     let work = {
         let (context, request) = (context.clone(), request.clone());
@@ -130,8 +135,9 @@
     let held = slot.lock().await.take();
     context.transactions.roll_back(id);
     let Some(mut transaction) = held else {
-        // The owner that held it is gone, or it was idle for too long. Its
-        // COMMIT may have got through before: only the ledger knows.
+        // An earlier owner held the transaction, or it was idle for too long. An
+        // earlier copy of this COMMIT may have succeeded, which only the ledger
+        // shows.
         return settle(context, request).await;
     };
     let serving = transaction.serving.clone();
@@ -161,7 +167,7 @@
         }
         _ => None,
     };
-    // The connection is free before the wait for the replica begins.
+    // Returns the connection to the pool before the wait for the replica.
     drop(transaction);
     let Some(position) = position else {
         return settle(context, request).await;
@@ -181,8 +187,8 @@
     failure_with(ErrorKind::TransactionLost, "the primary changed before COMMIT; nothing was kept")
 }
 
-/// Learns from the ledger what became of a transaction, and keeps it from
-/// running if it did not.
+/// Determines from the ledger whether a transaction committed. If it did not,
+/// writes a tombstone that keeps it from committing later.
 async fn settle(context: &Shared, request: &Request) -> Result<StatementResult, Failure> {
     loop {
         let entered =
--- a/daemon/src/transactions.rs
+++ b/daemon/src/transactions.rs
@@ -1,4 +1,4 @@
-//! Interactive transactions that this owner holds.
+//! The interactive transactions that are open at this owner, by transaction id.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -13,22 +13,22 @@
 use crate::serving::Serving;
 use crate::serving::WorkGuard;
 
-/// A transaction without a statement for this long is rolled back: it holds
-/// a scarce connection, and locks that block others.
+/// A transaction without a statement for this long is rolled back: it occupies
+/// one of few connections and holds locks that block other requests.
 pub const IDLE_LIMIT: Duration = Duration::from_secs(10);
 
-/// An open transaction. Dropping it rolls back.
+/// An open transaction. It is rolled back when dropped.
 pub struct OpenTransaction {
-    /// Its connection, until it ends.
+    /// Connection of the transaction; `None` after its end.
     pub guard: Option<ConnectionGuard>,
-    /// Under which term it began.
+    /// Term and primary with which it began.
     pub serving: Serving,
     _work: WorkGuard,
     _count: TransactionCount,
 }
 
 impl OpenTransaction {
-    /// A transaction that has begun on a connection.
+    /// Creates the record of a transaction that has begun on a connection.
     #[must_use]
     pub fn new(
         guard: ConnectionGuard,
@@ -48,14 +48,15 @@
     }
 }
 
-/// Counts an open transaction, so that a handover can wait for it.
+/// Guard that counts an open transaction until it is dropped, so that a handover
+/// can wait for the transaction.
 pub struct TransactionCount {
     databases: Arc<Databases>,
     database: DatabaseId,
 }
 
 impl TransactionCount {
-    /// Counts a transaction that begins.
+    /// Counts one more open transaction of the database.
     #[must_use]
     pub fn new(databases: &Arc<Databases>, database: &DatabaseId) -> Self {
         databases.with_database(database, |state| state.open_transactions += 1);
@@ -75,21 +76,24 @@
 struct Held {
     transaction: Arc<tokio::sync::Mutex<Option<OpenTransaction>>>,
     last_used_at: Instant,
-    /// Link it came over; 0 for callers of this instance.
+    /// Link over which it came; 0 for clients that are connected to this
+    /// instance.
     link: u64,
 }
 
-/// Interactive transactions held by this owner, by the id their entry chose.
+/// The interactive transactions that are open at this owner, by the id that the
+/// entry instance chose.
 #[derive(Default)]
 pub struct Transactions {
     held: Mutex<HashMap<String, Held>>,
 }
 
-/// Place of a transaction; empty before it began and after it ended.
+/// Shared cell of a transaction; empty before its begin and after its end.
 pub type Slot = Arc<tokio::sync::Mutex<Option<OpenTransaction>>>;
 
 impl Transactions {
-    /// The place of a transaction, and whether it is new.
+    /// Returns the cell of a transaction, and whether it was created by this
+    /// call. `link` is the link over which the request came.
     pub fn slot(&self, id: &str, link: u64) -> (Slot, bool) {
         let mut held = self.held.lock().expect("never poisoned");
         let is_new = !held.contains_key(id);
@@ -102,18 +106,19 @@
         (entry.transaction.clone(), is_new)
     }
 
-    /// Ends a transaction without a trace.
+    /// Removes a transaction, which rolls it back. Does nothing if there is none
+    /// with this id.
     pub fn roll_back(&self, id: &str) {
         self.held.lock().expect("never poisoned").remove(id);
     }
 
-    /// Ends the transactions that came over a link that is gone: their
-    /// callers cannot reach them any more.
+    /// Rolls back the transactions that came over a closed link: their clients
+    /// cannot reach them any more.
     pub fn roll_back_link(&self, link: u64) {
         self.held.lock().expect("never poisoned").retain(|_, held| held.link != link);
     }
 
-    /// Ends the transactions that were idle for too long.
+    /// Rolls back the transactions that have been idle for [`IDLE_LIMIT`].
     pub fn expire(&self, now: Instant) {
         let mut held = self.held.lock().expect("never poisoned");
         held.retain(|_, held| {
--- a/daemon/src/write.rs
+++ b/daemon/src/write.rs
@@ -1,4 +1,9 @@
-//! Writes: run at most once, recorded in the ledger, confirmed by a replica.
+//! Writes outside interactive transactions, at the owner of the database.
+//!
+//! Each write runs at most once. The ledger, a table in the written database,
+//! gets one row per request id in the transaction of the write, so that a
+//! repeated request is answered from the ledger. A write is acknowledged once a
+//! replica has received it, if the service is configured so.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -34,32 +39,32 @@
 use crate::target::WRONG_TERM;
 use crate::target::read_position;
 
-/// Type of a text in PostgreSQL's catalogue.
+/// Object id of the type `text` in PostgreSQL's catalogue.
 const TEXT_OID: u32 = 25;
 
-/// Type of a byte string in PostgreSQL's catalogue.
+/// Object id of the type `bytea` in PostgreSQL's catalogue.
 const BYTEA_OID: u32 = 17;
 
-/// Type of a 64-bit integer in PostgreSQL's catalogue.
+/// Object id of the type `int8` in PostgreSQL's catalogue.
 const INT8_OID: u32 = 20;
 
-/// Pause before a request looks again for a primary that can serve it.
+/// Delay before the next attempt of a write.
 const RETRY_PAUSE: Duration = Duration::from_millis(10);
 
 /// A row of the ledger.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LedgerRow {
-    /// What became of the request.
+    /// Whether the request ran or was cancelled.
     pub outcome: LedgerOutcome,
-    /// Fingerprint of its statement.
+    /// Digest of the statement and its parameters.
     pub digest: Vec<u8>,
-    /// Its answer, if it was small enough to be kept.
+    /// Encoded answer, if it was small enough to be stored.
     pub answer: Option<Vec<u8>>,
-    /// Where it was committed.
+    /// Log position at which the row was committed.
     pub position: Position,
 }
 
-/// The caller's statement as a step of a batch.
+/// Builds the batch step for the client's statement.
 #[must_use]
 pub fn statement_step(submit: &Submit) -> Step {
     let parameters = submit.parameters.iter();
@@ -79,7 +84,7 @@
     codes.iter().map(|code| i16::try_from(*code).unwrap_or(0)).collect()
 }
 
-/// Fingerprint of a statement with its parameters.
+/// Digest of a statement and its parameters.
 #[must_use]
 pub fn digest_of(submit: &Submit) -> Vec<u8> {
     let parameters = submit.parameters.iter().map(|p| (!p.null).then_some(p.value.as_slice()));
@@ -90,7 +95,7 @@
 ///
 /// # Errors
 ///
-/// The failure for the caller; its kind says whether the write may have run.
+/// The failure for the client. Its kind says whether the write may have run.
 pub async fn run(context: &Shared, request: &Request) -> Result<StatementResult, Failure> {
     let digest = digest_of(&request.submit);
     let work = {
@@ -101,44 +106,45 @@
     context.in_flight.run_once(request.key(), &digest, request.deadline, work).await
 }
 
-/// What one try of a write gave.
+/// Result of one attempt of a write.
 enum Tried {
-    /// It committed here.
+    /// The write committed in this attempt.
     Committed(StatementResult, Position),
-    /// The ledger knows the request already.
+    /// The ledger already has a row of the request.
     Known(LedgerRow),
-    /// It did not run, and may be tried again.
+    /// The write did not run and may be retried.
     NotRun(Failure),
-    /// It did not run, and trying again would give the same.
+    /// The write did not run, and a retry would fail in the same way.
     Refused(Failure),
-    /// It did not run: the statement got no answer for a suspiciously long
-    /// time. Its connection may have gone silent.
+    /// The write did not run: the statement got no answer within
+    /// [`STALL_LIMIT`]. The connection may be dead.
     Stalled,
-    /// COMMIT was sent and its answer is missing.
+    /// COMMIT was sent but not answered: the write may have run.
     Unknown,
 }
 
-/// A first try without an answer for this long is given up for a second one
-/// on another connection, which may take all the time that is left.
+/// An attempt without an answer for this long is abandoned, and the write is
+/// retried on another connection. Once the statement has stalled, a retry may
+/// run it until the deadline of the request.
 const STALL_LIMIT: Duration = Duration::from_secs(1);
 
-/// What is known of an earlier run of the same write.
+/// Whether an earlier attempt of the same write may have committed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Doubt {
-    /// None can have committed.
+    /// No earlier attempt can have committed.
     None,
-    /// COMMIT was sent in this term and its answer is missing.
+    /// COMMIT was sent in this term but not answered.
     CommitSent(Term),
-    /// The entry lost sight of a copy that it sent before, perhaps to an owner
-    /// that is gone.
+    /// The entry instance sent the request before, perhaps to an earlier owner,
+    /// and does not know its outcome.
     SentBefore,
 }
 
-/// A write on its way, over as many tries as its deadline allows.
+/// State of a write over its attempts, of which its deadline allows many.
 struct Progress {
     digest: Vec<u8>,
     doubt: Doubt,
-    /// A first try stalled.
+    /// An attempt stalled.
     stalled: bool,
 }
 
@@ -148,7 +154,8 @@
         Self { digest, doubt, stalled: false }
     }
 
-    /// The failure to give up with: never "not run" while that is not known.
+    /// Returns the failure to report to the client when no further attempt is
+    /// made. It says "not run" only if no attempt can have committed.
     fn give_up(&self, failure: Failure) -> Failure {
         if self.doubt == Doubt::None {
             return failure;
@@ -157,12 +164,12 @@
     }
 }
 
-/// The failure of a request that may have run.
+/// Turns `failure` into the failure of a request that may have run.
 ///
-/// An owner that was succeeded cannot look into the ledger any more, but its
-/// successor can: the entry is to ask there. Without that, callers would hear
-/// "unknown" of each write that was at its COMMIT when its owner was replaced,
-/// though the answer is one question away.
+/// An owner that was replaced cannot read the ledger any more, but the new
+/// owner can, so the entry instance resends the request there. Otherwise every
+/// write whose COMMIT was in progress when its owner was replaced would get the
+/// outcome "unknown", although one lookup at the new owner resolves it.
 #[must_use]
 pub fn in_doubt(failure: Failure) -> Failure {
     match kind_of(&failure) {
@@ -217,14 +224,16 @@
     }
 }
 
-/// One try in the present term.
+/// Makes one attempt in the current term, after resolving what earlier attempts
+/// may have committed.
 ///
-/// A COMMIT that got no answer in this very term may still be on its way: it
-/// is settled by a tombstone. One of an earlier term can only have succeeded
-/// if the new primary has it; its old session is fenced off for good, so a
-/// look at the ledger settles it, and the write may run if it did not. A copy
-/// that was sent before either joined this one, or ended here, or was at an
-/// owner of an earlier term.
+/// A COMMIT of the current term that got no answer may still reach the server.
+/// A tombstone, a ledger row that cancels the request, keeps it from
+/// committing. A COMMIT of an earlier term has succeeded only if the new primary
+/// has it, since the servers refuse the old session from the fence on. A lookup
+/// in the ledger therefore decides whether the write may run. The same holds
+/// for a copy that the entry instance sent before: it either joined this
+/// request, ended here, or was at the owner of an earlier term.
 async fn try_in(
     context: &Shared,
     request: &Request,
@@ -251,9 +260,10 @@
 }
 
 impl LedgerRow {
-    /// What has to be confirmed before this row may be relied upon. A row of
-    /// an earlier term came through the promotion; the first entry of the
-    /// present term, which every read of it waits for, covers it.
+    /// Log position that must be confirmed before an answer may rely on this
+    /// row. A row of an earlier term reached the current primary before its
+    /// promotion. The first entry of the current term covers it, and every read
+    /// in the current term waits for that entry.
     #[must_use]
     pub fn position_in(&self, serving: &Serving) -> Position {
         if self.position.term == serving.term {
@@ -268,11 +278,12 @@
     StatementResult { position_term: position.term, position_index: position.index, ..result }
 }
 
-/// The answer of a request that is in the ledger.
+/// Returns the answer that the ledger has for a request.
 ///
 /// # Errors
 ///
-/// When it was cancelled, or the id was used for another statement.
+/// When the request was cancelled, when its id was used for another statement,
+/// or when the answer was too large to be stored or cannot be decoded.
 pub fn recorded(row: &LedgerRow, digest: &[u8]) -> Result<StatementResult, Failure> {
     if row.outcome == LedgerOutcome::Cancelled {
         return Err(failure(ErrorKind::Cancelled));
@@ -308,8 +319,8 @@
         select_step(&request.account, &request.submit.request_id),
         statement_step(&request.submit),
     ];
-    // Nothing of this batch commits: when it fails or its answer is missing,
-    // the write did not run.
+    // This batch contains no COMMIT: if it fails or gets no answer, the write
+    // did not run.
     let stall = Instant::now() + STALL_LIMIT;
     let limit = if progress.stalled { deadline } else { deadline.min(stall) };
     let run = guard.get().run(&steps);
@@ -337,7 +348,7 @@
     commit(context, request, serving, guard, row, result).await
 }
 
-/// Sorts the failure to get at the primary.
+/// Classifies a failure that occurred before COMMIT was sent.
 fn not_reached(failure: Failure) -> Tried {
     match kind_of(&failure) {
         ErrorKind::NotOwner | ErrorKind::NoPrimary => Tried::NotRun(failure),
@@ -345,11 +356,11 @@
     }
 }
 
-/// Sorts the failure of a batch that has not sent COMMIT.
+/// Classifies the failure of a batch that contains no COMMIT.
 fn refused(context: &Shared, request: &Request, serving: &Serving, error: &BatchError) -> Tried {
     if let BatchError::Refused { done, .. } = error {
-        // The ledger was asked before the statement: a repeated request may
-        // well fail now, and still has its first answer.
+        // The ledger was read before the statement ran. A repeated statement
+        // may be refused now, and its first answer still counts.
         if let Some(row) = done.get(1).and_then(read_row) {
             return Tried::Known(row);
         }
@@ -385,7 +396,8 @@
         Ok(Err(BatchError::Refused { step, sqlstate, message, .. })) => {
             guard.end_transaction();
             match (step, sqlstate.as_str()) {
-                // Another copy, or a tombstone, came first: ask the ledger.
+                // Another copy of the request or a tombstone has the row: the
+                // next attempt reads the ledger.
                 (0, UNIQUE_VIOLATION) => Tried::Unknown,
                 (0 | 1, WRONG_TERM) => {
                     let error = BatchError::Refused { step, done: Vec::new(), sqlstate, message };
@@ -396,18 +408,19 @@
                 _ => Tried::Unknown,
             }
         }
-        // COMMIT is on its way and nobody knows how far it came.
+        // COMMIT was sent, and the server may or may not have executed it.
         Ok(Err(_)) | Err(_) => Tried::Unknown,
     }
 }
 
-/// The last batch of every write: ledger row, COMMIT, position.
+/// Builds the last batch of every write: inserts the ledger row, commits, and
+/// reads the log position.
 #[must_use]
 pub fn commit_batch(row: Step) -> [Step; 3] {
     [row, Step::own("COMMIT"), Step::own("SELECT * FROM chervilwharf_position()")]
 }
 
-/// Looks a request up in the ledger of the present primary.
+/// Reads the row of a request from the ledger of the current primary.
 async fn look_up(
     context: &Shared,
     request: &Request,
@@ -425,12 +438,14 @@
     }
 }
 
-/// The ledger's row of a request. Writes a tombstone if there is none: any
-/// late arrival of the request then collides with it.
+/// Returns the row of a request from the ledger. If there is none, writes a
+/// tombstone: a copy of the request that comes later cannot insert its own row
+/// and so cannot commit.
 ///
 /// # Errors
 ///
-/// When the primary cannot be asked. Nothing is settled then.
+/// When the primary cannot be reached or refuses. It is then still open whether
+/// the request ran.
 pub async fn settle_row(
     context: &Shared,
     request: &Request,
@@ -457,7 +472,8 @@
                 position,
             })
         }
-        // The request committed just now, or the answer is missing: ask again.
+        // The request committed in the meantime, or the answer is missing. The
+        // caller looks up the row again.
         Ok(Err(error)) => {
             let failure = owner::batch_failure(context, database, serving, &error);
             guard.end_transaction();
@@ -467,11 +483,12 @@
     }
 }
 
-/// Waits until a write may be acknowledged.
+/// Waits until a write at `position` may be acknowledged, and raises the
+/// account's floor to it, so that later reads of the account see the write.
 ///
 /// # Errors
 ///
-/// When that cannot be known before the deadline, or the term ends.
+/// When the deadline passes or the term ends before that.
 pub async fn finish(
     context: &Shared,
     request: &Request,
@@ -488,7 +505,8 @@
 
 fn select_step(account: &str, request_id: &str) -> Step {
     Step {
-        // Outcome as text, the byte strings as they are, numbers as text.
+        // Text format (0) for the outcome and the numbers, binary format (1)
+        // for the digest and the answer.
         result_formats: vec![0, 1, 1, 0, 0],
         ..Step::own(ledger::SELECT_SQL)
             .with_text(account.to_owned())
@@ -497,7 +515,8 @@
     }
 }
 
-/// The ledger row of a request.
+/// Builds the step that inserts the ledger row of a request. An answer above
+/// [`ledger::KEPT_ANSWER_LIMIT_BYTES`] is left out.
 #[must_use]
 pub fn insert_step(
     request: &Request,
@@ -521,7 +540,8 @@
         .with_types(&[TEXT_OID, TEXT_OID, TEXT_OID, BYTEA_OID, BYTEA_OID, INT8_OID, INT8_OID])
 }
 
-/// Reads a row of the ledger, if there is one.
+/// Parses the ledger row in the result of [`ledger::SELECT_SQL`], if there is
+/// one.
 #[must_use]
 pub fn read_row(result: &StatementResult) -> Option<LedgerRow> {
     let values = row_values(result.rows.first()?);
@@ -535,11 +555,13 @@
     })
 }
 
-/// Deletes ledger rows past their retention; their ids are refused by then.
+/// Deletes ledger rows past their retention. Requests with these ids are
+/// already refused as expired.
 ///
 /// # Errors
 ///
-/// When the primary cannot be reached or refuses. The next round tries again.
+/// When the primary cannot be reached or refuses. The next clean-up tries
+/// again.
 pub async fn expire_ledger(
     context: &Shared,
     database: &DatabaseId,
@@ -566,7 +588,7 @@
     run_own(context, database, serving, deadline, Step::own(ledger::CREATE_SQL)).await
 }
 
-/// Runs a statement of our own at the primary.
+/// Runs a statement of the proxy itself at the primary.
 async fn run_own(
     context: &Shared,
     database: &DatabaseId,
