--- a/daemon/src/owner.rs
+++ b/daemon/src/owner.rs
@@ -108,7 +108,7 @@
 
 /// Expected duration of a failover. A request waits at most this long for a
 /// primary and is then refused with a time after which to retry.
-pub const EXPECTED_GAP: Duration = Duration::from_secs(3);
+pub const EXPECTED_FAILOVER_TIME: Duration = Duration::from_secs(3);
 
 /// Interval at which a wait checks its condition even without a notification.
 const LOOK_AGAIN: Duration = Duration::from_millis(20);
@@ -127,7 +127,7 @@
 ///
 /// When another instance owns the database, when the database does not exist,
 /// or when no primary is available before `deadline` or within
-/// [`EXPECTED_GAP`]. No part of the request has run in these cases.
+/// [`EXPECTED_FAILOVER_TIME`]. No part of the request has run in these cases.
 pub async fn enter(
     context: &Shared,
     database: &DatabaseId,
@@ -145,7 +145,7 @@
             Entrance::Wait => {}
         }
         let now = Instant::now();
-        if now >= deadline || now.saturating_duration_since(began) >= EXPECTED_GAP {
+        if now >= deadline || now.saturating_duration_since(began) >= EXPECTED_FAILOVER_TIME {
             return Err(failure(ErrorKind::NoPrimary));
         }
         let _ = tokio::time::timeout(LOOK_AGAIN, changed).await;
@@ -358,7 +358,7 @@
             context.databases.handle_ownership(database, OwnershipEvent::Tick);
         }
         if now >= deadline {
-            return Err(failure_after(ErrorKind::NoPrimary, EXPECTED_GAP));
+            return Err(failure_after(ErrorKind::NoPrimary, EXPECTED_FAILOVER_TIME));
         }
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
