--- a/daemon/src/checkout.rs
+++ b/daemon/src/checkout.rs
@@ -20,7 +20,7 @@
 
 use crate::answer::failure;
 use crate::answer::failure_after;
-use crate::connection_store::Turn;
+use crate::connection_store::SlotDecision;
 use crate::databases::Databases;
 use crate::postgres::ServerConnection;
 use crate::postgres::Step;
@@ -60,15 +60,15 @@
     let Some(known) = databases.server(server) else {
         return;
     };
-    let mut gone = known.connections.grant(granted);
-    while !gone.is_empty() {
+    let mut abandoned = known.connections.grant(granted);
+    while !abandoned.is_empty() {
         let next = databases.with_database(database, |state| {
             let slots = state.slots.get_mut(server)?;
             let now = Instant::now();
-            let freed = gone.iter().flat_map(|_| slots.release(now, Duration::ZERO));
+            let freed = abandoned.iter().flat_map(|_| slots.release(now, Duration::ZERO));
             Some(freed.collect::<Vec<_>>())
         });
-        gone = known.connections.grant(next.flatten().unwrap_or_default());
+        abandoned = known.connections.grant(next.flatten().unwrap_or_default());
     }
 }
 
@@ -137,8 +137,8 @@
         Admission::Queued(ticket) => {
             let mut waiter = Waiter { databases, database, server, ticket, receiver };
             match (&mut waiter.receiver).await {
-                Ok(Turn::Granted) => Ok(guard(Instant::now())),
-                Ok(Turn::Refused(retry_after)) => {
+                Ok(SlotDecision::Granted) => Ok(guard(Instant::now())),
+                Ok(SlotDecision::Refused(retry_after)) => {
                     Err(failure_after(ErrorKind::Overloaded, retry_after))
                 }
                 Err(_) => Err(failure(ErrorKind::Overloaded)),
@@ -149,7 +149,7 @@
 
 /// Takes a slot for a statement of an open transaction without waiting, even if
 /// none is free.
-pub fn overdraw_slot(
+pub fn acquire_slot_unconditionally(
     databases: &Arc<Databases>,
     database: &DatabaseId,
     server: &TargetId,
@@ -175,7 +175,7 @@
     database: &'a DatabaseId,
     server: &'a TargetId,
     ticket: Ticket,
-    receiver: oneshot::Receiver<Turn>,
+    receiver: oneshot::Receiver<SlotDecision>,
 }
 
 impl Drop for Waiter<'_> {
@@ -184,7 +184,7 @@
         // sender passes the slot on; a grant sent before is received here. The
         // slot is released exactly once in either case.
         self.receiver.close();
-        if matches!(self.receiver.try_recv(), Ok(Turn::Granted)) {
+        if matches!(self.receiver.try_recv(), Ok(SlotDecision::Granted)) {
             release(self.databases, self.database, self.server, Duration::ZERO);
             return;
         }
@@ -223,11 +223,11 @@
     /// Rolls back the open transaction in the background, so that the connection
     /// can be reused.
     pub fn end_transaction(mut self) {
-        if !self.get().is_whole() {
+        if !self.get().is_answer_complete() {
             return;
         }
         tokio::spawn(async move {
-            let rollback = [Step::own("ROLLBACK")];
+            let rollback = [Step::internal("ROLLBACK")];
             let run = self.get().run(&rollback);
             // The guard closes a connection that does not answer in this time.
             let _ = tokio::time::timeout(ROLLBACK_LIMIT, run).await;
--- a/daemon/src/confirm.rs
+++ b/daemon/src/confirm.rs
@@ -22,16 +22,16 @@
 
 /// Waiters for confirmation in one database, and the probes that serve them.
 #[derive(Default)]
-pub struct ConfirmHub {
-    waiting: AtomicUsize,
+pub struct DatabaseWaiters {
+    waiter_count: AtomicUsize,
     advanced: Notify,
     /// Confirmed position at which the waiters were last woken.
     announced: Mutex<Position>,
     /// Replicas that a task is probing.
-    asking: Mutex<HashSet<TargetId>>,
+    probed_replicas: Mutex<HashSet<TargetId>>,
 }
 
-impl ConfirmHub {
+impl DatabaseWaiters {
     /// Wakes the waiters if `confirmed` is above the position at which they were
     /// last woken. Returns whether it is.
     ///
@@ -50,11 +50,11 @@
     }
 }
 
-struct Waiting<'a>(&'a ConfirmHub);
+struct WaiterGuard<'a>(&'a DatabaseWaiters);
 
-impl Drop for Waiting<'_> {
+impl Drop for WaiterGuard<'_> {
     fn drop(&mut self) {
-        self.0.waiting.fetch_sub(1, Ordering::SeqCst);
+        self.0.waiter_count.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
@@ -73,13 +73,13 @@
 /// The waiters for confirmation of every database.
 #[derive(Default)]
 pub struct Confirmations {
-    hubs: Mutex<HashMap<DatabaseId, Arc<ConfirmHub>>>,
+    by_database: Mutex<HashMap<DatabaseId, Arc<DatabaseWaiters>>>,
 }
 
 impl Confirmations {
-    fn hub(&self, database: &DatabaseId) -> Arc<ConfirmHub> {
-        let mut hubs = self.hubs.lock().expect("never poisoned");
-        hubs.entry(database.clone()).or_default().clone()
+    fn waiters(&self, database: &DatabaseId) -> Arc<DatabaseWaiters> {
+        let mut by_database = self.by_database.lock().expect("never poisoned");
+        by_database.entry(database.clone()).or_default().clone()
     }
 
     /// Waits until a replica has received the log up to `position`, so that what
@@ -100,13 +100,13 @@
         if is_confirmed(databases, database, position)? {
             return Ok(());
         }
-        let hub = self.hub(database);
-        hub.waiting.fetch_add(1, Ordering::SeqCst);
-        let _waiting = Waiting(&hub);
-        ask_replicas(databases, database, &hub);
+        let waiters = self.waiters(database);
+        waiters.waiter_count.fetch_add(1, Ordering::SeqCst);
+        let _guard = WaiterGuard(&waiters);
+        probe_replicas(databases, database, &waiters);
         let confirmed = async {
             loop {
-                let advanced = hub.advanced.notified();
+                let advanced = waiters.advanced.notified();
                 if is_confirmed(databases, database, position)? {
                     return Ok(());
                 }
@@ -137,7 +137,11 @@
 ///
 /// Every replica has its own task, so that an unresponsive replica does not
 /// delay the answers of the others.
-fn ask_replicas(databases: &Arc<Databases>, database: &DatabaseId, hub: &Arc<ConfirmHub>) {
+fn probe_replicas(
+    databases: &Arc<Databases>,
+    database: &DatabaseId,
+    waiters: &Arc<DatabaseWaiters>,
+) {
     let replicas = databases.with_database(database, |state| {
         let primary = state.ownership.serving().map(|(_, primary)| primary);
         let others =
@@ -145,32 +149,37 @@
         others.map(|server| server.id.clone()).collect::<Vec<_>>()
     });
     for replica in replicas.unwrap_or_default() {
-        if hub.asking.lock().expect("never poisoned").insert(replica.clone()) {
-            tokio::spawn(ask(databases.clone(), database.clone(), replica, hub.clone()));
+        if waiters.probed_replicas.lock().expect("never poisoned").insert(replica.clone()) {
+            tokio::spawn(probe_while_waiting(
+                databases.clone(),
+                database.clone(),
+                replica,
+                waiters.clone(),
+            ));
         }
     }
 }
 
 /// Probes one replica for its received position for as long as there are
 /// waiters.
-async fn ask(
+async fn probe_while_waiting(
     databases: Arc<Databases>,
     database: DatabaseId,
     replica: TargetId,
-    hub: Arc<ConfirmHub>,
+    waiters: Arc<DatabaseWaiters>,
 ) {
     loop {
         {
             // The check and the removal happen under one lock. A waiter that
             // arrives now is either counted here or starts the next task.
-            let mut asking = hub.asking.lock().expect("never poisoned");
-            if hub.waiting.load(Ordering::SeqCst) == 0 {
-                asking.remove(&replica);
+            let mut probed_replicas = waiters.probed_replicas.lock().expect("never poisoned");
+            if waiters.waiter_count.load(Ordering::SeqCst) == 0 {
+                probed_replicas.remove(&replica);
                 return;
             }
         }
-        let confirmed = ask_once(&databases, &database, &replica).await;
-        if !hub.announce(confirmed) {
+        let confirmed = probe_once(&databases, &database, &replica).await;
+        if !waiters.announce(confirmed) {
             pause().await;
         }
     }
@@ -187,7 +196,7 @@
 
 /// Probes a replica once. Returns the position that is confirmed afterwards, or
 /// [`Position::ZERO`] if the replica did not answer.
-async fn ask_once(
+async fn probe_once(
     databases: &Arc<Databases>,
     database: &DatabaseId,
     replica: &TargetId,
--- a/daemon/src/connection_store.rs
+++ b/daemon/src/connection_store.rs
@@ -15,11 +15,11 @@
 #[derive(Default)]
 pub struct ConnectionStore {
     pub(crate) idle: Mutex<HashMap<u64, ServerConnection>>,
-    pub(crate) waiting: Mutex<HashMap<Ticket, oneshot::Sender<Turn>>>,
+    pub(crate) waiting: Mutex<HashMap<Ticket, oneshot::Sender<SlotDecision>>>,
 }
 
 /// Decision about a request that waits for a slot.
-pub(crate) enum Turn {
+pub(crate) enum SlotDecision {
     /// The request has a slot now.
     Granted,
     /// The request is refused and may be retried after this time.
@@ -31,14 +31,14 @@
     /// left the queue.
     pub(crate) fn grant(&self, tickets: Vec<Ticket>) -> Vec<Ticket> {
         let mut waiting = self.waiting.lock().expect("never poisoned");
-        let mut gone = Vec::new();
+        let mut abandoned = Vec::new();
         for ticket in tickets {
             let receiver = waiting.remove(&ticket);
-            if receiver.is_none_or(|sender| sender.send(Turn::Granted).is_err()) {
-                gone.push(ticket);
+            if receiver.is_none_or(|sender| sender.send(SlotDecision::Granted).is_err()) {
+                abandoned.push(ticket);
             }
         }
-        gone
+        abandoned
     }
 
     /// Refuses the waiters of these tickets.
@@ -47,7 +47,7 @@
         for (ticket, retry_after) in tickets {
             if let Some(sender) = waiting.remove(&ticket) {
                 // Sending fails if the waiter has left, which needs no action.
-                let _ = sender.send(Turn::Refused(retry_after));
+                let _ = sender.send(SlotDecision::Refused(retry_after));
             }
         }
     }
--- a/daemon/src/control.rs
+++ b/daemon/src/control.rs
@@ -37,7 +37,7 @@
 use crate::write;
 
 /// Interval of the clock ticks.
-const TICK: Duration = Duration::from_millis(20);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Interval of the maintenance of connection pools and slot queues, in ticks.
 const MAINTENANCE_TICKS: u64 = 2;
@@ -47,14 +47,14 @@
 const CLEAN_UP_TICKS: u64 = 500;
 
 /// Number of connections to the primary that are kept open in advance.
-const WARM_PRIMARY: usize = 4;
+const WARM_PRIMARY_CONNECTIONS: usize = 4;
 
 /// Number of connections to each replica that are kept open in advance.
-const WARM_REPLICA: usize = 3;
+const WARM_REPLICA_CONNECTIONS: usize = 3;
 
 /// Interval between openings of connections to one server before a handover.
 /// It is longer than the interval at which a pool permits openings.
-const OPENING_TURN: Duration = Duration::from_millis(6);
+const WARM_UP_INTERVAL: Duration = Duration::from_millis(6);
 
 /// Longest wait for open transactions to end before a handover is postponed.
 const TRANSACTION_GRACE: Duration = Duration::from_secs(12);
@@ -67,10 +67,10 @@
 
 /// Delay before the next handover attempt when the other instance did not
 /// prepare for this one.
-const HANDOVER_PAUSE: Duration = Duration::from_millis(200);
+const HANDOVER_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Delay before another attempt to create the ledger.
-const LEDGER_PAUSE: Duration = Duration::from_millis(50);
+const LEDGER_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Start times of the takeovers in progress, to measure how long each takes.
 type TakeStarts = Mutex<HashMap<DatabaseId, Instant>>;
@@ -78,7 +78,7 @@
 /// Runs the control loop for as long as the instance runs.
 pub async fn run(context: Shared, mut actions: mpsc::UnboundedReceiver<InstanceAction>) {
     let starts: std::sync::Arc<TakeStarts> = std::sync::Arc::default();
-    let mut ticks = tokio::time::interval(TICK);
+    let mut ticks = tokio::time::interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut count = 0_u64;
     loop {
@@ -123,7 +123,8 @@
             continue;
         };
         for server in servers {
-            let warm = if server == primary { WARM_PRIMARY } else { WARM_REPLICA };
+            let warm =
+                if server == primary { WARM_PRIMARY_CONNECTIONS } else { WARM_REPLICA_CONNECTIONS };
             tokio::spawn(checkout::warm_up(
                 context.databases.clone(),
                 database.clone(),
@@ -149,7 +150,12 @@
             continue;
         };
         for server in servers {
-            checkout::close_expired(&context.databases, &database, &server, WARM_PRIMARY);
+            checkout::close_expired(
+                &context.databases,
+                &database,
+                &server,
+                WARM_PRIMARY_CONNECTIONS,
+            );
         }
         let context = context.clone();
         tokio::spawn(async move {
@@ -291,14 +297,20 @@
             openings.spawn(async move { known.control.state().await.is_ok() });
             openings.spawn(async move { other.confirm.state().await.is_ok() });
         }
-        for number in 0..WARM_PRIMARY {
+        for number in 0..WARM_PRIMARY_CONNECTIONS {
             let (context, database, server) = (context.clone(), database.clone(), server.clone());
             // Started one after the other, since the pool skips an opening that
             // follows the previous one too closely.
-            let turn = OPENING_TURN * u32::try_from(number).unwrap_or(0);
+            let delay = WARM_UP_INTERVAL * u32::try_from(number).unwrap_or(0);
             openings.spawn(async move {
-                tokio::time::sleep(turn).await;
-                checkout::warm_up(context.databases.clone(), database, server, WARM_PRIMARY).await;
+                tokio::time::sleep(delay).await;
+                checkout::warm_up(
+                    context.databases.clone(),
+                    database,
+                    server,
+                    WARM_PRIMARY_CONNECTIONS,
+                )
+                .await;
                 true
             });
         }
@@ -316,12 +328,17 @@
     for server in others.unwrap_or_default() {
         checkout::close_idle(&context.databases, &database, &server);
     }
-    make_ledger(&context, &database, term, primary).await;
+    create_missing_ledger(&context, &database, term, primary).await;
 }
 
 /// Creates the ledger unless it is known to exist. Retries for as long as this
 /// instance serves the database in `term`.
-async fn make_ledger(context: &Shared, database: &DatabaseId, term: Term, primary: TargetId) {
+async fn create_missing_ledger(
+    context: &Shared,
+    database: &DatabaseId,
+    term: Term,
+    primary: TargetId,
+) {
     let serving = Serving { term, primary };
     loop {
         let missing = context.databases.with_database(database, |state| {
@@ -339,7 +356,7 @@
             }
             Err(failure) => {
                 warn!("ledger not created database={database}: {}", failure.message);
-                tokio::time::sleep(LEDGER_PAUSE).await;
+                tokio::time::sleep(LEDGER_RETRY_DELAY).await;
             }
         }
     }
@@ -415,10 +432,10 @@
     // database: opening them is the longest part of a handover.
     let prepared = Handover { prepare: true, ..offer.clone() };
     let ready = send_handover(&context, &to, prepared).await;
-    let quiet = ready && quiesce(&context, &database).await;
-    let accepted = quiet && send_handover(&context, &to, offer).await;
+    let quiesced = ready && quiesce(&context, &database).await;
+    let accepted = quiesced && send_handover(&context, &to, offer).await;
     if !ready {
-        tokio::time::sleep(HANDOVER_PAUSE).await;
+        tokio::time::sleep(HANDOVER_RETRY_DELAY).await;
     }
     info!("handover database={database} to={to} accepted={accepted}");
     let event = InstanceEvent::HandoverEnded { database, accepted };
--- a/daemon/src/databases.rs
+++ b/daemon/src/databases.rs
@@ -30,7 +30,7 @@
 use crate::target::address_of;
 
 /// A database server of the configuration, with its connections.
-pub struct KnownServer {
+pub struct ConfiguredServer {
     /// Database that the server belongs to.
     pub database: DatabaseId,
     /// Address and login.
@@ -58,9 +58,9 @@
 
 /// The servers of the configuration in force.
 #[derive(Default)]
-struct KnownServers {
+struct ConfiguredServers {
     version: ConfigVersion,
-    by_id: HashMap<TargetId, Arc<KnownServer>>,
+    by_id: HashMap<TargetId, Arc<ConfiguredServer>>,
 }
 
 /// The databases of the configuration.
@@ -71,7 +71,7 @@
     /// configuration changes, and when a transaction or the last request before a
     /// handover ends.
     pub changed: Notify,
-    servers: RwLock<KnownServers>,
+    servers: RwLock<ConfiguredServers>,
     /// Term in which this instance serves each database; 0 while it does not.
     served_terms: Mutex<HashMap<DatabaseId, watch::Sender<Term>>>,
     /// Queue of actions that the control loop performs.
@@ -99,7 +99,7 @@
 
     /// Looks up a server of the configuration.
     #[must_use]
-    pub fn server(&self, id: &str) -> Option<Arc<KnownServer>> {
+    pub fn server(&self, id: &str) -> Option<Arc<ConfiguredServer>> {
         self.servers.read().expect("never poisoned").by_id.get(id).cloned()
     }
 
@@ -193,7 +193,7 @@
         if version <= servers.version {
             return false;
         }
-        servers.by_id = known_servers(config, &servers.by_id);
+        servers.by_id = configured_servers(config, &servers.by_id);
         servers.version = version;
         self.instance.configure(config, version);
         put_in_force();
@@ -205,11 +205,11 @@
 
 /// Returns the servers of a configuration. Servers whose addresses and login did
 /// not change keep their connections.
-fn known_servers(
+fn configured_servers(
     config: &Config,
-    before: &HashMap<TargetId, Arc<KnownServer>>,
-) -> HashMap<TargetId, Arc<KnownServer>> {
-    let mut known = HashMap::new();
+    before: &HashMap<TargetId, Arc<ConfiguredServer>>,
+) -> HashMap<TargetId, Arc<ConfiguredServer>> {
+    let mut servers_of_config = HashMap::new();
     for (database_id, database) in &config.databases {
         for server in &database.servers {
             let Some(address) = address_of(database_id, database, server) else {
@@ -221,7 +221,7 @@
                 old.address == address && old.replication_address == replication_address
             });
             let entry = same.cloned().unwrap_or_else(|| {
-                Arc::new(KnownServer {
+                Arc::new(ConfiguredServer {
                     database: database_id.clone(),
                     control: control(&address),
                     confirm: control(&address),
@@ -230,10 +230,10 @@
                     connections: ConnectionStore::default(),
                 })
             });
-            known.insert(server.id.clone(), entry);
+            servers_of_config.insert(server.id.clone(), entry);
         }
     }
-    known
+    servers_of_config
 }
 
 fn control(address: &ServerAddress) -> SharedTarget {
--- a/daemon/src/in_flight.rs
+++ b/daemon/src/in_flight.rs
@@ -56,7 +56,7 @@
 }
 
 /// Decision about a request that has arrived.
-enum Started {
+enum StartDecision {
     Run(InFlightGuard),
     Join(AnswerReceiver),
     /// Refuse it: a request with the same id and another statement is in
@@ -71,16 +71,18 @@
         self.running.lock().expect("never poisoned").contains_key(key)
     }
 
-    fn start(self: &Arc<Self>, key: InFlightKey, digest: &[u8]) -> Started {
+    fn start(self: &Arc<Self>, key: InFlightKey, digest: &[u8]) -> StartDecision {
         let mut running = self.running.lock().expect("never poisoned");
         match running.get(&key) {
-            Some(other) if other.digest == digest => return Started::Join(other.answer.clone()),
-            Some(_) => return Started::Reused,
+            Some(other) if other.digest == digest => {
+                return StartDecision::Join(other.answer.clone());
+            }
+            Some(_) => return StartDecision::Reused,
             None => {}
         }
         let (sender, answer) = watch::channel(None);
         running.insert(key.clone(), Running { digest: digest.to_vec(), answer });
-        Started::Run(InFlightGuard { in_flight: self.clone(), key, sender })
+        StartDecision::Run(InFlightGuard { in_flight: self.clone(), key, sender })
     }
 
     /// Runs `work` for a request, or waits for the answer of the copy that is in
@@ -104,9 +106,9 @@
             return Err(failure(ErrorKind::RequestIdExpired));
         }
         let guard = match self.start(key, digest) {
-            Started::Run(guard) => guard,
-            Started::Join(other) => return from_answer(join(other, deadline).await),
-            Started::Reused => return Err(failure(ErrorKind::RequestIdReused)),
+            StartDecision::Run(guard) => guard,
+            StartDecision::Join(other) => return from_answer(join(other, deadline).await),
+            StartDecision::Reused => return Err(failure(ErrorKind::RequestIdReused)),
         };
         let task = tokio::spawn(async move {
             let answer = to_answer(work.await);
--- a/daemon/src/inquiry.rs
+++ b/daemon/src/inquiry.rs
@@ -59,9 +59,9 @@
         if context.in_flight.contains(&key) {
             return Ok(state(State::InFlight));
         }
-        if let Ok(row) = write::settle_row(context, &request, &serving).await {
+        if let Ok(row) = write::look_up_or_cancel(context, &request, &serving).await {
             let position = row.position_in(&serving);
-            match write::finish(context, &request, &serving, position).await {
+            match write::confirm_write(context, &request, &serving, position).await {
                 Ok(()) => {
                     let outcome = match row.outcome {
                         LedgerOutcome::Ran => State::RanOnce,
--- a/daemon/src/owner.rs
+++ b/daemon/src/owner.rs
@@ -111,13 +111,13 @@
 pub const EXPECTED_FAILOVER_TIME: Duration = Duration::from_secs(3);
 
 /// Interval at which a wait checks its condition even without a notification.
-const LOOK_AGAIN: Duration = Duration::from_millis(20);
+const RECHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-enum Entrance {
-    Go(Serving, WorkGuard),
+enum EnterDecision {
+    Serve(Serving, WorkGuard),
     Wait,
-    NotOurs,
-    Unknown,
+    NotOwner,
+    UnknownDatabase,
 }
 
 /// Waits until this instance serves the database, and counts the request as in
@@ -139,16 +139,16 @@
     loop {
         let changed = context.databases.changed.notified();
         match try_enter(context, database, begins_transaction, in_transaction) {
-            Entrance::Go(serving, guard) => return Ok((serving, guard)),
-            Entrance::NotOurs => return Err(not_owner(context, database)),
-            Entrance::Unknown => return Err(failure(ErrorKind::UnknownDatabase)),
-            Entrance::Wait => {}
+            EnterDecision::Serve(serving, guard) => return Ok((serving, guard)),
+            EnterDecision::NotOwner => return Err(not_owner(context, database)),
+            EnterDecision::UnknownDatabase => return Err(failure(ErrorKind::UnknownDatabase)),
+            EnterDecision::Wait => {}
         }
         let now = Instant::now();
         if now >= deadline || now.saturating_duration_since(began) >= EXPECTED_FAILOVER_TIME {
             return Err(failure(ErrorKind::NoPrimary));
         }
-        let _ = tokio::time::timeout(LOOK_AGAIN, changed).await;
+        let _ = tokio::time::timeout(RECHECK_INTERVAL, changed).await;
     }
 }
 
@@ -157,25 +157,25 @@
     database: &DatabaseId,
     begins_transaction: bool,
     in_transaction: bool,
-) -> Entrance {
-    let entrance = context.databases.with_database(database, |state| {
+) -> EnterDecision {
+    let decision = context.databases.with_database(database, |state| {
         state.ownership.requested(Instant::now());
         if !state.ownership.is_engaged() {
-            return Entrance::NotOurs;
+            return EnterDecision::NotOwner;
         }
-        let shut = match state.gate {
+        let gate_closed = match state.gate {
             Gate::Open => false,
             Gate::NoNewTransactions => begins_transaction,
             Gate::Closed => !in_transaction,
         };
-        let ready = !shut && state.ledger_ready;
+        let ready = !gate_closed && state.ledger_ready;
         let Some((term, primary)) = state.ownership.serving().filter(|_| ready) else {
-            return Entrance::Wait;
+            return EnterDecision::Wait;
         };
         let guard = WorkGuard::new(&context.databases, database, state);
-        Entrance::Go(Serving { term, primary }, guard)
+        EnterDecision::Serve(Serving { term, primary }, guard)
     });
-    entrance.unwrap_or(Entrance::Unknown)
+    decision.unwrap_or(EnterDecision::UnknownDatabase)
 }
 
 /// Builds the failure of a request that came to an instance that does not own
@@ -199,24 +199,26 @@
 /// When the deadline passes or the term ends first, when the slot queue refuses
 /// the request, or when no connection can be opened. No part of the request was
 /// sent in these cases.
-pub async fn reach(
+pub async fn acquire_slot_and_connection(
     context: &Shared,
     request: &Request,
     serving: &Serving,
     server: &TargetId,
 ) -> Result<(SlotGuard, ConnectionGuard), Failure> {
     let (database, deadline) = (&request.database, request.deadline);
-    let both = async {
+    let acquire = async {
         let priority = request.priority;
         let slot = checkout::acquire_slot(&context.databases, database, server, priority, deadline)
             .await?;
-        let guard = connect_now(context, database, serving, server, deadline).await?;
+        let guard = connect_and_declare_term(context, database, serving, server, deadline).await?;
         Ok((slot, guard))
     };
-    or_interrupted(context.databases.within_term(database, serving.term, deadline, both).await)
+    flatten_interruption(
+        context.databases.within_term(database, serving.term, deadline, acquire).await,
+    )
 }
 
-fn or_interrupted<T>(done: Result<Result<T, Failure>, Interruption>) -> Result<T, Failure> {
+fn flatten_interruption<T>(done: Result<Result<T, Failure>, Interruption>) -> Result<T, Failure> {
     match done {
         Ok(result) => result,
         Err(Interruption::TermOver) => Err(failure(ErrorKind::NoPrimary)),
@@ -237,11 +239,13 @@
     server: &TargetId,
     deadline: Instant,
 ) -> Result<ConnectionGuard, Failure> {
-    let connected = connect_now(context, database, serving, server, deadline);
-    or_interrupted(context.databases.within_term(database, serving.term, deadline, connected).await)
+    let connected = connect_and_declare_term(context, database, serving, server, deadline);
+    flatten_interruption(
+        context.databases.within_term(database, serving.term, deadline, connected).await,
+    )
 }
 
-async fn connect_now(
+async fn connect_and_declare_term(
     context: &Shared,
     database: &DatabaseId,
     serving: &Serving,
@@ -254,7 +258,7 @@
             return Ok(guard);
         }
         let sql = format!("SELECT * FROM chervilwharf_use_term({})", serving.term);
-        let steps = [crate::postgres::Step::own(sql)];
+        let steps = [crate::postgres::Step::internal(sql)];
         let declared = tokio::time::timeout_at(deadline.into(), guard.get().run(&steps)).await;
         match declared {
             Ok(Ok(_)) => {
@@ -305,7 +309,7 @@
 /// # Errors
 ///
 /// When the deadline passes or the term ends before that.
-pub async fn wait_answerable(
+pub async fn wait_until_answerable(
     context: &Shared,
     request: &Request,
     serving: &Serving,
--- a/daemon/src/postgres.rs
+++ b/daemon/src/postgres.rs
@@ -64,7 +64,7 @@
     /// Creates a step without parameters for a statement of the proxy itself. The
     /// columns of its result are fixed, so their description is left out.
     #[must_use]
-    pub fn own(sql: impl Into<String>) -> Self {
+    pub fn internal(sql: impl Into<String>) -> Self {
         Self { sql: sql.into(), skip_columns: true, ..Self::default() }
     }
 
@@ -171,7 +171,7 @@
 
     /// Whether the answer to the last batch is complete.
     #[must_use]
-    pub fn is_whole(&self) -> bool {
+    pub fn is_answer_complete(&self) -> bool {
         !self.unfinished
     }
 
--- a/daemon/src/read.rs
+++ b/daemon/src/read.rs
@@ -46,10 +46,10 @@
 const POSITION_STEP: usize = 3;
 
 /// Result of one attempt of a read.
-enum Tried {
+enum AttemptResult {
     Done(StatementResult, Position),
     /// This server cannot answer the read now; another one may.
-    Elsewhere,
+    RetryElsewhere,
     /// The server found that the statement writes.
     Writes,
     Failed(Failure),
@@ -66,11 +66,11 @@
     for tries in 0..MAX_TRIES {
         let (serving, work) =
             owner::enter(context, &request.database, request.deadline, false, false).await?;
-        let (server, floor) = choose(context, request, &serving, &excluded);
+        let (server, floor) = choose_server(context, request, &serving, &excluded);
         let by_replica = server != serving.primary;
-        match try_at(context, request, &serving, &server, floor, tries == 0).await {
-            Tried::Done(result, position) => {
-                let answered = finish(context, request, &serving, position, by_replica).await;
+        match try_at_server(context, request, &serving, &server, floor, tries == 0).await {
+            AttemptResult::Done(result, position) => {
+                let answered = confirm_read(context, request, &serving, position, by_replica).await;
                 match answered {
                     Ok(()) => {
                         return Ok(StatementResult {
@@ -84,12 +84,12 @@
                     Err(NotConfirmed::TermOver) => {}
                 }
             }
-            Tried::Elsewhere => excluded.push(server),
-            Tried::Writes => {
+            AttemptResult::RetryElsewhere => excluded.push(server),
+            AttemptResult::Writes => {
                 drop(work);
                 return write::run(context, request).await;
             }
-            Tried::Failed(failure) => return Err(failure),
+            AttemptResult::Failed(failure) => return Err(failure),
         }
         if Instant::now() >= request.deadline {
             return Err(failure(ErrorKind::DeadlineBeforeStart));
@@ -107,7 +107,7 @@
 
 /// Chooses a server for a read, and returns it with the position that it must
 /// have applied; `None` for the primary, which needs no check.
-fn choose(
+fn choose_server(
     context: &Shared,
     request: &Request,
     serving: &Serving,
@@ -145,35 +145,38 @@
 
 /// Builds the batch of a read: a read-only transaction that checks the floor at
 /// the server, runs the statement, and reads the server's log position after it.
-fn batch(request: &Request, floor: Option<Position>) -> Vec<Step> {
+fn read_batch(request: &Request, floor: Option<Position>) -> Vec<Step> {
     let floor = floor.unwrap_or(Position::ZERO);
     let require =
         format!("SELECT * FROM chervilwharf_require_position({}, {})", floor.term, floor.index);
     vec![
-        Step::own("BEGIN READ ONLY"),
-        Step::own(require),
+        Step::internal("BEGIN READ ONLY"),
+        Step::internal(require),
         write::statement_step(&request.submit),
-        Step::own("SELECT * FROM chervilwharf_position()"),
-        Step::own("COMMIT"),
+        Step::internal("SELECT * FROM chervilwharf_position()"),
+        Step::internal("COMMIT"),
     ]
 }
 
-async fn try_at(
+async fn try_at_server(
     context: &Shared,
     request: &Request,
     serving: &Serving,
     server: &TargetId,
     floor: Option<Position>,
     is_first: bool,
-) -> Tried {
+) -> AttemptResult {
     let (database, deadline) = (&request.database, request.deadline);
     let by_primary = *server == serving.primary;
-    let (_slot, mut guard) = match owner::reach(context, request, serving, server).await {
-        Ok(reached) => reached,
-        Err(failure) if kind_of(&failure) == ErrorKind::NoPrimary => return Tried::Elsewhere,
-        Err(failure) => return Tried::Failed(failure),
-    };
-    let steps = batch(request, floor);
+    let (_slot, mut guard) =
+        match owner::acquire_slot_and_connection(context, request, serving, server).await {
+            Ok(acquired) => acquired,
+            Err(failure) if kind_of(&failure) == ErrorKind::NoPrimary => {
+                return AttemptResult::RetryElsewhere;
+            }
+            Err(failure) => return AttemptResult::Failed(failure),
+        };
+    let steps = read_batch(request, floor);
     let stall = Instant::now() + STALL_LIMIT;
     let limit = if is_first { deadline.min(stall) } else { deadline };
     let sent_at = Instant::now();
@@ -186,36 +189,36 @@
             context.databases.with_database(database, |state| {
                 state.ownership.answered(server, serving.term, sent_at, position);
             });
-            return Tried::Done(results.swap_remove(STATEMENT_STEP), position);
+            return AttemptResult::Done(results.swap_remove(STATEMENT_STEP), position);
         }
         Ok(Err(error)) => error,
-        Err(Interruption::TermOver) => return Tried::Elsewhere,
-        Err(Interruption::Late) if limit < deadline => return Tried::Elsewhere,
+        Err(Interruption::TermOver) => return AttemptResult::RetryElsewhere,
+        Err(Interruption::Late) if limit < deadline => return AttemptResult::RetryElsewhere,
         Err(Interruption::Late) => {
-            return Tried::Failed(failure(ErrorKind::DeadlineBeforeStart));
+            return AttemptResult::Failed(failure(ErrorKind::DeadlineBeforeStart));
         }
     };
     guard.end_transaction();
     match &error {
         BatchError::Refused { sqlstate, .. } if sqlstate == NOT_APPLIED => {
             context.metrics.floors_missed.inc();
-            Tried::Elsewhere
+            AttemptResult::RetryElsewhere
         }
-        BatchError::Refused { sqlstate, .. } if sqlstate == READ_ONLY => Tried::Writes,
+        BatchError::Refused { sqlstate, .. } if sqlstate == READ_ONLY => AttemptResult::Writes,
         BatchError::Refused { sqlstate, .. } if sqlstate == WRONG_TERM && !by_primary => {
             // The replica has just come back, or another instance has just
             // fenced it. Whether this instance still owns the database depends
             // on the term of the primary.
-            Tried::Elsewhere
+            AttemptResult::RetryElsewhere
         }
-        BatchError::Broken(_) => Tried::Elsewhere,
-        _ => Tried::Failed(owner::batch_failure(context, database, serving, &error)),
+        BatchError::Broken(_) => AttemptResult::RetryElsewhere,
+        _ => AttemptResult::Failed(owner::batch_failure(context, database, serving, &error)),
     }
 }
 
 /// Checks after the server's answer that this instance still owns the database.
 /// Without this check a process that was paused could return a stale answer.
-async fn finish(
+async fn confirm_read(
     context: &Shared,
     request: &Request,
     serving: &Serving,
@@ -225,7 +228,7 @@
     // The primary may have returned a write that no replica has received yet. If
     // the primary fails and that write is lost, the client has read data that
     // no longer exists.
-    owner::wait_answerable(context, request, serving, position, !by_replica).await?;
+    owner::wait_until_answerable(context, request, serving, position, !by_replica).await?;
     if by_replica {
         // Replicas lag by different amounts, and an account must not read older
         // data after newer. The floor is not raised after a read at the primary:
--- a/daemon/src/target.rs
+++ b/daemon/src/target.rs
@@ -90,17 +90,17 @@
     /// An open connection can stop working while new ones work. If its timeout
     /// counted as a failure of the server, a healthy primary would be replaced.
     async fn call(&self, sql: &str) -> Result<StatementResult, FenceFailure> {
-        let mut slot = self.connection.lock().await;
-        let steps = [Step::own(sql)];
-        if let Some(mut connection) = slot.take() {
+        let mut cached = self.connection.lock().await;
+        let steps = [Step::internal(sql)];
+        if let Some(mut connection) = cached.take() {
             match tokio::time::timeout(self.timeout, connection.run(&steps)).await {
                 Ok(Ok(results)) => {
-                    *slot = Some(connection);
-                    return first(results);
+                    *cached = Some(connection);
+                    return first_result(results);
                 }
                 Ok(Err(error @ BatchError::Refused { .. })) => {
-                    *slot = Some(connection);
-                    return Err(failure(&error));
+                    *cached = Some(connection);
+                    return Err(to_fence_failure(&error));
                 }
                 _ => {}
             }
@@ -110,15 +110,15 @@
         let answer = tokio::time::timeout(self.timeout, connection.run(&steps)).await;
         match answer.map_err(|_| FenceFailure::Unreachable)? {
             Ok(results) => {
-                *slot = Some(connection);
-                first(results)
+                *cached = Some(connection);
+                first_result(results)
             }
-            Err(error) => Err(failure(&error)),
+            Err(error) => Err(to_fence_failure(&error)),
         }
     }
 }
 
-fn first(results: Vec<StatementResult>) -> Result<StatementResult, FenceFailure> {
+fn first_result(results: Vec<StatementResult>) -> Result<StatementResult, FenceFailure> {
     results.into_iter().next().ok_or(FenceFailure::Unreachable)
 }
 
@@ -131,7 +131,7 @@
     Some((term.parse().ok()?, owner))
 }
 
-fn failure(error: &BatchError) -> FenceFailure {
+fn to_fence_failure(error: &BatchError) -> FenceFailure {
     let BatchError::Refused { sqlstate, message, .. } = error else {
         return FenceFailure::Unreachable;
     };
--- a/daemon/src/transaction.rs
+++ b/daemon/src/transaction.rs
@@ -31,7 +31,7 @@
     pub static LINK: u64;
 }
 
-fn present_link() -> u64 {
+fn current_link() -> u64 {
     LINK.try_with(|link| *link).unwrap_or(0)
 }
 
@@ -44,8 +44,8 @@
 /// transaction is rolled back.
 pub async fn run(context: &Shared, request: &Request) -> Result<StatementResult, Failure> {
     let id = &request.submit.transaction_id;
-    let (slot, is_new) = context.transactions.slot(id, present_link());
-    let mut held = slot.lock().await;
+    let (cell, is_new) = context.transactions.cell(id, current_link());
+    let mut held = cell.lock().await;
     if held.is_none() {
         if !is_new || request.submit.resend || request.submit.continues {
             // The transaction was rolled back here, or it was held by an earlier
@@ -55,7 +55,7 @@
             context.transactions.roll_back(id);
             return Err(failure(ErrorKind::TransactionLost));
         }
-        match open(context, request).await {
+        match begin(context, request).await {
             Ok(transaction) => *held = Some(transaction),
             Err(failure) => {
                 context.transactions.roll_back(id);
@@ -63,7 +63,7 @@
             }
         }
     }
-    let result = run_in(context, request, held.as_mut()).await;
+    let result = run_statement(context, request, held.as_mut()).await;
     if result.as_ref().is_err_and(|failure| kind_of(failure) != ErrorKind::ServerRefused) {
         *held = None;
         context.transactions.roll_back(id);
@@ -71,14 +71,15 @@
     result
 }
 
-async fn open(context: &Shared, request: &Request) -> Result<OpenTransaction, Failure> {
+async fn begin(context: &Shared, request: &Request) -> Result<OpenTransaction, Failure> {
     let (database, deadline) = (&request.database, request.deadline);
     let (serving, work) = owner::enter(context, database, deadline, true, false).await?;
     let count = TransactionCount::new(&context.databases, database);
     let server = serving.primary.clone();
-    let (_slot, mut guard) = owner::reach(context, request, &serving, &server).await?;
-    let begin = [Step::own("BEGIN")];
-    let run = guard.get().run(&begin);
+    let (_slot, mut guard) =
+        owner::acquire_slot_and_connection(context, request, &serving, &server).await?;
+    let steps = [Step::internal("BEGIN")];
+    let run = guard.get().run(&steps);
     match context.databases.within_term(database, serving.term, deadline, run).await {
         Ok(Ok(_)) => {}
         Ok(Err(error)) => return Err(owner::batch_failure(context, database, &serving, &error)),
@@ -87,7 +88,7 @@
     Ok(OpenTransaction::new(guard, serving, work, count))
 }
 
-async fn run_in(
+async fn run_statement(
     context: &Shared,
     request: &Request,
     held: Option<&mut OpenTransaction>,
@@ -96,7 +97,8 @@
     let transaction = held.ok_or_else(lost)?;
     let serving = transaction.serving.clone();
     let (database, deadline) = (&request.database, request.deadline);
-    let _slot = checkout::overdraw_slot(&context.databases, database, &serving.primary);
+    let _slot =
+        checkout::acquire_slot_unconditionally(&context.databases, database, &serving.primary);
     let guard = transaction.guard.as_mut().ok_or_else(lost)?;
     let step = [write::statement_step(&request.submit)];
     let run = guard.get().run(&step);
@@ -123,7 +125,7 @@
     let work = {
         let (context, request) = (context.clone(), request.clone());
         let committing = async move { commit_once(&context, &request).await };
-        Box::pin(LINK.scope(present_link(), committing))
+        Box::pin(LINK.scope(current_link(), committing))
     };
     let digest = &request.submit.digest;
     context.in_flight.run_once(request.key(), digest, request.deadline, work).await
@@ -131,14 +133,14 @@
 
 async fn commit_once(context: &Shared, request: &Request) -> Result<StatementResult, Failure> {
     let id = &request.submit.transaction_id;
-    let (slot, _) = context.transactions.slot(id, present_link());
-    let held = slot.lock().await.take();
+    let (cell, _) = context.transactions.cell(id, current_link());
+    let held = cell.lock().await.take();
     context.transactions.roll_back(id);
     let Some(mut transaction) = held else {
         // An earlier owner held the transaction, or it was idle for too long. An
         // earlier copy of this COMMIT may have succeeded, which only the ledger
         // shows.
-        return settle(context, request).await;
+        return resolve_commit(context, request).await;
     };
     let serving = transaction.serving.clone();
     let mut done = StatementResult { command_tag: "COMMIT".into(), ..StatementResult::default() };
@@ -146,7 +148,7 @@
     let row = write::insert_step(request, &serving, ran, &request.submit.digest, Some(&done));
     let steps = write::commit_batch(row);
     let Some(guard) = transaction.guard.as_mut() else {
-        return settle(context, request).await;
+        return resolve_commit(context, request).await;
     };
     let run = guard.get().run(&steps);
     let limit = request.deadline;
@@ -156,7 +158,7 @@
         Ok(Err(BatchError::Refused { step, sqlstate, message, .. })) if step < 2 => {
             if step == 0 && sqlstate == UNIQUE_VIOLATION {
                 drop(transaction);
-                return settle(context, request).await;
+                return resolve_commit(context, request).await;
             }
             let error = BatchError::Refused { step, done: Vec::new(), sqlstate, message };
             let failure = owner::batch_failure(context, &request.database, &serving, &error);
@@ -170,16 +172,16 @@
     // Returns the connection to the pool before the wait for the replica.
     drop(transaction);
     let Some(position) = position else {
-        return settle(context, request).await;
+        return resolve_commit(context, request).await;
     };
-    match write::finish(context, request, &serving, position).await {
+    match write::confirm_write(context, request, &serving, position).await {
         Ok(()) => {
             done.position_term = position.term;
             done.position_index = position.index;
             Ok(done)
         }
         Err(NotConfirmed::Late) => Err(failure(ErrorKind::OutcomeUnknown)),
-        Err(NotConfirmed::TermOver) => settle(context, request).await,
+        Err(NotConfirmed::TermOver) => resolve_commit(context, request).await,
     }
 }
 
@@ -189,18 +191,18 @@
 
 /// Determines from the ledger whether a transaction committed. If it did not,
 /// writes a tombstone that keeps it from committing later.
-async fn settle(context: &Shared, request: &Request) -> Result<StatementResult, Failure> {
+async fn resolve_commit(context: &Shared, request: &Request) -> Result<StatementResult, Failure> {
     loop {
         let entered =
             owner::enter(context, &request.database, request.deadline, false, false).await;
         let (serving, _work) = entered.map_err(write::in_doubt)?;
-        if let Ok(row) = write::settle_row(context, request, &serving).await {
+        if let Ok(row) = write::look_up_or_cancel(context, request, &serving).await {
             let position = row.position_in(&serving);
-            match write::finish(context, request, &serving, position).await {
+            match write::confirm_write(context, request, &serving, position).await {
                 Ok(()) if row.outcome == LedgerOutcome::Cancelled => {
                     return Err(lost_at_commit());
                 }
-                Ok(()) => return write::recorded(&row, &request.submit.digest),
+                Ok(()) => return write::recorded_answer(&row, &request.submit.digest),
                 Err(NotConfirmed::Late) => return Err(failure(ErrorKind::OutcomeUnknown)),
                 Err(NotConfirmed::TermOver) => {}
             }
--- a/daemon/src/transactions.rs
+++ b/daemon/src/transactions.rs
@@ -73,7 +73,7 @@
     }
 }
 
-struct Held {
+struct HeldTransaction {
     transaction: Arc<tokio::sync::Mutex<Option<OpenTransaction>>>,
     last_used_at: Instant,
     /// Link over which it came; 0 for clients that are connected to this
@@ -85,19 +85,19 @@
 /// entry instance chose.
 #[derive(Default)]
 pub struct Transactions {
-    held: Mutex<HashMap<String, Held>>,
+    held: Mutex<HashMap<String, HeldTransaction>>,
 }
 
 /// Shared cell of a transaction; empty before its begin and after its end.
-pub type Slot = Arc<tokio::sync::Mutex<Option<OpenTransaction>>>;
+pub type TransactionCell = Arc<tokio::sync::Mutex<Option<OpenTransaction>>>;
 
 impl Transactions {
     /// Returns the cell of a transaction, and whether it was created by this
     /// call. `link` is the link over which the request came.
-    pub fn slot(&self, id: &str, link: u64) -> (Slot, bool) {
+    pub fn cell(&self, id: &str, link: u64) -> (TransactionCell, bool) {
         let mut held = self.held.lock().expect("never poisoned");
         let is_new = !held.contains_key(id);
-        let entry = held.entry(id.to_owned()).or_insert_with(|| Held {
+        let entry = held.entry(id.to_owned()).or_insert_with(|| HeldTransaction {
             transaction: Arc::default(),
             last_used_at: Instant::now(),
             link,
--- a/daemon/src/write.rs
+++ b/daemon/src/write.rs
@@ -101,17 +101,17 @@
     let work = {
         let (context, request) = (context.clone(), request.clone());
         let digest = digest.clone();
-        Box::pin(async move { run_to_end(&context, &request, digest).await })
+        Box::pin(async move { run_with_retries(&context, &request, digest).await })
     };
     context.in_flight.run_once(request.key(), &digest, request.deadline, work).await
 }
 
 /// Result of one attempt of a write.
-enum Tried {
+enum AttemptResult {
     /// The write committed in this attempt.
     Committed(StatementResult, Position),
     /// The ledger already has a row of the request.
-    Known(LedgerRow),
+    InLedger(LedgerRow),
     /// The write did not run and may be retried.
     NotRun(Failure),
     /// The write did not run, and a retry would fail in the same way.
@@ -130,34 +130,35 @@
 
 /// Whether an earlier attempt of the same write may have committed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Doubt {
+enum PossibleCommit {
     /// No earlier attempt can have committed.
     None,
     /// COMMIT was sent in this term but not answered.
     CommitSent(Term),
     /// The entry instance sent the request before, perhaps to an earlier owner,
     /// and does not know its outcome.
-    SentBefore,
+    SentEarlier,
 }
 
 /// State of a write over its attempts, of which its deadline allows many.
 struct Progress {
     digest: Vec<u8>,
-    doubt: Doubt,
+    possible_commit: PossibleCommit,
     /// An attempt stalled.
     stalled: bool,
 }
 
 impl Progress {
     fn new(digest: Vec<u8>, is_resent: bool) -> Self {
-        let doubt = if is_resent { Doubt::SentBefore } else { Doubt::None };
-        Self { digest, doubt, stalled: false }
+        let possible_commit =
+            if is_resent { PossibleCommit::SentEarlier } else { PossibleCommit::None };
+        Self { digest, possible_commit, stalled: false }
     }
 
     /// Returns the failure to report to the client when no further attempt is
     /// made. It says "not run" only if no attempt can have committed.
     fn give_up(&self, failure: Failure) -> Failure {
-        if self.doubt == Doubt::None {
+        if self.possible_commit == PossibleCommit::None {
             return failure;
         }
         in_doubt(failure)
@@ -178,7 +179,7 @@
     }
 }
 
-async fn run_to_end(
+async fn run_with_retries(
     context: &Shared,
     request: &Request,
     digest: Vec<u8>,
@@ -188,33 +189,37 @@
         let entered =
             owner::enter(context, &request.database, request.deadline, false, false).await;
         let (serving, _work) = entered.map_err(|failure| progress.give_up(failure))?;
-        let last = match try_in(context, request, &serving, &mut progress).await {
-            Tried::Committed(result, position) => {
-                match finish(context, request, &serving, position).await {
-                    Ok(()) => return Ok(placed(result, position)),
+        let last = match try_in_term(context, request, &serving, &mut progress).await {
+            AttemptResult::Committed(result, position) => {
+                match confirm_write(context, request, &serving, position).await {
+                    Ok(()) => return Ok(with_position(result, position)),
                     Err(NotConfirmed::Late) => return Err(failure(ErrorKind::OutcomeUnknown)),
-                    Err(NotConfirmed::TermOver) => progress.doubt = Doubt::CommitSent(serving.term),
+                    Err(NotConfirmed::TermOver) => {
+                        progress.possible_commit = PossibleCommit::CommitSent(serving.term);
+                    }
                 }
                 failure(ErrorKind::OutcomeUnknown)
             }
-            Tried::Known(row) => {
-                match finish(context, request, &serving, row.position_in(&serving)).await {
-                    Ok(()) => return recorded(&row, &progress.digest),
+            AttemptResult::InLedger(row) => {
+                match confirm_write(context, request, &serving, row.position_in(&serving)).await {
+                    Ok(()) => return recorded_answer(&row, &progress.digest),
                     Err(NotConfirmed::Late) => return Err(failure(ErrorKind::OutcomeUnknown)),
-                    Err(NotConfirmed::TermOver) => progress.doubt = Doubt::CommitSent(serving.term),
+                    Err(NotConfirmed::TermOver) => {
+                        progress.possible_commit = PossibleCommit::CommitSent(serving.term);
+                    }
                 }
                 failure(ErrorKind::OutcomeUnknown)
             }
-            Tried::Refused(failure) => return Err(progress.give_up(failure)),
-            Tried::Unknown => {
-                progress.doubt = Doubt::CommitSent(serving.term);
+            AttemptResult::Refused(failure) => return Err(progress.give_up(failure)),
+            AttemptResult::Unknown => {
+                progress.possible_commit = PossibleCommit::CommitSent(serving.term);
                 failure(ErrorKind::OutcomeUnknown)
             }
-            Tried::Stalled => {
+            AttemptResult::Stalled => {
                 progress.stalled = true;
                 failure(ErrorKind::DeadlineBeforeStart)
             }
-            Tried::NotRun(failure) => failure,
+            AttemptResult::NotRun(failure) => failure,
         };
         if Instant::now() + RETRY_PAUSE >= request.deadline {
             return Err(progress.give_up(last));
@@ -234,25 +239,25 @@
 /// in the ledger therefore decides whether the write may run. The same holds
 /// for a copy that the entry instance sent before: it either joined this
 /// request, ended here, or was at the owner of an earlier term.
-async fn try_in(
+async fn try_in_term(
     context: &Shared,
     request: &Request,
     serving: &Serving,
     progress: &mut Progress,
-) -> Tried {
-    match progress.doubt {
-        Doubt::None => {}
-        Doubt::CommitSent(term) if term == serving.term => {
-            return match settle_row(context, request, serving).await {
-                Ok(row) => Tried::Known(row),
-                Err(failure) => Tried::NotRun(failure),
+) -> AttemptResult {
+    match progress.possible_commit {
+        PossibleCommit::None => {}
+        PossibleCommit::CommitSent(term) if term == serving.term => {
+            return match look_up_or_cancel(context, request, serving).await {
+                Ok(row) => AttemptResult::InLedger(row),
+                Err(failure) => AttemptResult::NotRun(failure),
             };
         }
-        Doubt::CommitSent(_) | Doubt::SentBefore => {
+        PossibleCommit::CommitSent(_) | PossibleCommit::SentEarlier => {
             match look_up(context, request, serving).await {
-                Ok(Some(row)) => return Tried::Known(row),
-                Ok(None) => progress.doubt = Doubt::None,
-                Err(failure) => return Tried::NotRun(failure),
+                Ok(Some(row)) => return AttemptResult::InLedger(row),
+                Ok(None) => progress.possible_commit = PossibleCommit::None,
+                Err(failure) => return AttemptResult::NotRun(failure),
             }
         }
     }
@@ -274,7 +279,7 @@
     }
 }
 
-fn placed(result: StatementResult, position: Position) -> StatementResult {
+fn with_position(result: StatementResult, position: Position) -> StatementResult {
     StatementResult { position_term: position.term, position_index: position.index, ..result }
 }
 
@@ -284,7 +289,7 @@
 ///
 /// When the request was cancelled, when its id was used for another statement,
 /// or when the answer was too large to be stored or cannot be decoded.
-pub fn recorded(row: &LedgerRow, digest: &[u8]) -> Result<StatementResult, Failure> {
+pub fn recorded_answer(row: &LedgerRow, digest: &[u8]) -> Result<StatementResult, Failure> {
     if row.outcome == LedgerOutcome::Cancelled {
         return Err(failure(ErrorKind::Cancelled));
     }
@@ -299,7 +304,7 @@
     };
     let result =
         StatementResult::decode(bytes.as_slice()).map_err(|_| failure(ErrorKind::AnswerNotKept))?;
-    Ok(StatementResult { from_ledger: true, ..placed(result, row.position) })
+    Ok(StatementResult { from_ledger: true, ..with_position(result, row.position) })
 }
 
 async fn try_once(
@@ -307,15 +312,16 @@
     request: &Request,
     serving: &Serving,
     progress: &Progress,
-) -> Tried {
+) -> AttemptResult {
     let (database, deadline) = (&request.database, request.deadline);
     let server = &serving.primary;
-    let (_slot, mut guard) = match owner::reach(context, request, serving, server).await {
-        Ok(reached) => reached,
-        Err(failure) => return not_reached(failure),
-    };
+    let (_slot, mut guard) =
+        match owner::acquire_slot_and_connection(context, request, serving, server).await {
+            Ok(acquired) => acquired,
+            Err(failure) => return classify_failure(failure),
+        };
     let steps = [
-        Step::own("BEGIN"),
+        Step::internal("BEGIN"),
         select_step(&request.account, &request.submit.request_id),
         statement_step(&request.submit),
     ];
@@ -329,18 +335,18 @@
         Ok(Ok(mut results)) => {
             if let Some(row) = results.get(1).and_then(read_row) {
                 guard.end_transaction();
-                return Tried::Known(row);
+                return AttemptResult::InLedger(row);
             }
             results.swap_remove(2)
         }
         Ok(Err(error)) => {
             guard.end_transaction();
-            return refused(context, request, serving, &error);
+            return classify_batch_failure(context, request, serving, &error);
         }
-        Err(Interruption::TermOver) => return Tried::NotRun(failure(ErrorKind::NoPrimary)),
-        Err(Interruption::Late) if limit < deadline => return Tried::Stalled,
+        Err(Interruption::TermOver) => return AttemptResult::NotRun(failure(ErrorKind::NoPrimary)),
+        Err(Interruption::Late) if limit < deadline => return AttemptResult::Stalled,
         Err(Interruption::Late) => {
-            return Tried::Refused(failure(ErrorKind::DeadlineBeforeStart));
+            return AttemptResult::Refused(failure(ErrorKind::DeadlineBeforeStart));
         }
     };
     let ran = LedgerOutcome::Ran;
@@ -349,23 +355,28 @@
 }
 
 /// Classifies a failure that occurred before COMMIT was sent.
-fn not_reached(failure: Failure) -> Tried {
+fn classify_failure(failure: Failure) -> AttemptResult {
     match kind_of(&failure) {
-        ErrorKind::NotOwner | ErrorKind::NoPrimary => Tried::NotRun(failure),
-        _ => Tried::Refused(failure),
+        ErrorKind::NotOwner | ErrorKind::NoPrimary => AttemptResult::NotRun(failure),
+        _ => AttemptResult::Refused(failure),
     }
 }
 
 /// Classifies the failure of a batch that contains no COMMIT.
-fn refused(context: &Shared, request: &Request, serving: &Serving, error: &BatchError) -> Tried {
+fn classify_batch_failure(
+    context: &Shared,
+    request: &Request,
+    serving: &Serving,
+    error: &BatchError,
+) -> AttemptResult {
     if let BatchError::Refused { done, .. } = error {
         // The ledger was read before the statement ran. A repeated statement
         // may be refused now, and its first answer still counts.
         if let Some(row) = done.get(1).and_then(read_row) {
-            return Tried::Known(row);
+            return AttemptResult::InLedger(row);
         }
     }
-    not_reached(owner::batch_failure(context, &request.database, serving, error))
+    classify_failure(owner::batch_failure(context, &request.database, serving, error))
 }
 
 /// Inserts the ledger row and commits, in one batch.
@@ -376,7 +387,7 @@
     mut guard: ConnectionGuard,
     row: Step,
     result: StatementResult,
-) -> Tried {
+) -> AttemptResult {
     let steps = commit_batch(row);
     let sent_at = Instant::now();
     let limit = request.deadline.min(sent_at + STALL_LIMIT);
@@ -389,27 +400,29 @@
                     let server = &serving.primary;
                     state.ownership.answered(server, serving.term, sent_at, position);
                 });
-                Tried::Committed(result, position)
+                AttemptResult::Committed(result, position)
             }
-            None => Tried::Unknown,
+            None => AttemptResult::Unknown,
         },
         Ok(Err(BatchError::Refused { step, sqlstate, message, .. })) => {
             guard.end_transaction();
             match (step, sqlstate.as_str()) {
                 // Another copy of the request or a tombstone has the row: the
                 // next attempt reads the ledger.
-                (0, UNIQUE_VIOLATION) => Tried::Unknown,
+                (0, UNIQUE_VIOLATION) => AttemptResult::Unknown,
                 (0 | 1, WRONG_TERM) => {
                     let error = BatchError::Refused { step, done: Vec::new(), sqlstate, message };
                     let failure = owner::batch_failure(context, &request.database, serving, &error);
-                    Tried::NotRun(failure)
+                    AttemptResult::NotRun(failure)
+                }
+                (0 | 1, _) => {
+                    AttemptResult::Refused(crate::answer::refused_by_server(&sqlstate, &message))
                 }
-                (0 | 1, _) => Tried::Refused(crate::answer::refused_by_server(&sqlstate, &message)),
-                _ => Tried::Unknown,
+                _ => AttemptResult::Unknown,
             }
         }
         // COMMIT was sent, and the server may or may not have executed it.
-        Ok(Err(_)) | Err(_) => Tried::Unknown,
+        Ok(Err(_)) | Err(_) => AttemptResult::Unknown,
     }
 }
 
@@ -417,7 +430,7 @@
 /// reads the log position.
 #[must_use]
 pub fn commit_batch(row: Step) -> [Step; 3] {
-    [row, Step::own("COMMIT"), Step::own("SELECT * FROM chervilwharf_position()")]
+    [row, Step::internal("COMMIT"), Step::internal("SELECT * FROM chervilwharf_position()")]
 }
 
 /// Reads the row of a request from the ledger of the current primary.
@@ -446,7 +459,7 @@
 ///
 /// When the primary cannot be reached or refuses. It is then still open whether
 /// the request ran.
-pub async fn settle_row(
+pub async fn look_up_or_cancel(
     context: &Shared,
     request: &Request,
     serving: &Serving,
@@ -457,7 +470,7 @@
     let (database, deadline) = (&request.database, request.deadline);
     let mut guard = owner::connect(context, database, serving, &serving.primary, deadline).await?;
     let tombstone = insert_step(request, serving, LedgerOutcome::Cancelled, &[], None);
-    let mut steps = vec![Step::own("BEGIN")];
+    let mut steps = vec![Step::internal("BEGIN")];
     steps.extend(commit_batch(tombstone));
     let run = guard.get().run(&steps);
     let written = context.databases.within_term(database, serving.term, deadline, run).await;
@@ -489,13 +502,13 @@
 /// # Errors
 ///
 /// When the deadline passes or the term ends before that.
-pub async fn finish(
+pub async fn confirm_write(
     context: &Shared,
     request: &Request,
     serving: &Serving,
     position: Position,
 ) -> Result<(), NotConfirmed> {
-    owner::wait_answerable(context, request, serving, position, true).await?;
+    owner::wait_until_answerable(context, request, serving, position, true).await?;
     context.databases.with_database(&request.database, |state| {
         state.floors.acknowledged(position);
         state.floors.raise(&request.account, position);
@@ -508,7 +521,7 @@
         // Text format (0) for the outcome and the numbers, binary format (1)
         // for the digest and the answer.
         result_formats: vec![0, 1, 1, 0, 0],
-        ..Step::own(ledger::SELECT_SQL)
+        ..Step::internal(ledger::SELECT_SQL)
             .with_text(account.to_owned())
             .with_text(request_id.to_owned())
             .with_types(&[TEXT_OID, TEXT_OID])
@@ -529,7 +542,7 @@
         .map(Message::encode_to_vec)
         .filter(|bytes| bytes.len() <= ledger::KEPT_ANSWER_LIMIT_BYTES);
     let at_ms = since_epoch().as_millis();
-    Step::own(ledger::INSERT_SQL)
+    Step::internal(ledger::INSERT_SQL)
         .with_text(request.account.to_string())
         .with_text(request.submit.request_id.clone())
         .with_text(outcome.as_str())
@@ -570,8 +583,8 @@
 ) -> Result<(), Failure> {
     let oldest_ms = since_epoch().saturating_sub(ledger::RETENTION).as_millis();
     let step =
-        Step::own(ledger::EXPIRE_SQL).with_text(oldest_ms.to_string()).with_types(&[INT8_OID]);
-    run_own(context, database, serving, deadline, step).await
+        Step::internal(ledger::EXPIRE_SQL).with_text(oldest_ms.to_string()).with_types(&[INT8_OID]);
+    run_at_primary(context, database, serving, deadline, step).await
 }
 
 /// Creates the ledger if the database has none.
@@ -585,11 +598,11 @@
     serving: &Serving,
     deadline: Instant,
 ) -> Result<(), Failure> {
-    run_own(context, database, serving, deadline, Step::own(ledger::CREATE_SQL)).await
+    run_at_primary(context, database, serving, deadline, Step::internal(ledger::CREATE_SQL)).await
 }
 
 /// Runs a statement of the proxy itself at the primary.
-async fn run_own(
+async fn run_at_primary(
     context: &Shared,
     database: &DatabaseId,
     serving: &Serving,
