--- a/daemon/src/checkout.rs
+++ b/daemon/src/checkout.rs
@@ -57,10 +57,10 @@
     server: &TargetId,
     granted: Vec<Ticket>,
 ) {
-    let Some(known) = databases.server(server) else {
+    let Some(configured) = databases.server(server) else {
         return;
     };
-    let mut abandoned = known.connections.grant(granted);
+    let mut abandoned = configured.connections.grant(granted);
     while !abandoned.is_empty() {
         let next = databases.with_database(database, |state| {
             let slots = state.slots.get_mut(server)?;
@@ -68,7 +68,7 @@
             let freed = abandoned.iter().flat_map(|_| slots.release(now, Duration::ZERO));
             Some(freed.collect::<Vec<_>>())
         });
-        abandoned = known.connections.grant(next.flatten().unwrap_or_default());
+        abandoned = configured.connections.grant(next.flatten().unwrap_or_default());
     }
 }
 
@@ -86,8 +86,8 @@
         state.slots.iter_mut().map(expire).collect::<Vec<_>>()
     });
     for (server, expired, granted) in servers.unwrap_or_default() {
-        if let Some(known) = databases.server(&server) {
-            known.connections.refuse(expired);
+        if let Some(configured) = databases.server(&server) {
+            configured.connections.refuse(expired);
         }
         wake(databases, database, &server, granted);
     }
@@ -98,8 +98,9 @@
 /// # Errors
 ///
 /// When the queue refuses the request: at once if it cannot start before its
-/// deadline, or later if a more important request displaces it. Also when the
-/// configuration no longer has the server.
+/// deadline or the queue is full, or later if its deadline can no longer be met or
+/// a more important request displaces it. Also when the configuration no longer
+/// has the server.
 pub async fn acquire_slot(
     databases: &Arc<Databases>,
     database: &DatabaseId,
@@ -107,7 +108,7 @@
     priority: Priority,
     deadline: Instant,
 ) -> Result<SlotGuard, Failure> {
-    let known = databases.server(server).ok_or_else(|| failure(ErrorKind::NoPrimary))?;
+    let configured = databases.server(server).ok_or_else(|| failure(ErrorKind::NoPrimary))?;
     let (sender, receiver) = oneshot::channel();
     let (admission, displaced) = databases
         .with_database(database, |state| {
@@ -116,13 +117,18 @@
             if let Admission::Queued(ticket) = admission {
                 // Done under the lock of the database, so that the ticket cannot
                 // be granted before the waiter is registered.
-                known.connections.waiting.lock().expect("never poisoned").insert(ticket, sender);
+                configured
+                    .connections
+                    .waiting
+                    .lock()
+                    .expect("never poisoned")
+                    .insert(ticket, sender);
             }
             Some((admission, slots.displaced()))
         })
         .flatten()
         .ok_or_else(|| failure(ErrorKind::UnknownDatabase))?;
-    known.connections.refuse(displaced);
+    configured.connections.refuse(displaced);
     let guard = |since| SlotGuard {
         databases: databases.clone(),
         database: database.clone(),
@@ -188,8 +194,8 @@
             release(self.databases, self.database, self.server, Duration::ZERO);
             return;
         }
-        if let Some(known) = self.databases.server(self.server) {
-            known.connections.waiting.lock().expect("never poisoned").remove(&self.ticket);
+        if let Some(configured) = self.databases.server(self.server) {
+            configured.connections.waiting.lock().expect("never poisoned").remove(&self.ticket);
         }
         self.databases.with_database(self.database, |state| {
             state.slots.get_mut(self.server).is_some_and(|slots| slots.abandon(self.ticket))
@@ -238,18 +244,18 @@
 impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         let connection = self.connection.take().filter(ServerConnection::is_reusable);
-        let known = self.databases.server(&self.server);
+        let configured = self.databases.server(&self.server);
         let id = self.id;
         self.databases.with_database(&self.database, |state| {
             let Some(pool) = state.pools.get_mut(&self.server) else {
                 return;
             };
-            match (connection, known) {
+            match (connection, configured) {
                 // A connection with an incomplete answer is closed: the rest of
                 // the answer must not reach the next request.
                 (None, _) | (_, None) => pool.closed(),
-                (Some(connection), Some(known)) => {
-                    let mut idle = known.connections.idle.lock().expect("never poisoned");
+                (Some(connection), Some(configured)) => {
+                    let mut idle = configured.connections.idle.lock().expect("never poisoned");
                     idle.insert(id, connection);
                     pool.give_back(id, Instant::now());
                 }
@@ -305,7 +311,7 @@
     server: &TargetId,
     deadline: Instant,
 ) -> Result<ConnectionGuard, Failure> {
-    let known = databases.server(server).ok_or_else(|| failure(ErrorKind::NoPrimary))?;
+    let configured = databases.server(server).ok_or_else(|| failure(ErrorKind::NoPrimary))?;
     loop {
         let decision = databases
             .with_database(database, |state| {
@@ -313,7 +319,7 @@
                 let decision = pool.checkout(Instant::now());
                 let connection = match decision {
                     Checkout::Reuse(id) => {
-                        known.connections.idle.lock().expect("never poisoned").remove(&id)
+                        configured.connections.idle.lock().expect("never poisoned").remove(&id)
                     }
                     _ => None,
                 };
@@ -344,7 +350,7 @@
             }
             (Checkout::Open, _) => {
                 let opening = Opening { databases, database, server, completed: false };
-                let opened = ServerConnection::open(&known.address, OPEN_TIMEOUT).await;
+                let opened = ServerConnection::open(&configured.address, OPEN_TIMEOUT).await;
                 let connection = opened.map_err(|_| failure(ErrorKind::NoPrimary))?;
                 return Ok(guard(opening.complete(), connection));
             }
@@ -352,7 +358,7 @@
     }
 }
 
-/// Opens one connection in advance if the pool has fewer than `warm`.
+/// Opens one connection in advance if the pool has fewer than `warm` idle ones.
 pub async fn warm_up(
     databases: Arc<Databases>,
     database: DatabaseId,
@@ -366,12 +372,12 @@
     if wanted.flatten() != Some(true) {
         return;
     }
-    let Some(known) = databases.server(&server) else {
+    let Some(configured) = databases.server(&server) else {
         return;
     };
     let opening =
         Opening { databases: &databases, database: &database, server: &server, completed: false };
-    let Ok(connection) = ServerConnection::open(&known.address, OPEN_TIMEOUT).await else {
+    let Ok(connection) = ServerConnection::open(&configured.address, OPEN_TIMEOUT).await else {
         return;
     };
     let id = opening.complete();
@@ -391,7 +397,7 @@
     server: &TargetId,
     warm: usize,
 ) {
-    let Some(known) = databases.server(server) else {
+    let Some(configured) = databases.server(server) else {
         return;
     };
     databases.with_database(database, |state| {
@@ -399,7 +405,7 @@
             return;
         };
         for id in pool.expire(Instant::now(), warm) {
-            known.connections.idle.lock().expect("never poisoned").remove(&id);
+            configured.connections.idle.lock().expect("never poisoned").remove(&id);
             pool.closed();
         }
     });
@@ -407,7 +413,7 @@
 
 /// Closes all idle connections to a server, because it may have failed.
 pub fn close_idle(databases: &Arc<Databases>, database: &DatabaseId, server: &TargetId) {
-    let Some(known) = databases.server(server) else {
+    let Some(configured) = databases.server(server) else {
         return;
     };
     databases.with_database(database, |state| {
@@ -415,7 +421,7 @@
             return;
         };
         for id in pool.drain_idle() {
-            known.connections.idle.lock().expect("never poisoned").remove(&id);
+            configured.connections.idle.lock().expect("never poisoned").remove(&id);
             pool.closed();
         }
     });
--- a/daemon/src/control.rs
+++ b/daemon/src/control.rs
@@ -246,40 +246,42 @@
 }
 
 async fn fence(context: Shared, database: DatabaseId, server: TargetId, term: Term) {
-    let Some(known) = context.databases.server(&server) else {
+    let Some(configured) = context.databases.server(&server) else {
         return;
     };
-    let result = known.control.fence(term, context.databases.instance.holder()).await;
+    let result = configured.control.fence(term, context.databases.instance.holder()).await;
     let event = OwnershipEvent::Fenced { server, term, result };
     context.databases.handle_ownership(&database, event);
 }
 
 async fn promote(context: Shared, database: DatabaseId, server: TargetId, term: Term) {
-    let Some(known) = context.databases.server(&server) else {
+    let Some(configured) = context.databases.server(&server) else {
         return;
     };
-    let result = known.control.promote(term, context.databases.instance.holder()).await;
+    let result = configured.control.promote(term, context.databases.instance.holder()).await;
     let event = OwnershipEvent::Promoted { server, term, result };
     context.databases.handle_ownership(&database, event);
 }
 
 async fn follow(context: Shared, server: TargetId, term: Term, primary: TargetId) {
-    let (Some(known), Some(upstream)) =
+    let (Some(configured), Some(upstream)) =
         (context.databases.server(&server), context.databases.server(&primary))
     else {
         return;
     };
     let address = upstream.replication_address.clone();
     // After the next probe the ownership state machine repeats a failed call.
-    let _ =
-        known.control.follow(term, context.databases.instance.holder(), &primary, &address).await;
+    let _ = configured
+        .control
+        .follow(term, context.databases.instance.holder(), &primary, &address)
+        .await;
 }
 
 async fn probe(context: Shared, database: DatabaseId, server: TargetId, sequence: u64) {
-    let Some(known) = context.databases.server(&server) else {
+    let Some(configured) = context.databases.server(&server) else {
         return;
     };
-    let state = known.control.state().await.ok();
+    let state = configured.control.state().await.ok();
     let event = OwnershipEvent::Probed { server, sequence, state };
     context.databases.handle_ownership(&database, event);
 }
@@ -292,9 +294,9 @@
     });
     let mut openings = tokio::task::JoinSet::new();
     for server in servers.unwrap_or_default() {
-        if let Some(known) = context.databases.server(&server) {
-            let other = known.clone();
-            openings.spawn(async move { known.control.state().await.is_ok() });
+        if let Some(configured) = context.databases.server(&server) {
+            let other = configured.clone();
+            openings.spawn(async move { configured.control.state().await.is_ok() });
             openings.spawn(async move { other.confirm.state().await.is_ok() });
         }
         for number in 0..WARM_PRIMARY_CONNECTIONS {
--- a/daemon/src/in_flight.rs
+++ b/daemon/src/in_flight.rs
@@ -29,9 +29,9 @@
 
 /// Writes in progress at this owner.
 ///
-/// An entry instance resends a request when it loses the connection to the owner
-/// before the answer. The second copy must wait for the first: the ledger has no
-/// row of the first copy before that commits, so both would run.
+/// An entry instance resends a request whose answer did not arrive. The second
+/// copy must wait for the first: the ledger has no row of the first copy before
+/// that commits, so both would run.
 #[derive(Default)]
 pub struct InFlight {
     running: Mutex<HashMap<InFlightKey, Running>>,
@@ -93,8 +93,9 @@
     ///
     /// # Errors
     ///
-    /// The failure for the client: that of `work`, or a refusal of a request id
-    /// that has expired or is in use for another statement.
+    /// The failure for the client: that of `work`, the refusal of a request id that
+    /// has expired or is in use for another statement, or, if the earlier copy has
+    /// not ended before `deadline`, [`ErrorKind::InFlight`].
     pub async fn run_once(
         self: &Arc<Self>,
         key: InFlightKey,
--- a/daemon/src/lib.rs
+++ b/daemon/src/lib.rs
@@ -1,6 +1,6 @@
-//! The proxy process. Performs the network input and output, the timing and
-//! the scheduling for the state machines of `chervilwharf-lib`, which decide
-//! without input or output of their own.
+//! The daemon: one running proxy instance. It performs the network input and
+//! output, the timing and the scheduling for the state machines of
+//! `chervilwharf-lib`, which make the decisions and perform no input or output.
 
 pub mod admin;
 pub mod answer;
--- a/daemon/src/postgres.rs
+++ b/daemon/src/postgres.rs
@@ -49,8 +49,8 @@
     pub parameter_formats: Vec<i16>,
     /// Formats requested for the columns, by the rules of the Bind message.
     pub result_formats: Vec<i16>,
-    /// Whether to leave out the description of the columns, because the sender
-    /// already has it. It is most of the answer to a small statement.
+    /// Whether to leave out the description of the columns, because they are known.
+    /// The description is most of the answer to a small statement.
     pub skip_columns: bool,
 }
 
--- a/daemon/src/write.rs
+++ b/daemon/src/write.rs
@@ -140,7 +140,7 @@
     SentEarlier,
 }
 
-/// State of a write over its attempts, of which its deadline allows many.
+/// State of a write that is kept from one attempt to the next.
 struct Progress {
     digest: Vec<u8>,
     possible_commit: PossibleCommit,
