--- a/daemon/src/checkout.rs
+++ b/daemon/src/checkout.rs
@@ -162,7 +162,7 @@
 ) -> SlotGuard {
     databases.with_database(database, |state| {
         if let Some(slots) = state.slots.get_mut(server) {
-            slots.overdraw();
+            slots.acquire_unconditionally();
         }
     });
     SlotGuard {
--- a/daemon/src/engine/fleet_control.rs
+++ b/daemon/src/engine/fleet_control.rs
@@ -24,7 +24,7 @@
 use crate::engine::instance_control;
 use crate::engine::peer_records::pull_directory;
 use crate::engine::peer_records::tell_records;
-use crate::engine::right_control;
+use crate::engine::primary_lease_control;
 use crate::engine::shard::Shard;
 use crate::engine::shared::Engine;
 
@@ -50,7 +50,7 @@
         if at > last_round + STOOD_STILL {
             let still = at.saturating_sub(last_round);
             event_log::emit(&Event::new(EventKind::StoodStill).with_ms("for_ms", still));
-            engine.with_fleet(|fleet| fleet.stood_still(at));
+            engine.with_fleet(|fleet| fleet.process_paused(at));
             engine.contacts().forget();
         }
         last_round = at;
@@ -58,7 +58,10 @@
             let engine = engine.clone();
             tokio::spawn(async move { heartbeat(&engine, &target).await });
         }
-        tokio::spawn(right_control::renew_by_store(engine.clone(), directory.clone()));
+        tokio::spawn(primary_lease_control::renew_leases_from_store(
+            engine.clone(),
+            directory.clone(),
+        ));
         engine.share_connections();
         engine.close_unused_links();
         instance_control::remove_lost(&engine, &directory, at);
@@ -208,7 +211,7 @@
             };
             let position = Position::new(sample.term, sample.index);
             let shard = self.shard(&sample.group.as_str().into());
-            shard.with_group(|group| group.hear_of_position(sampled_at, position));
+            shard.with_group(|group| group.observe_reported_position(sampled_at, position));
         }
     }
 
--- a/daemon/src/engine/shared.rs
+++ b/daemon/src/engine/shared.rs
@@ -12,11 +12,10 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use chervilwharf_lib::arrivals::Arrivals;
 use chervilwharf_lib::catalog::Catalog;
 use chervilwharf_lib::catalog::Route;
+use chervilwharf_lib::connection_budget::account_connection_budget;
 use chervilwharf_lib::connection_budget::budget;
-use chervilwharf_lib::connection_budget::kept_for_accounts;
 use chervilwharf_lib::engine_protos::DirectoryTaken;
 use chervilwharf_lib::engine_protos::PrimaryNewsTaken;
 use chervilwharf_lib::engine_protos::Tunnel;
@@ -26,30 +25,31 @@
 use chervilwharf_lib::group::ServerInfo;
 use chervilwharf_lib::id::GroupId;
 use chervilwharf_lib::moment::Moment;
-use chervilwharf_lib::primary_right::PrimaryRight;
+use chervilwharf_lib::primary_lease::PrimaryLease;
 use chervilwharf_lib::quota::QuotaTolerance;
+use chervilwharf_lib::received_statements::ReceivedStatements;
 use chervilwharf_lib::server_list::ServerList;
-use chervilwharf_lib::silence::SilenceLimits;
+use chervilwharf_lib::silence::StoreTimeouts;
 use chervilwharf_lib::stop_plan::StopPlan;
 use tokio::sync::Notify;
 use tokio::sync::watch;
 
 use crate::engine::border::Connector;
-use crate::engine::caller::NewerConfiguration;
+use crate::engine::caller::LastConfigurationPull;
 use crate::engine::clock::now;
 use crate::engine::contacts::Contacts;
 use crate::engine::directory::Revision;
-use crate::engine::duty_control::DutyBook;
-use crate::engine::guest::GuestSession;
+use crate::engine::duty_control::DutyTable;
+use crate::engine::forwarded_session::ForwardedSession;
 use crate::engine::holders::Holders;
 use crate::engine::leader_control::LeaderWatches;
 use crate::engine::metrics::EngineMetrics;
 use crate::engine::peers::Guest;
 use crate::engine::peers::PeerHandler;
 use crate::engine::peers::Peers;
+use crate::engine::primary_lease_control::VoterLists;
 use crate::engine::quota_control::QuotaControl;
 use crate::engine::remote::StatementLinks;
-use crate::engine::right_control::VoterLists;
 use crate::engine::shard::Shard;
 use crate::engine::store_era::StoreEra;
 
@@ -79,7 +79,7 @@
     started_at: Moment,
     fleet: Mutex<Fleet>,
     peers: Arc<Peers>,
-    duties: Mutex<DutyBook>,
+    duties: Mutex<DutyTable>,
     metrics: EngineMetrics,
     holders: Holders,
     contacts: Contacts,
@@ -98,7 +98,7 @@
     /// When it last told the configuration.
     store_answered_at: Mutex<Option<Moment>>,
     /// Whether this instance knows which orders there were when it started.
-    knows_orders: AtomicBool,
+    orders_known: AtomicBool,
     /// Woken when the record of this instance has to be written.
     wants_record: Notify,
     /// Revision of the record of an earlier life, if one was listed.
@@ -115,10 +115,10 @@
     sessions: watch::Sender<usize>,
     quota: QuotaControl,
     quota_tolerance: Option<QuotaTolerance>,
-    newer_configuration: NewerConfiguration,
+    last_configuration_pull: LastConfigurationPull,
     store_era: Arc<StoreEra>,
-    silence_limits: SilenceLimits,
-    arrivals: Mutex<Arrivals>,
+    silence_limits: StoreTimeouts,
+    received_statements: Mutex<ReceivedStatements>,
 }
 
 impl Engine {
@@ -151,35 +151,35 @@
             registered: AtomicBool::new(false),
             store_answered: Notify::new(),
             store_answered_at: Mutex::default(),
-            knows_orders: AtomicBool::new(false),
+            orders_known: AtomicBool::new(false),
             wants_record: Notify::new(),
             earlier_record: Mutex::default(),
             stopping: watch::Sender::new(None),
             sessions: watch::Sender::new(0),
             quota: QuotaControl::new(now()),
             quota_tolerance: None,
-            newer_configuration: NewerConfiguration::default(),
+            last_configuration_pull: LastConfigurationPull::default(),
             store_era: Arc::default(),
-            silence_limits: SilenceLimits::within(CONFIGURATION_BOUND),
-            arrivals: Mutex::new(Arrivals::new(now())),
+            silence_limits: StoreTimeouts::within(CONFIGURATION_BOUND),
+            received_statements: Mutex::new(ReceivedStatements::new(now())),
         }
     }
 
     /// With the time in which a configuration has to be in force, if there is one.
     #[must_use]
     pub fn with_configuration_bound(mut self, bound: Option<Duration>) -> Self {
-        self.silence_limits = SilenceLimits::within(bound.unwrap_or(CONFIGURATION_BOUND));
+        self.silence_limits = StoreTimeouts::within(bound.unwrap_or(CONFIGURATION_BOUND));
         self
     }
 
     /// Reads or updates which statements of other instances have arrived.
-    pub fn with_arrivals<R>(&self, f: impl FnOnce(&mut Arrivals) -> R) -> R {
-        f(&mut self.arrivals.lock().expect("never poisoned"))
+    pub fn with_arrivals<R>(&self, f: impl FnOnce(&mut ReceivedStatements) -> R) -> R {
+        f(&mut self.received_statements.lock().expect("never poisoned"))
     }
 
     /// How soon silence of the store is noticed.
     #[must_use]
-    pub fn silence_limits(&self) -> SilenceLimits {
+    pub fn silence_limits(&self) -> StoreTimeouts {
         self.silence_limits
     }
 
@@ -219,7 +219,7 @@
     }
 
     /// Reads or updates what is known of the duties.
-    pub fn with_duties<R>(&self, f: impl FnOnce(&mut DutyBook) -> R) -> R {
+    pub fn with_duties<R>(&self, f: impl FnOnce(&mut DutyTable) -> R) -> R {
         f(&mut self.duties.lock().expect("never poisoned"))
     }
 
@@ -285,7 +285,7 @@
 
     /// From now on this instance votes on groups that it gets to know.
     pub fn set_knows_orders(&self) {
-        self.knows_orders.store(true, Ordering::Relaxed);
+        self.orders_known.store(true, Ordering::Relaxed);
     }
 
     /// Reads or updates what is known of the instances.
@@ -351,7 +351,7 @@
             shard.set_budget(match catalog.accounts {
                 Some(_) => {
                     let earlier_lives = at < self.started_at + DEAD_FOR;
-                    kept_for_accounts(granted, if earlier_lives { 0.0 } else { own })
+                    account_connection_budget(granted, if earlier_lives { 0.0 } else { own })
                 }
                 None => granted,
             });
@@ -371,14 +371,14 @@
             let shard = Shard::new(group.clone(), home, connector, peers, self.doubt.clone());
             let shard = shard.with_renewal(self.renewal.clone());
             shard.with_group(|group| {
-                *group.right_mut() = PrimaryRight::unknown().with_start(self.started_at);
-                if self.knows_orders.load(Ordering::Relaxed) {
-                    group.right_mut().knows_orders();
+                *group.primary_lease_mut() = PrimaryLease::unknown().with_start(self.started_at);
+                if self.orders_known.load(Ordering::Relaxed) {
+                    group.primary_lease_mut().orders_known();
                 }
             });
             Arc::new(shard)
         });
-        self.forget_held();
+        self.invalidate_held();
         shard.clone()
     }
 
@@ -533,8 +533,8 @@
         }
     }
 
-    fn guest(self: Arc<Self>) -> Box<dyn Guest> {
-        Box::new(GuestSession::new(self))
+    fn forwarded_session(self: Arc<Self>) -> Box<dyn Guest> {
+        Box::new(ForwardedSession::new(self))
     }
 
     fn tunnel_target(&self, tunnel: &Tunnel) -> Option<SocketAddr> {
--- a/daemon/src/forward.rs
+++ b/daemon/src/forward.rs
@@ -63,7 +63,7 @@
 fn find_owner(context: &Shared, database: &str) -> Owner {
     let here = context
         .databases
-        .with_database(database, |state| state.ownership.is_engaged())
+        .with_database(database, |state| state.ownership.owns_or_is_taking())
         .unwrap_or(false);
     if here {
         return Owner::Here;
--- a/daemon/src/owner.rs
+++ b/daemon/src/owner.rs
@@ -160,7 +160,7 @@
 ) -> EnterDecision {
     let decision = context.databases.with_database(database, |state| {
         state.ownership.requested(Instant::now());
-        if !state.ownership.is_engaged() {
+        if !state.ownership.owns_or_is_taking() {
             return EnterDecision::NotOwner;
         }
         let gate_closed = match state.gate {
--- a/daemon/src/target.rs
+++ b/daemon/src/target.rs
@@ -126,8 +126,8 @@
 /// and its holder.
 #[must_use]
 pub fn held_term(message: &str) -> Option<(Term, &str)> {
-    let rest = message.strip_prefix("term ")?;
-    let (term, owner) = rest.split_once(" is held by ")?;
+    let idle = message.strip_prefix("term ")?;
+    let (term, owner) = idle.split_once(" is held by ")?;
     Some((term.parse().ok()?, owner))
 }
 
@@ -201,7 +201,7 @@
         follows: text_value(&values, 3).map(Into::into),
         received: Position::new(number(4)?, number(5)?),
         applied: Position::new(number(6)?, number(7)?),
-        primary_heard: number(8).map(Duration::from_millis),
+        since_primary_contact: number(8).map(Duration::from_millis),
     })
 }
 
