--- a/daemon/src/checkout.rs
+++ b/daemon/src/checkout.rs
@@ -1,4 +1,8 @@
-//! Slots and connections of the servers, as guards.
+//! Acquires execution slots and connections of database servers. Guards release
+//! them when they are dropped.
+//!
+//! A slot permits one statement at a server. The number of slots limits how many
+//! statements run there at the same time; requests queue for them by priority.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,12 +20,12 @@
 
 use crate::answer::failure;
 use crate::answer::failure_after;
-use crate::connection_store::Turn;
+use crate::connection_store::SlotDecision;
 use crate::databases::Databases;
 use crate::postgres::ServerConnection;
 use crate::postgres::Step;
 
-/// The right to run one statement at a server. Gives it back when dropped.
+/// Permission to run one statement at a server. The slot is released on drop.
 pub struct SlotGuard {
     databases: Arc<Databases>,
     database: DatabaseId,
@@ -45,30 +49,32 @@
     wake(databases, database, server, granted.flatten().unwrap_or_default());
 }
 
-/// Wakes those with a slot; the slot of one who has left goes to the next.
+/// Wakes the waiters whose tickets were granted. The slot of a waiter that has
+/// left the queue is granted to the next one.
 fn wake(
     databases: &Arc<Databases>,
     database: &DatabaseId,
     server: &TargetId,
     granted: Vec<Ticket>,
 ) {
-    let Some(known) = databases.server(server) else {
+    let Some(configured) = databases.server(server) else {
         return;
     };
-    let mut gone = known.connections.grant(granted);
-    while !gone.is_empty() {
+    let mut abandoned = configured.connections.grant(granted);
+    while !abandoned.is_empty() {
         let next = databases.with_database(database, |state| {
             let slots = state.slots.get_mut(server)?;
             let now = Instant::now();
-            let freed = gone.iter().flat_map(|_| slots.release(now, Duration::ZERO));
+            let freed = abandoned.iter().flat_map(|_| slots.release(now, Duration::ZERO));
             Some(freed.collect::<Vec<_>>())
         });
-        gone = known.connections.grant(next.flatten().unwrap_or_default());
+        abandoned = configured.connections.grant(next.flatten().unwrap_or_default());
     }
 }
 
-/// Refuses those who cannot make their deadline any more, and widens the
-/// slots of a new primary. Called by the control loop.
+/// Refuses waiters that can no longer start before their deadline, and raises the
+/// number of slots of a new primary step by step. The control loop calls this
+/// periodically.
 pub fn maintain(databases: &Arc<Databases>, database: &DatabaseId) {
     let now = Instant::now();
     let servers = databases.with_database(database, |state| {
@@ -80,8 +86,8 @@
         state.slots.iter_mut().map(expire).collect::<Vec<_>>()
     });
     for (server, expired, granted) in servers.unwrap_or_default() {
-        if let Some(known) = databases.server(&server) {
-            known.connections.refuse(expired);
+        if let Some(configured) = databases.server(&server) {
+            configured.connections.refuse(expired);
         }
         wake(databases, database, &server, granted);
     }
@@ -91,7 +97,10 @@
 ///
 /// # Errors
 ///
-/// Refused at once when the deadline cannot be made.
+/// When the queue refuses the request: at once if it cannot start before its
+/// deadline or the queue is full, or later if its deadline can no longer be met or
+/// a more important request displaces it. Also when the configuration no longer
+/// has the server.
 pub async fn acquire_slot(
     databases: &Arc<Databases>,
     database: &DatabaseId,
@@ -99,22 +108,27 @@
     priority: Priority,
     deadline: Instant,
 ) -> Result<SlotGuard, Failure> {
-    let known = databases.server(server).ok_or_else(|| failure(ErrorKind::NoPrimary))?;
+    let configured = databases.server(server).ok_or_else(|| failure(ErrorKind::NoPrimary))?;
     let (sender, receiver) = oneshot::channel();
     let (admission, displaced) = databases
         .with_database(database, |state| {
             let slots = state.slots.get_mut(server)?;
             let admission = slots.request(Instant::now(), priority, deadline);
             if let Admission::Queued(ticket) = admission {
-                // Under the lock of the shard, so that the turn cannot come
-                // before the waiter can be found.
-                known.connections.waiting.lock().expect("never poisoned").insert(ticket, sender);
+                // Done under the lock of the database, so that the ticket cannot
+                // be granted before the waiter is registered.
+                configured
+                    .connections
+                    .waiting
+                    .lock()
+                    .expect("never poisoned")
+                    .insert(ticket, sender);
             }
             Some((admission, slots.displaced()))
         })
         .flatten()
         .ok_or_else(|| failure(ErrorKind::UnknownDatabase))?;
-    known.connections.refuse(displaced);
+    configured.connections.refuse(displaced);
     let guard = |since| SlotGuard {
         databases: databases.clone(),
         database: database.clone(),
@@ -129,8 +143,8 @@
         Admission::Queued(ticket) => {
             let mut waiter = Waiter { databases, database, server, ticket, receiver };
             match (&mut waiter.receiver).await {
-                Ok(Turn::Granted) => Ok(guard(Instant::now())),
-                Ok(Turn::Refused(retry_after)) => {
+                Ok(SlotDecision::Granted) => Ok(guard(Instant::now())),
+                Ok(SlotDecision::Refused(retry_after)) => {
                     Err(failure_after(ErrorKind::Overloaded, retry_after))
                 }
                 Err(_) => Err(failure(ErrorKind::Overloaded)),
@@ -139,8 +153,9 @@
     }
 }
 
-/// Takes a slot for a statement of an open transaction, without waiting.
-pub fn overdraw_slot(
+/// Takes a slot for a statement of an open transaction without waiting, even if
+/// none is free.
+pub fn acquire_slot_unconditionally(
     databases: &Arc<Databases>,
     database: &DatabaseId,
     server: &TargetId,
@@ -158,28 +173,29 @@
     }
 }
 
-/// One who waits for a slot. Leaves the queue when its request is dropped;
-/// otherwise the slot would be granted to nobody and lost.
+/// A request that waits for a slot. It leaves the queue when it is dropped.
+/// Otherwise the slot would be granted to a request that no longer exists and
+/// never be released.
 struct Waiter<'a> {
     databases: &'a Arc<Databases>,
     database: &'a DatabaseId,
     server: &'a TargetId,
     ticket: Ticket,
-    receiver: oneshot::Receiver<Turn>,
+    receiver: oneshot::Receiver<SlotDecision>,
 }
 
 impl Drop for Waiter<'_> {
     fn drop(&mut self) {
-        // Closed first: a turn that is announced from now on fails and is
-        // passed on by its sender, one announced before is found here. The
+        // The channel is closed first. A grant sent after that fails, and its
+        // sender passes the slot on; a grant sent before is received here. The
         // slot is released exactly once in either case.
         self.receiver.close();
-        if matches!(self.receiver.try_recv(), Ok(Turn::Granted)) {
+        if matches!(self.receiver.try_recv(), Ok(SlotDecision::Granted)) {
             release(self.databases, self.database, self.server, Duration::ZERO);
             return;
         }
-        if let Some(known) = self.databases.server(self.server) {
-            known.connections.waiting.lock().expect("never poisoned").remove(&self.ticket);
+        if let Some(configured) = self.databases.server(self.server) {
+            configured.connections.waiting.lock().expect("never poisoned").remove(&self.ticket);
         }
         self.databases.with_database(self.database, |state| {
             state.slots.get_mut(self.server).is_some_and(|slots| slots.abandon(self.ticket))
@@ -187,10 +203,11 @@
     }
 }
 
-/// Longest wait for the answer to a rollback.
+/// Timeout of a rollback.
 const ROLLBACK_LIMIT: Duration = Duration::from_secs(1);
 
-/// A connection in use. Goes back to the pool when dropped, if it is whole.
+/// A connection in use. When dropped, it returns to the pool if it is reusable
+/// and is closed otherwise.
 pub struct ConnectionGuard {
     databases: Arc<Databases>,
     database: DatabaseId,
@@ -200,25 +217,25 @@
 }
 
 impl ConnectionGuard {
-    /// The connection.
+    /// Returns the connection.
     ///
     /// # Panics
     ///
-    /// Never: the connection is there until the guard is dropped.
+    /// Never: the guard holds the connection until it is dropped.
     pub fn get(&mut self) -> &mut ServerConnection {
         self.connection.as_mut().expect("a guard holds its connection until it is dropped")
     }
 
-    /// Ends a failed transaction in the background, so that the connection can
-    /// be used again.
+    /// Rolls back the open transaction in the background, so that the connection
+    /// can be reused.
     pub fn end_transaction(mut self) {
-        if !self.get().is_whole() {
+        if !self.get().is_answer_complete() {
             return;
         }
         tokio::spawn(async move {
-            let rollback = [Step::own("ROLLBACK")];
+            let rollback = [Step::internal("ROLLBACK")];
             let run = self.get().run(&rollback);
-            // A connection that does not answer in this time is closed instead.
+            // The guard closes a connection that does not answer in this time.
             let _ = tokio::time::timeout(ROLLBACK_LIMIT, run).await;
         });
     }
@@ -227,18 +244,18 @@
 impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         let connection = self.connection.take().filter(ServerConnection::is_reusable);
-        let known = self.databases.server(&self.server);
+        let configured = self.databases.server(&self.server);
         let id = self.id;
         self.databases.with_database(&self.database, |state| {
             let Some(pool) = state.pools.get_mut(&self.server) else {
                 return;
             };
-            match (connection, known) {
-                // A connection whose answer did not arrive whole is closed:
-                // what comes late on it must not reach the next request.
+            match (connection, configured) {
+                // A connection with an incomplete answer is closed: the rest of
+                // the answer must not reach the next request.
                 (None, _) | (_, None) => pool.closed(),
-                (Some(connection), Some(known)) => {
-                    let mut idle = known.connections.idle.lock().expect("never poisoned");
+                (Some(connection), Some(configured)) => {
+                    let mut idle = configured.connections.idle.lock().expect("never poisoned");
                     idle.insert(id, connection);
                     pool.give_back(id, Instant::now());
                 }
@@ -247,7 +264,8 @@
     }
 }
 
-/// An opening that was started; counts as failed unless it is completed.
+/// Guard of a connection that is being opened. The pool counts the opening as
+/// failed if the guard is dropped before [`Opening::complete`].
 struct Opening<'a> {
     databases: &'a Arc<Databases>,
     database: &'a DatabaseId,
@@ -278,21 +296,22 @@
     }
 }
 
-/// Longest wait for a new connection to a server.
+/// Timeout of opening a connection to a server.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Gets a connection to a server.
+/// Acquires a connection to a server from its pool.
 ///
 /// # Errors
 ///
-/// When none can be had before the deadline, or the server cannot be reached.
+/// When the pool has no free connection before the deadline, or the server cannot
+/// be reached.
 pub async fn checkout(
     databases: &Arc<Databases>,
     database: &DatabaseId,
     server: &TargetId,
     deadline: Instant,
 ) -> Result<ConnectionGuard, Failure> {
-    let known = databases.server(server).ok_or_else(|| failure(ErrorKind::NoPrimary))?;
+    let configured = databases.server(server).ok_or_else(|| failure(ErrorKind::NoPrimary))?;
     loop {
         let decision = databases
             .with_database(database, |state| {
@@ -300,12 +319,13 @@
                 let decision = pool.checkout(Instant::now());
                 let connection = match decision {
                     Checkout::Reuse(id) => {
-                        known.connections.idle.lock().expect("never poisoned").remove(&id)
+                        configured.connections.idle.lock().expect("never poisoned").remove(&id)
                     }
                     _ => None,
                 };
                 if matches!(decision, Checkout::Reuse(_)) && connection.is_none() {
-                    // The server's address changed and its store with it.
+                    // The address of the server changed, and its connections
+                    // were replaced by a new, empty store.
                     pool.closed();
                 }
                 Some((decision, connection))
@@ -330,7 +350,7 @@
             }
             (Checkout::Open, _) => {
                 let opening = Opening { databases, database, server, completed: false };
-                let opened = ServerConnection::open(&known.address, OPEN_TIMEOUT).await;
+                let opened = ServerConnection::open(&configured.address, OPEN_TIMEOUT).await;
                 let connection = opened.map_err(|_| failure(ErrorKind::NoPrimary))?;
                 return Ok(guard(opening.complete(), connection));
             }
@@ -338,7 +358,7 @@
     }
 }
 
-/// Opens a connection ahead of need, if one is missing.
+/// Opens one connection in advance if the pool has fewer than `warm` idle ones.
 pub async fn warm_up(
     databases: Arc<Databases>,
     database: DatabaseId,
@@ -352,12 +372,12 @@
     if wanted.flatten() != Some(true) {
         return;
     }
-    let Some(known) = databases.server(&server) else {
+    let Some(configured) = databases.server(&server) else {
         return;
     };
     let opening =
         Opening { databases: &databases, database: &database, server: &server, completed: false };
-    let Ok(connection) = ServerConnection::open(&known.address, OPEN_TIMEOUT).await else {
+    let Ok(connection) = ServerConnection::open(&configured.address, OPEN_TIMEOUT).await else {
         return;
     };
     let id = opening.complete();
@@ -370,14 +390,14 @@
     });
 }
 
-/// Closes connections that nobody has used for a while, but for a few.
+/// Closes connections that have been idle for long, except for `warm` of them.
 pub fn close_expired(
     databases: &Arc<Databases>,
     database: &DatabaseId,
     server: &TargetId,
     warm: usize,
 ) {
-    let Some(known) = databases.server(server) else {
+    let Some(configured) = databases.server(server) else {
         return;
     };
     databases.with_database(database, |state| {
@@ -385,15 +405,15 @@
             return;
         };
         for id in pool.expire(Instant::now(), warm) {
-            known.connections.idle.lock().expect("never poisoned").remove(&id);
+            configured.connections.idle.lock().expect("never poisoned").remove(&id);
             pool.closed();
         }
     });
 }
 
-/// Closes connections to a server that has failed or that nobody needs.
+/// Closes all idle connections to a server, because it may have failed.
 pub fn close_idle(databases: &Arc<Databases>, database: &DatabaseId, server: &TargetId) {
-    let Some(known) = databases.server(server) else {
+    let Some(configured) = databases.server(server) else {
         return;
     };
     databases.with_database(database, |state| {
@@ -401,7 +421,7 @@
             return;
         };
         for id in pool.drain_idle() {
-            known.connections.idle.lock().expect("never poisoned").remove(&id);
+            configured.connections.idle.lock().expect("never poisoned").remove(&id);
             pool.closed();
         }
     });
--- a/daemon/src/in_flight.rs
+++ b/daemon/src/in_flight.rs
@@ -1,4 +1,5 @@
-//! Writes in progress at this owner, so that copies of one run only once.
+//! Writes in progress at this owner. Copies of the same write are detected here
+//! and share one run.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -21,16 +22,16 @@
 use crate::answer::to_answer;
 use crate::metrics::since_epoch;
 
-/// Names a request: its account and its id.
+/// Key of a request: its client account and its request id.
 pub type InFlightKey = (AccountId, RequestId);
 
 type AnswerReceiver = watch::Receiver<Option<Answer>>;
 
 /// Writes in progress at this owner.
 ///
-/// An entry sends a request again when it lost sight of it. The second copy
-/// must wait for the first: until that has committed the ledger cannot know
-/// of it, and both would run.
+/// An entry instance resends a request whose answer did not arrive. The second
+/// copy must wait for the first: the ledger has no row of the first copy before
+/// that commits, so both would run.
 #[derive(Default)]
 pub struct InFlight {
     running: Mutex<HashMap<InFlightKey, Running>>,
@@ -41,7 +42,7 @@
     answer: AnswerReceiver,
 }
 
-/// A place in [`InFlight`], given up when dropped.
+/// An entry in [`InFlight`], removed when dropped.
 struct InFlightGuard {
     in_flight: Arc<InFlight>,
     key: InFlightKey,
@@ -54,11 +55,12 @@
     }
 }
 
-/// What to do with a request that has arrived.
-enum Started {
+/// Decision about a request that has arrived.
+enum StartDecision {
     Run(InFlightGuard),
     Join(AnswerReceiver),
-    /// The id belongs to another statement that is in progress.
+    /// Refuse it: a request with the same id and another statement is in
+    /// progress.
     Reused,
 }
 
@@ -69,26 +71,31 @@
         self.running.lock().expect("never poisoned").contains_key(key)
     }
 
-    fn start(self: &Arc<Self>, key: InFlightKey, digest: &[u8]) -> Started {
+    fn start(self: &Arc<Self>, key: InFlightKey, digest: &[u8]) -> StartDecision {
         let mut running = self.running.lock().expect("never poisoned");
         match running.get(&key) {
-            Some(other) if other.digest == digest => return Started::Join(other.answer.clone()),
-            Some(_) => return Started::Reused,
+            Some(other) if other.digest == digest => {
+                return StartDecision::Join(other.answer.clone());
+            }
+            Some(_) => return StartDecision::Reused,
             None => {}
         }
         let (sender, answer) = watch::channel(None);
         running.insert(key.clone(), Running { digest: digest.to_vec(), answer });
-        Started::Run(InFlightGuard { in_flight: self.clone(), key, sender })
+        StartDecision::Run(InFlightGuard { in_flight: self.clone(), key, sender })
     }
 
-    /// Runs `work` for a request, or joins the copy of it that is in progress.
+    /// Runs `work` for a request, or waits for the answer of the copy that is in
+    /// progress. `digest` is the digest of the request's statement.
     ///
-    /// The work gets a task of its own: the entry may go away in the middle, and
-    /// the write must still come to a known end.
+    /// The work runs in a task of its own: the entry instance may disconnect
+    /// during the write, which must still reach a known outcome.
     ///
     /// # Errors
     ///
-    /// The failure for the caller.
+    /// The failure for the client: that of `work`, the refusal of a request id that
+    /// has expired or is in use for another statement, or, if the earlier copy has
+    /// not ended before `deadline`, [`ErrorKind::InFlight`].
     pub async fn run_once(
         self: &Arc<Self>,
         key: InFlightKey,
@@ -100,9 +107,9 @@
             return Err(failure(ErrorKind::RequestIdExpired));
         }
         let guard = match self.start(key, digest) {
-            Started::Run(guard) => guard,
-            Started::Join(other) => return from_answer(join(other, deadline).await),
-            Started::Reused => return Err(failure(ErrorKind::RequestIdReused)),
+            StartDecision::Run(guard) => guard,
+            StartDecision::Join(other) => return from_answer(join(other, deadline).await),
+            StartDecision::Reused => return Err(failure(ErrorKind::RequestIdReused)),
         };
         let task = tokio::spawn(async move {
             let answer = to_answer(work.await);
--- a/daemon/src/lib.rs
+++ b/daemon/src/lib.rs
@@ -1,5 +1,6 @@
-//! The daemon: drives the decisions of `chervilwharf-lib` with sockets,
-//! tasks and the clock.
+//! The daemon: one running proxy instance. It performs the network input and
+//! output, the timing and the scheduling for the state machines of
+//! `chervilwharf-lib`, which make the decisions and perform no input or output.
 
 pub mod admin;
 pub mod answer;
--- a/daemon/src/read.rs
+++ b/daemon/src/read.rs
@@ -1,4 +1,8 @@
-//! Reads: routed by how current they must be, and checked at the server.
+//! Reads outside interactive transactions, at the owner of the database.
+//!
+//! A read goes to a server that has probably applied its floor, the lowest log
+//! position that the read must see. The server checks this, and the read is
+//! retried at another server if the floor is not applied.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -28,25 +32,25 @@
 use crate::target::read_position;
 use crate::write;
 
-/// Tries of one read before the caller is told to come back.
+/// Number of attempts of one read before the client is told to retry.
 const MAX_TRIES: usize = 6;
 
-/// A first try without an answer for this long is given up for another
-/// server or connection: this one may have gone silent.
+/// The first attempt of a read is abandoned after this time without an answer and
+/// retried at another server: the server or the connection may be dead.
 const STALL_LIMIT: Duration = Duration::from_millis(400);
 
-/// Index of the caller's statement in the batch of a read.
+/// Index of the client's statement in the batch of a read.
 const STATEMENT_STEP: usize = 2;
 
-/// Index of the position after the statement.
+/// Index of the step that reads the log position after the statement.
 const POSITION_STEP: usize = 3;
 
-/// What one try of a read gave.
-enum Tried {
+/// Result of one attempt of a read.
+enum AttemptResult {
     Done(StatementResult, Position),
-    /// Try elsewhere: this server cannot answer it now.
-    Elsewhere,
-    /// The statement writes after all.
+    /// This server cannot answer the read now; another one may.
+    RetryElsewhere,
+    /// The server found that the statement writes.
     Writes,
     Failed(Failure),
 }
@@ -55,17 +59,18 @@
 ///
 /// # Errors
 ///
-/// The failure for the caller. A read has no effect, so it never ran.
+/// The failure for the client. A read has no effect, so a failed one counts as
+/// not run.
 pub async fn run(context: &Shared, request: &Request) -> Result<StatementResult, Failure> {
     let mut excluded: Vec<TargetId> = Vec::new();
     for tries in 0..MAX_TRIES {
         let (serving, work) =
             owner::enter(context, &request.database, request.deadline, false, false).await?;
-        let (server, floor) = choose(context, request, &serving, &excluded);
+        let (server, floor) = choose_server(context, request, &serving, &excluded);
         let by_replica = server != serving.primary;
-        match try_at(context, request, &serving, &server, floor, tries == 0).await {
-            Tried::Done(result, position) => {
-                let answered = finish(context, request, &serving, position, by_replica).await;
+        match try_at_server(context, request, &serving, &server, floor, tries == 0).await {
+            AttemptResult::Done(result, position) => {
+                let answered = confirm_read(context, request, &serving, position, by_replica).await;
                 match answered {
                     Ok(()) => {
                         return Ok(StatementResult {
@@ -79,18 +84,19 @@
                     Err(NotConfirmed::TermOver) => {}
                 }
             }
-            Tried::Elsewhere => excluded.push(server),
-            Tried::Writes => {
+            AttemptResult::RetryElsewhere => excluded.push(server),
+            AttemptResult::Writes => {
                 drop(work);
                 return write::run(context, request).await;
             }
-            Tried::Failed(failure) => return Err(failure),
+            AttemptResult::Failed(failure) => return Err(failure),
         }
         if Instant::now() >= request.deadline {
             return Err(failure(ErrorKind::DeadlineBeforeStart));
         }
         context.metrics.retries.inc();
-        // The primary may just be changing; the next round waits for it.
+        // The primary may be in replacement. The next attempt waits for a new
+        // one.
         if excluded.contains(&serving.primary) {
             excluded.clear();
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -99,8 +105,9 @@
     Err(failure(ErrorKind::NoPrimary))
 }
 
-/// Picks a server and the position it must have applied.
-fn choose(
+/// Chooses a server for a read, and returns it with the position that it must
+/// have applied; `None` for the primary, which needs no check.
+fn choose_server(
     context: &Shared,
     request: &Request,
     serving: &Serving,
@@ -136,37 +143,40 @@
     }
 }
 
-/// The batch of a read: a read-only transaction, the floor checked at the
-/// server, the statement, and how far the server was afterwards.
-fn batch(request: &Request, floor: Option<Position>) -> Vec<Step> {
+/// Builds the batch of a read: a read-only transaction that checks the floor at
+/// the server, runs the statement, and reads the server's log position after it.
+fn read_batch(request: &Request, floor: Option<Position>) -> Vec<Step> {
     let floor = floor.unwrap_or(Position::ZERO);
     let require =
         format!("SELECT * FROM chervilwharf_require_position({}, {})", floor.term, floor.index);
     vec![
-        Step::own("BEGIN READ ONLY"),
-        Step::own(require),
+        Step::internal("BEGIN READ ONLY"),
+        Step::internal(require),
         write::statement_step(&request.submit),
-        Step::own("SELECT * FROM chervilwharf_position()"),
-        Step::own("COMMIT"),
+        Step::internal("SELECT * FROM chervilwharf_position()"),
+        Step::internal("COMMIT"),
     ]
 }
 
-async fn try_at(
+async fn try_at_server(
     context: &Shared,
     request: &Request,
     serving: &Serving,
     server: &TargetId,
     floor: Option<Position>,
     is_first: bool,
-) -> Tried {
+) -> AttemptResult {
     let (database, deadline) = (&request.database, request.deadline);
     let by_primary = *server == serving.primary;
-    let (_slot, mut guard) = match owner::reach(context, request, serving, server).await {
-        Ok(reached) => reached,
-        Err(failure) if kind_of(&failure) == ErrorKind::NoPrimary => return Tried::Elsewhere,
-        Err(failure) => return Tried::Failed(failure),
-    };
-    let steps = batch(request, floor);
+    let (_slot, mut guard) =
+        match owner::acquire_slot_and_connection(context, request, serving, server).await {
+            Ok(acquired) => acquired,
+            Err(failure) if kind_of(&failure) == ErrorKind::NoPrimary => {
+                return AttemptResult::RetryElsewhere;
+            }
+            Err(failure) => return AttemptResult::Failed(failure),
+        };
+    let steps = read_batch(request, floor);
     let stall = Instant::now() + STALL_LIMIT;
     let limit = if is_first { deadline.min(stall) } else { deadline };
     let sent_at = Instant::now();
@@ -179,48 +189,51 @@
             context.databases.with_database(database, |state| {
                 state.ownership.answered(server, serving.term, sent_at, position);
             });
-            return Tried::Done(results.swap_remove(STATEMENT_STEP), position);
+            return AttemptResult::Done(results.swap_remove(STATEMENT_STEP), position);
         }
         Ok(Err(error)) => error,
-        Err(Interruption::TermOver) => return Tried::Elsewhere,
-        Err(Interruption::Late) if limit < deadline => return Tried::Elsewhere,
+        Err(Interruption::TermOver) => return AttemptResult::RetryElsewhere,
+        Err(Interruption::Late) if limit < deadline => return AttemptResult::RetryElsewhere,
         Err(Interruption::Late) => {
-            return Tried::Failed(failure(ErrorKind::DeadlineBeforeStart));
+            return AttemptResult::Failed(failure(ErrorKind::DeadlineBeforeStart));
         }
     };
     guard.end_transaction();
     match &error {
         BatchError::Refused { sqlstate, .. } if sqlstate == NOT_APPLIED => {
             context.metrics.floors_missed.inc();
-            Tried::Elsewhere
+            AttemptResult::RetryElsewhere
         }
-        BatchError::Refused { sqlstate, .. } if sqlstate == READ_ONLY => Tried::Writes,
+        BatchError::Refused { sqlstate, .. } if sqlstate == READ_ONLY => AttemptResult::Writes,
         BatchError::Refused { sqlstate, .. } if sqlstate == WRONG_TERM && !by_primary => {
-            // A replica that just came back, or one fenced a moment before
-            // us; the primary's term decides whether we still own it.
-            Tried::Elsewhere
+            // The replica has just come back, or another instance has just
+            // fenced it. Whether this instance still owns the database depends
+            // on the term of the primary.
+            AttemptResult::RetryElsewhere
         }
-        BatchError::Broken(_) => Tried::Elsewhere,
-        _ => Tried::Failed(owner::batch_failure(context, database, serving, &error)),
+        BatchError::Broken(_) => AttemptResult::RetryElsewhere,
+        _ => AttemptResult::Failed(owner::batch_failure(context, database, serving, &error)),
     }
 }
 
-/// Checks after the server's reply that we still own the database, so that a
-/// pause of this process cannot let a stale answer slip through.
-async fn finish(
+/// Checks after the server's answer that this instance still owns the database.
+/// Without this check a process that was paused could return a stale answer.
+async fn confirm_read(
     context: &Shared,
     request: &Request,
     serving: &Serving,
     position: Position,
     by_replica: bool,
 ) -> Result<(), NotConfirmed> {
-    // The primary may have shown a write that no replica has yet. Were it
-    // lost, the caller would have seen what never happened.
-    owner::wait_answerable(context, request, serving, position, !by_replica).await?;
+    // The primary may have returned a write that no replica has received yet. If
+    // the primary fails and that write is lost, the client has read data that
+    // no longer exists.
+    owner::wait_until_answerable(context, request, serving, position, !by_replica).await?;
     if by_replica {
-        // Replicas differ; the account must not go back from one to the
-        // other. After a read at the primary the same rule would keep it
-        // there for as long as it reads more often than replicas lag.
+        // Replicas lag by different amounts, and an account must not read older
+        // data after newer. The floor is not raised after a read at the primary:
+        // an account that reads more often than the replication lag would then
+        // read from the primary only.
         context.databases.with_database(&request.database, |state| {
             state.floors.raise(&request.account, position);
         });
--- a/daemon/src/transaction.rs
+++ b/daemon/src/transaction.rs
@@ -1,5 +1,5 @@
-//! Statements and the end of interactive transactions, each on one connection
-//! to the primary.
+//! Interactive transactions at the owner: runs their statements and commits
+//! them. Each transaction occupies one connection to the primary until it ends.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -26,11 +26,12 @@
 use crate::write;
 
 tokio::task_local! {
-    /// Link over which the present request came.
+    /// Link, a connection from another instance, over which the current request
+    /// came.
     pub static LINK: u64;
 }
 
-fn present_link() -> u64 {
+fn current_link() -> u64 {
     LINK.try_with(|link| *link).unwrap_or(0)
 }
 
@@ -38,20 +39,23 @@
 ///
 /// # Errors
 ///
-/// The failure for the caller. The whole transaction did not run then.
+/// The failure for the client. A statement that the server refused leaves the
+/// transaction open, in the aborted state. After any other failure the whole
+/// transaction is rolled back.
 pub async fn run(context: &Shared, request: &Request) -> Result<StatementResult, Failure> {
     let id = &request.submit.transaction_id;
-    let (slot, is_new) = context.transactions.slot(id, present_link());
-    let mut held = slot.lock().await;
+    let (cell, is_new) = context.transactions.cell(id, current_link());
+    let mut held = cell.lock().await;
     if held.is_none() {
         if !is_new || request.submit.resend || request.submit.continues {
-            // It was rolled back here, or lived at an owner that is gone. A
-            // new transaction in its place would commit without what ran
-            // before, and tell the caller that all of it is there.
+            // The transaction was rolled back here, or it was held by an earlier
+            // owner. A new transaction in its place would commit without the
+            // earlier statements, and the client would take all of them as
+            // committed.
             context.transactions.roll_back(id);
             return Err(failure(ErrorKind::TransactionLost));
         }
-        match open(context, request).await {
+        match begin(context, request).await {
             Ok(transaction) => *held = Some(transaction),
             Err(failure) => {
                 context.transactions.roll_back(id);
@@ -59,7 +63,7 @@
             }
         }
     }
-    let result = run_in(context, request, held.as_mut()).await;
+    let result = run_statement(context, request, held.as_mut()).await;
     if result.as_ref().is_err_and(|failure| kind_of(failure) != ErrorKind::ServerRefused) {
         *held = None;
         context.transactions.roll_back(id);
@@ -67,14 +71,15 @@
     result
 }
 
-async fn open(context: &Shared, request: &Request) -> Result<OpenTransaction, Failure> {
+async fn begin(context: &Shared, request: &Request) -> Result<OpenTransaction, Failure> {
     let (database, deadline) = (&request.database, request.deadline);
     let (serving, work) = owner::enter(context, database, deadline, true, false).await?;
     let count = TransactionCount::new(&context.databases, database);
     let server = serving.primary.clone();
-    let (_slot, mut guard) = owner::reach(context, request, &serving, &server).await?;
-    let begin = [Step::own("BEGIN")];
-    let run = guard.get().run(&begin);
+    let (_slot, mut guard) =
+        owner::acquire_slot_and_connection(context, request, &serving, &server).await?;
+    let steps = [Step::internal("BEGIN")];
+    let run = guard.get().run(&steps);
     match context.databases.within_term(database, serving.term, deadline, run).await {
         Ok(Ok(_)) => {}
         Ok(Err(error)) => return Err(owner::batch_failure(context, database, &serving, &error)),
@@ -83,7 +88,7 @@
     Ok(OpenTransaction::new(guard, serving, work, count))
 }
 
-async fn run_in(
+async fn run_statement(
     context: &Shared,
     request: &Request,
     held: Option<&mut OpenTransaction>,
@@ -92,7 +97,8 @@
     let transaction = held.ok_or_else(lost)?;
     let serving = transaction.serving.clone();
     let (database, deadline) = (&request.database, request.deadline);
-    let _slot = checkout::overdraw_slot(&context.databases, database, &serving.primary);
+    let _slot =
+        checkout::acquire_slot_unconditionally(&context.databases, database, &serving.primary);
     let guard = transaction.guard.as_mut().ok_or_else(lost)?;
     let step = [write::statement_step(&request.submit)];
     let run = guard.get().run(&step);
@@ -109,16 +115,17 @@
     }
 }
 
-/// Commits an interactive transaction, with its ledger row.
+/// Commits an interactive transaction together with its ledger row.
 ///
 /// # Errors
 ///
-/// The failure for the caller; its kind says whether it may have run.
+/// The failure for the client. Its kind says whether the transaction may have
+/// committed.
 pub async fn commit(context: &Shared, request: &Request) -> Result<StatementResult, Failure> {
     let work = {
         let (context, request) = (context.clone(), request.clone());
         let committing = async move { commit_once(&context, &request).await };
-        Box::pin(LINK.scope(present_link(), committing))
+        Box::pin(LINK.scope(current_link(), committing))
     };
     let digest = &request.submit.digest;
     context.in_flight.run_once(request.key(), digest, request.deadline, work).await
@@ -126,13 +133,14 @@
 
 async fn commit_once(context: &Shared, request: &Request) -> Result<StatementResult, Failure> {
     let id = &request.submit.transaction_id;
-    let (slot, _) = context.transactions.slot(id, present_link());
-    let held = slot.lock().await.take();
+    let (cell, _) = context.transactions.cell(id, current_link());
+    let held = cell.lock().await.take();
     context.transactions.roll_back(id);
     let Some(mut transaction) = held else {
-        // The owner that held it is gone, or it was idle for too long. Its
-        // COMMIT may have got through before: only the ledger knows.
-        return settle(context, request).await;
+        // An earlier owner held the transaction, or it was idle for too long. An
+        // earlier copy of this COMMIT may have succeeded, which only the ledger
+        // shows.
+        return resolve_commit(context, request).await;
     };
     let serving = transaction.serving.clone();
     let mut done = StatementResult { command_tag: "COMMIT".into(), ..StatementResult::default() };
@@ -140,7 +148,7 @@
     let row = write::insert_step(request, &serving, ran, &request.submit.digest, Some(&done));
     let steps = write::commit_batch(row);
     let Some(guard) = transaction.guard.as_mut() else {
-        return settle(context, request).await;
+        return resolve_commit(context, request).await;
     };
     let run = guard.get().run(&steps);
     let limit = request.deadline;
@@ -150,7 +158,7 @@
         Ok(Err(BatchError::Refused { step, sqlstate, message, .. })) if step < 2 => {
             if step == 0 && sqlstate == UNIQUE_VIOLATION {
                 drop(transaction);
-                return settle(context, request).await;
+                return resolve_commit(context, request).await;
             }
             let error = BatchError::Refused { step, done: Vec::new(), sqlstate, message };
             let failure = owner::batch_failure(context, &request.database, &serving, &error);
@@ -161,19 +169,19 @@
         }
         _ => None,
     };
-    // The connection is free before the wait for the replica begins.
+    // Returns the connection to the pool before the wait for the replica.
     drop(transaction);
     let Some(position) = position else {
-        return settle(context, request).await;
+        return resolve_commit(context, request).await;
     };
-    match write::finish(context, request, &serving, position).await {
+    match write::confirm_write(context, request, &serving, position).await {
         Ok(()) => {
             done.position_term = position.term;
             done.position_index = position.index;
             Ok(done)
         }
         Err(NotConfirmed::Late) => Err(failure(ErrorKind::OutcomeUnknown)),
-        Err(NotConfirmed::TermOver) => settle(context, request).await,
+        Err(NotConfirmed::TermOver) => resolve_commit(context, request).await,
     }
 }
 
@@ -181,20 +189,20 @@
     failure_with(ErrorKind::TransactionLost, "the primary changed before COMMIT; nothing was kept")
 }
 
-/// Learns from the ledger what became of a transaction, and keeps it from
-/// running if it did not.
-async fn settle(context: &Shared, request: &Request) -> Result<StatementResult, Failure> {
+/// Determines from the ledger whether a transaction committed. If it did not,
+/// writes a tombstone that keeps it from committing later.
+async fn resolve_commit(context: &Shared, request: &Request) -> Result<StatementResult, Failure> {
     loop {
         let entered =
             owner::enter(context, &request.database, request.deadline, false, false).await;
         let (serving, _work) = entered.map_err(write::in_doubt)?;
-        if let Ok(row) = write::settle_row(context, request, &serving).await {
+        if let Ok(row) = write::look_up_or_cancel(context, request, &serving).await {
             let position = row.position_in(&serving);
-            match write::finish(context, request, &serving, position).await {
+            match write::confirm_write(context, request, &serving, position).await {
                 Ok(()) if row.outcome == LedgerOutcome::Cancelled => {
                     return Err(lost_at_commit());
                 }
-                Ok(()) => return write::recorded(&row, &request.submit.digest),
+                Ok(()) => return write::recorded_answer(&row, &request.submit.digest),
                 Err(NotConfirmed::Late) => return Err(failure(ErrorKind::OutcomeUnknown)),
                 Err(NotConfirmed::TermOver) => {}
             }
--- a/daemon/src/write.rs
+++ b/daemon/src/write.rs
@@ -1,4 +1,9 @@
-//! Writes: run at most once, recorded in the ledger, confirmed by a replica.
+//! Writes outside interactive transactions, at the owner of the database.
+//!
+//! Each write runs at most once. The ledger, a table in the written database,
+//! gets one row per request id in the transaction of the write, so that a
+//! repeated request is answered from the ledger. A write is acknowledged once a
+//! replica has received it, if the service is configured so.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -34,32 +39,32 @@
 use crate::target::WRONG_TERM;
 use crate::target::read_position;
 
-/// Type of a text in PostgreSQL's catalogue.
+/// Object id of the type `text` in PostgreSQL's catalogue.
 const TEXT_OID: u32 = 25;
 
-/// Type of a byte string in PostgreSQL's catalogue.
+/// Object id of the type `bytea` in PostgreSQL's catalogue.
 const BYTEA_OID: u32 = 17;
 
-/// Type of a 64-bit integer in PostgreSQL's catalogue.
+/// Object id of the type `int8` in PostgreSQL's catalogue.
 const INT8_OID: u32 = 20;
 
-/// Pause before a request looks again for a primary that can serve it.
+/// Delay before the next attempt of a write.
 const RETRY_PAUSE: Duration = Duration::from_millis(10);
 
 /// A row of the ledger.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LedgerRow {
-    /// What became of the request.
+    /// Whether the request ran or was cancelled.
     pub outcome: LedgerOutcome,
-    /// Fingerprint of its statement.
+    /// Digest of the statement and its parameters.
     pub digest: Vec<u8>,
-    /// Its answer, if it was small enough to be kept.
+    /// Encoded answer, if it was small enough to be stored.
     pub answer: Option<Vec<u8>>,
-    /// Where it was committed.
+    /// Log position at which the row was committed.
     pub position: Position,
 }
 
-/// The caller's statement as a step of a batch.
+/// Builds the batch step for the client's statement.
 #[must_use]
 pub fn statement_step(submit: &Submit) -> Step {
     let parameters = submit.parameters.iter();
@@ -79,7 +84,7 @@
     codes.iter().map(|code| i16::try_from(*code).unwrap_or(0)).collect()
 }
 
-/// Fingerprint of a statement with its parameters.
+/// Digest of a statement and its parameters.
 #[must_use]
 pub fn digest_of(submit: &Submit) -> Vec<u8> {
     let parameters = submit.parameters.iter().map(|p| (!p.null).then_some(p.value.as_slice()));
@@ -90,79 +95,82 @@
 ///
 /// # Errors
 ///
-/// The failure for the caller; its kind says whether the write may have run.
+/// The failure for the client. Its kind says whether the write may have run.
 pub async fn run(context: &Shared, request: &Request) -> Result<StatementResult, Failure> {
     let digest = digest_of(&request.submit);
     let work = {
         let (context, request) = (context.clone(), request.clone());
         let digest = digest.clone();
-        Box::pin(async move { run_to_end(&context, &request, digest).await })
+        Box::pin(async move { run_with_retries(&context, &request, digest).await })
     };
     context.in_flight.run_once(request.key(), &digest, request.deadline, work).await
 }
 
-/// What one try of a write gave.
-enum Tried {
-    /// It committed here.
+/// Result of one attempt of a write.
+enum AttemptResult {
+    /// The write committed in this attempt.
     Committed(StatementResult, Position),
-    /// The ledger knows the request already.
-    Known(LedgerRow),
-    /// It did not run, and may be tried again.
+    /// The ledger already has a row of the request.
+    InLedger(LedgerRow),
+    /// The write did not run and may be retried.
     NotRun(Failure),
-    /// It did not run, and trying again would give the same.
+    /// The write did not run, and a retry would fail in the same way.
     Refused(Failure),
-    /// It did not run: the statement got no answer for a suspiciously long
-    /// time. Its connection may have gone silent.
+    /// The write did not run: the statement got no answer within
+    /// [`STALL_LIMIT`]. The connection may be dead.
     Stalled,
-    /// COMMIT was sent and its answer is missing.
+    /// COMMIT was sent but not answered: the write may have run.
     Unknown,
 }
 
-/// A first try without an answer for this long is given up for a second one
-/// on another connection, which may take all the time that is left.
+/// An attempt without an answer for this long is abandoned, and the write is
+/// retried on another connection. Once the statement has stalled, a retry may
+/// run it until the deadline of the request.
 const STALL_LIMIT: Duration = Duration::from_secs(1);
 
-/// What is known of an earlier run of the same write.
+/// Whether an earlier attempt of the same write may have committed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Doubt {
-    /// None can have committed.
+enum PossibleCommit {
+    /// No earlier attempt can have committed.
     None,
-    /// COMMIT was sent in this term and its answer is missing.
+    /// COMMIT was sent in this term but not answered.
     CommitSent(Term),
-    /// The entry lost sight of a copy that it sent before, perhaps to an owner
-    /// that is gone.
-    SentBefore,
+    /// The entry instance sent the request before, perhaps to an earlier owner,
+    /// and does not know its outcome.
+    SentEarlier,
 }
 
-/// A write on its way, over as many tries as its deadline allows.
+/// State of a write that is kept from one attempt to the next.
 struct Progress {
     digest: Vec<u8>,
-    doubt: Doubt,
-    /// A first try stalled.
+    possible_commit: PossibleCommit,
+    /// An attempt stalled.
     stalled: bool,
 }
 
 impl Progress {
     fn new(digest: Vec<u8>, is_resent: bool) -> Self {
-        let doubt = if is_resent { Doubt::SentBefore } else { Doubt::None };
-        Self { digest, doubt, stalled: false }
+        let possible_commit =
+            if is_resent { PossibleCommit::SentEarlier } else { PossibleCommit::None };
+        Self { digest, possible_commit, stalled: false }
     }
 
-    /// The failure to give up with: never "not run" while that is not known.
+    /// Returns the failure to report to the client when no further attempt is
+    /// made. It says "not run" only if no attempt can have committed.
     fn give_up(&self, failure: Failure) -> Failure {
-        if self.doubt == Doubt::None {
+        if self.possible_commit == PossibleCommit::None {
             return failure;
         }
         in_doubt(failure)
     }
 }
 
-/// The failure of a request that may have run.
+/// Turns `failure` into the failure of a request that may have run.
 ///
-/// An owner that was succeeded cannot look into the ledger any more, but its
-/// successor can: the entry is to ask there. Without that, callers would hear
-/// "unknown" of each write that was at its COMMIT when its owner was replaced,
-/// though the answer is one question away.
+/// An owner that was replaced cannot read the ledger any more, but the new
+/// owner can, so the entry instance resends the request there. Otherwise every
+/// write whose COMMIT was in progress when its owner was replaced would get the
+/// outcome "unknown", although one lookup at the new owner resolves it.
 #[must_use]
 pub fn in_doubt(failure: Failure) -> Failure {
     match kind_of(&failure) {
@@ -171,7 +179,7 @@
     }
 }
 
-async fn run_to_end(
+async fn run_with_retries(
     context: &Shared,
     request: &Request,
     digest: Vec<u8>,
@@ -181,33 +189,37 @@
         let entered =
             owner::enter(context, &request.database, request.deadline, false, false).await;
         let (serving, _work) = entered.map_err(|failure| progress.give_up(failure))?;
-        let last = match try_in(context, request, &serving, &mut progress).await {
-            Tried::Committed(result, position) => {
-                match finish(context, request, &serving, position).await {
-                    Ok(()) => return Ok(placed(result, position)),
+        let last = match try_in_term(context, request, &serving, &mut progress).await {
+            AttemptResult::Committed(result, position) => {
+                match confirm_write(context, request, &serving, position).await {
+                    Ok(()) => return Ok(with_position(result, position)),
                     Err(NotConfirmed::Late) => return Err(failure(ErrorKind::OutcomeUnknown)),
-                    Err(NotConfirmed::TermOver) => progress.doubt = Doubt::CommitSent(serving.term),
+                    Err(NotConfirmed::TermOver) => {
+                        progress.possible_commit = PossibleCommit::CommitSent(serving.term);
+                    }
                 }
                 failure(ErrorKind::OutcomeUnknown)
             }
-            Tried::Known(row) => {
-                match finish(context, request, &serving, row.position_in(&serving)).await {
-                    Ok(()) => return recorded(&row, &progress.digest),
+            AttemptResult::InLedger(row) => {
+                match confirm_write(context, request, &serving, row.position_in(&serving)).await {
+                    Ok(()) => return recorded_answer(&row, &progress.digest),
                     Err(NotConfirmed::Late) => return Err(failure(ErrorKind::OutcomeUnknown)),
-                    Err(NotConfirmed::TermOver) => progress.doubt = Doubt::CommitSent(serving.term),
+                    Err(NotConfirmed::TermOver) => {
+                        progress.possible_commit = PossibleCommit::CommitSent(serving.term);
+                    }
                 }
                 failure(ErrorKind::OutcomeUnknown)
             }
-            Tried::Refused(failure) => return Err(progress.give_up(failure)),
-            Tried::Unknown => {
-                progress.doubt = Doubt::CommitSent(serving.term);
+            AttemptResult::Refused(failure) => return Err(progress.give_up(failure)),
+            AttemptResult::Unknown => {
+                progress.possible_commit = PossibleCommit::CommitSent(serving.term);
                 failure(ErrorKind::OutcomeUnknown)
             }
-            Tried::Stalled => {
+            AttemptResult::Stalled => {
                 progress.stalled = true;
                 failure(ErrorKind::DeadlineBeforeStart)
             }
-            Tried::NotRun(failure) => failure,
+            AttemptResult::NotRun(failure) => failure,
         };
         if Instant::now() + RETRY_PAUSE >= request.deadline {
             return Err(progress.give_up(last));
@@ -217,33 +229,35 @@
     }
 }
 
-/// One try in the present term.
+/// Makes one attempt in the current term, after resolving what earlier attempts
+/// may have committed.
 ///
-/// A COMMIT that got no answer in this very term may still be on its way: it
-/// is settled by a tombstone. One of an earlier term can only have succeeded
-/// if the new primary has it; its old session is fenced off for good, so a
-/// look at the ledger settles it, and the write may run if it did not. A copy
-/// that was sent before either joined this one, or ended here, or was at an
-/// owner of an earlier term.
-async fn try_in(
+/// A COMMIT of the current term that got no answer may still reach the server.
+/// A tombstone, a ledger row that cancels the request, keeps it from
+/// committing. A COMMIT of an earlier term has succeeded only if the new primary
+/// has it, since the servers refuse the old session from the fence on. A lookup
+/// in the ledger therefore decides whether the write may run. The same holds
+/// for a copy that the entry instance sent before: it either joined this
+/// request, ended here, or was at the owner of an earlier term.
+async fn try_in_term(
     context: &Shared,
     request: &Request,
     serving: &Serving,
     progress: &mut Progress,
-) -> Tried {
-    match progress.doubt {
-        Doubt::None => {}
-        Doubt::CommitSent(term) if term == serving.term => {
-            return match settle_row(context, request, serving).await {
-                Ok(row) => Tried::Known(row),
-                Err(failure) => Tried::NotRun(failure),
+) -> AttemptResult {
+    match progress.possible_commit {
+        PossibleCommit::None => {}
+        PossibleCommit::CommitSent(term) if term == serving.term => {
+            return match look_up_or_cancel(context, request, serving).await {
+                Ok(row) => AttemptResult::InLedger(row),
+                Err(failure) => AttemptResult::NotRun(failure),
             };
         }
-        Doubt::CommitSent(_) | Doubt::SentBefore => {
+        PossibleCommit::CommitSent(_) | PossibleCommit::SentEarlier => {
             match look_up(context, request, serving).await {
-                Ok(Some(row)) => return Tried::Known(row),
-                Ok(None) => progress.doubt = Doubt::None,
-                Err(failure) => return Tried::NotRun(failure),
+                Ok(Some(row)) => return AttemptResult::InLedger(row),
+                Ok(None) => progress.possible_commit = PossibleCommit::None,
+                Err(failure) => return AttemptResult::NotRun(failure),
             }
         }
     }
@@ -251,9 +265,10 @@
 }
 
 impl LedgerRow {
-    /// What has to be confirmed before this row may be relied upon. A row of
-    /// an earlier term came through the promotion; the first entry of the
-    /// present term, which every read of it waits for, covers it.
+    /// Log position that must be confirmed before an answer may rely on this
+    /// row. A row of an earlier term reached the current primary before its
+    /// promotion. The first entry of the current term covers it, and every read
+    /// in the current term waits for that entry.
     #[must_use]
     pub fn position_in(&self, serving: &Serving) -> Position {
         if self.position.term == serving.term {
@@ -264,16 +279,17 @@
     }
 }
 
-fn placed(result: StatementResult, position: Position) -> StatementResult {
+fn with_position(result: StatementResult, position: Position) -> StatementResult {
     StatementResult { position_term: position.term, position_index: position.index, ..result }
 }
 
-/// The answer of a request that is in the ledger.
+/// Returns the answer that the ledger has for a request.
 ///
 /// # Errors
 ///
-/// When it was cancelled, or the id was used for another statement.
-pub fn recorded(row: &LedgerRow, digest: &[u8]) -> Result<StatementResult, Failure> {
+/// When the request was cancelled, when its id was used for another statement,
+/// or when the answer was too large to be stored or cannot be decoded.
+pub fn recorded_answer(row: &LedgerRow, digest: &[u8]) -> Result<StatementResult, Failure> {
     if row.outcome == LedgerOutcome::Cancelled {
         return Err(failure(ErrorKind::Cancelled));
     }
@@ -288,7 +304,7 @@
     };
     let result =
         StatementResult::decode(bytes.as_slice()).map_err(|_| failure(ErrorKind::AnswerNotKept))?;
-    Ok(StatementResult { from_ledger: true, ..placed(result, row.position) })
+    Ok(StatementResult { from_ledger: true, ..with_position(result, row.position) })
 }
 
 async fn try_once(
@@ -296,20 +312,21 @@
     request: &Request,
     serving: &Serving,
     progress: &Progress,
-) -> Tried {
+) -> AttemptResult {
     let (database, deadline) = (&request.database, request.deadline);
     let server = &serving.primary;
-    let (_slot, mut guard) = match owner::reach(context, request, serving, server).await {
-        Ok(reached) => reached,
-        Err(failure) => return not_reached(failure),
-    };
+    let (_slot, mut guard) =
+        match owner::acquire_slot_and_connection(context, request, serving, server).await {
+            Ok(acquired) => acquired,
+            Err(failure) => return classify_failure(failure),
+        };
     let steps = [
-        Step::own("BEGIN"),
+        Step::internal("BEGIN"),
         select_step(&request.account, &request.submit.request_id),
         statement_step(&request.submit),
     ];
-    // Nothing of this batch commits: when it fails or its answer is missing,
-    // the write did not run.
+    // This batch contains no COMMIT: if it fails or gets no answer, the write
+    // did not run.
     let stall = Instant::now() + STALL_LIMIT;
     let limit = if progress.stalled { deadline } else { deadline.min(stall) };
     let run = guard.get().run(&steps);
@@ -318,18 +335,18 @@
         Ok(Ok(mut results)) => {
             if let Some(row) = results.get(1).and_then(read_row) {
                 guard.end_transaction();
-                return Tried::Known(row);
+                return AttemptResult::InLedger(row);
             }
             results.swap_remove(2)
         }
         Ok(Err(error)) => {
             guard.end_transaction();
-            return refused(context, request, serving, &error);
+            return classify_batch_failure(context, request, serving, &error);
         }
-        Err(Interruption::TermOver) => return Tried::NotRun(failure(ErrorKind::NoPrimary)),
-        Err(Interruption::Late) if limit < deadline => return Tried::Stalled,
+        Err(Interruption::TermOver) => return AttemptResult::NotRun(failure(ErrorKind::NoPrimary)),
+        Err(Interruption::Late) if limit < deadline => return AttemptResult::Stalled,
         Err(Interruption::Late) => {
-            return Tried::Refused(failure(ErrorKind::DeadlineBeforeStart));
+            return AttemptResult::Refused(failure(ErrorKind::DeadlineBeforeStart));
         }
     };
     let ran = LedgerOutcome::Ran;
@@ -337,24 +354,29 @@
     commit(context, request, serving, guard, row, result).await
 }
 
-/// Sorts the failure to get at the primary.
-fn not_reached(failure: Failure) -> Tried {
+/// Classifies a failure that occurred before COMMIT was sent.
+fn classify_failure(failure: Failure) -> AttemptResult {
     match kind_of(&failure) {
-        ErrorKind::NotOwner | ErrorKind::NoPrimary => Tried::NotRun(failure),
-        _ => Tried::Refused(failure),
+        ErrorKind::NotOwner | ErrorKind::NoPrimary => AttemptResult::NotRun(failure),
+        _ => AttemptResult::Refused(failure),
     }
 }
 
-/// Sorts the failure of a batch that has not sent COMMIT.
-fn refused(context: &Shared, request: &Request, serving: &Serving, error: &BatchError) -> Tried {
+/// Classifies the failure of a batch that contains no COMMIT.
+fn classify_batch_failure(
+    context: &Shared,
+    request: &Request,
+    serving: &Serving,
+    error: &BatchError,
+) -> AttemptResult {
     if let BatchError::Refused { done, .. } = error {
-        // The ledger was asked before the statement: a repeated request may
-        // well fail now, and still has its first answer.
+        // The ledger was read before the statement ran. A repeated statement
+        // may be refused now, and its first answer still counts.
         if let Some(row) = done.get(1).and_then(read_row) {
-            return Tried::Known(row);
+            return AttemptResult::InLedger(row);
         }
     }
-    not_reached(owner::batch_failure(context, &request.database, serving, error))
+    classify_failure(owner::batch_failure(context, &request.database, serving, error))
 }
 
 /// Inserts the ledger row and commits, in one batch.
@@ -365,7 +387,7 @@
     mut guard: ConnectionGuard,
     row: Step,
     result: StatementResult,
-) -> Tried {
+) -> AttemptResult {
     let steps = commit_batch(row);
     let sent_at = Instant::now();
     let limit = request.deadline.min(sent_at + STALL_LIMIT);
@@ -378,36 +400,40 @@
                     let server = &serving.primary;
                     state.ownership.answered(server, serving.term, sent_at, position);
                 });
-                Tried::Committed(result, position)
+                AttemptResult::Committed(result, position)
             }
-            None => Tried::Unknown,
+            None => AttemptResult::Unknown,
         },
         Ok(Err(BatchError::Refused { step, sqlstate, message, .. })) => {
             guard.end_transaction();
             match (step, sqlstate.as_str()) {
-                // Another copy, or a tombstone, came first: ask the ledger.
-                (0, UNIQUE_VIOLATION) => Tried::Unknown,
+                // Another copy of the request or a tombstone has the row: the
+                // next attempt reads the ledger.
+                (0, UNIQUE_VIOLATION) => AttemptResult::Unknown,
                 (0 | 1, WRONG_TERM) => {
                     let error = BatchError::Refused { step, done: Vec::new(), sqlstate, message };
                     let failure = owner::batch_failure(context, &request.database, serving, &error);
-                    Tried::NotRun(failure)
+                    AttemptResult::NotRun(failure)
+                }
+                (0 | 1, _) => {
+                    AttemptResult::Refused(crate::answer::refused_by_server(&sqlstate, &message))
                 }
-                (0 | 1, _) => Tried::Refused(crate::answer::refused_by_server(&sqlstate, &message)),
-                _ => Tried::Unknown,
+                _ => AttemptResult::Unknown,
             }
         }
-        // COMMIT is on its way and nobody knows how far it came.
-        Ok(Err(_)) | Err(_) => Tried::Unknown,
+        // COMMIT was sent, and the server may or may not have executed it.
+        Ok(Err(_)) | Err(_) => AttemptResult::Unknown,
     }
 }
 
-/// The last batch of every write: ledger row, COMMIT, position.
+/// Builds the last batch of every write: inserts the ledger row, commits, and
+/// reads the log position.
 #[must_use]
 pub fn commit_batch(row: Step) -> [Step; 3] {
-    [row, Step::own("COMMIT"), Step::own("SELECT * FROM chervilwharf_position()")]
+    [row, Step::internal("COMMIT"), Step::internal("SELECT * FROM chervilwharf_position()")]
 }
 
-/// Looks a request up in the ledger of the present primary.
+/// Reads the row of a request from the ledger of the current primary.
 async fn look_up(
     context: &Shared,
     request: &Request,
@@ -425,13 +451,15 @@
     }
 }
 
-/// The ledger's row of a request. Writes a tombstone if there is none: any
-/// late arrival of the request then collides with it.
+/// Returns the row of a request from the ledger. If there is none, writes a
+/// tombstone: a copy of the request that comes later cannot insert its own row
+/// and so cannot commit.
 ///
 /// # Errors
 ///
-/// When the primary cannot be asked. Nothing is settled then.
-pub async fn settle_row(
+/// When the primary cannot be reached or refuses. It is then still open whether
+/// the request ran.
+pub async fn look_up_or_cancel(
     context: &Shared,
     request: &Request,
     serving: &Serving,
@@ -442,7 +470,7 @@
     let (database, deadline) = (&request.database, request.deadline);
     let mut guard = owner::connect(context, database, serving, &serving.primary, deadline).await?;
     let tombstone = insert_step(request, serving, LedgerOutcome::Cancelled, &[], None);
-    let mut steps = vec![Step::own("BEGIN")];
+    let mut steps = vec![Step::internal("BEGIN")];
     steps.extend(commit_batch(tombstone));
     let run = guard.get().run(&steps);
     let written = context.databases.within_term(database, serving.term, deadline, run).await;
@@ -457,7 +485,8 @@
                 position,
             })
         }
-        // The request committed just now, or the answer is missing: ask again.
+        // The request committed in the meantime, or the answer is missing. The
+        // caller looks up the row again.
         Ok(Err(error)) => {
             let failure = owner::batch_failure(context, database, serving, &error);
             guard.end_transaction();
@@ -467,18 +496,19 @@
     }
 }
 
-/// Waits until a write may be acknowledged.
+/// Waits until a write at `position` may be acknowledged, and raises the
+/// account's floor to it, so that later reads of the account see the write.
 ///
 /// # Errors
 ///
-/// When that cannot be known before the deadline, or the term ends.
-pub async fn finish(
+/// When the deadline passes or the term ends before that.
+pub async fn confirm_write(
     context: &Shared,
     request: &Request,
     serving: &Serving,
     position: Position,
 ) -> Result<(), NotConfirmed> {
-    owner::wait_answerable(context, request, serving, position, true).await?;
+    owner::wait_until_answerable(context, request, serving, position, true).await?;
     context.databases.with_database(&request.database, |state| {
         state.floors.acknowledged(position);
         state.floors.raise(&request.account, position);
@@ -488,16 +518,18 @@
 
 fn select_step(account: &str, request_id: &str) -> Step {
     Step {
-        // Outcome as text, the byte strings as they are, numbers as text.
+        // Text format (0) for the outcome and the numbers, binary format (1)
+        // for the digest and the answer.
         result_formats: vec![0, 1, 1, 0, 0],
-        ..Step::own(ledger::SELECT_SQL)
+        ..Step::internal(ledger::SELECT_SQL)
             .with_text(account.to_owned())
             .with_text(request_id.to_owned())
             .with_types(&[TEXT_OID, TEXT_OID])
     }
 }
 
-/// The ledger row of a request.
+/// Builds the step that inserts the ledger row of a request. An answer above
+/// [`ledger::KEPT_ANSWER_LIMIT_BYTES`] is left out.
 #[must_use]
 pub fn insert_step(
     request: &Request,
@@ -510,7 +542,7 @@
         .map(Message::encode_to_vec)
         .filter(|bytes| bytes.len() <= ledger::KEPT_ANSWER_LIMIT_BYTES);
     let at_ms = since_epoch().as_millis();
-    Step::own(ledger::INSERT_SQL)
+    Step::internal(ledger::INSERT_SQL)
         .with_text(request.account.to_string())
         .with_text(request.submit.request_id.clone())
         .with_text(outcome.as_str())
@@ -521,7 +553,8 @@
         .with_types(&[TEXT_OID, TEXT_OID, TEXT_OID, BYTEA_OID, BYTEA_OID, INT8_OID, INT8_OID])
 }
 
-/// Reads a row of the ledger, if there is one.
+/// Parses the ledger row in the result of [`ledger::SELECT_SQL`], if there is
+/// one.
 #[must_use]
 pub fn read_row(result: &StatementResult) -> Option<LedgerRow> {
     let values = row_values(result.rows.first()?);
@@ -535,11 +568,13 @@
     })
 }
 
-/// Deletes ledger rows past their retention; their ids are refused by then.
+/// Deletes ledger rows past their retention. Requests with these ids are
+/// already refused as expired.
 ///
 /// # Errors
 ///
-/// When the primary cannot be reached or refuses. The next round tries again.
+/// When the primary cannot be reached or refuses. The next clean-up tries
+/// again.
 pub async fn expire_ledger(
     context: &Shared,
     database: &DatabaseId,
@@ -548,8 +583,8 @@
 ) -> Result<(), Failure> {
     let oldest_ms = since_epoch().saturating_sub(ledger::RETENTION).as_millis();
     let step =
-        Step::own(ledger::EXPIRE_SQL).with_text(oldest_ms.to_string()).with_types(&[INT8_OID]);
-    run_own(context, database, serving, deadline, step).await
+        Step::internal(ledger::EXPIRE_SQL).with_text(oldest_ms.to_string()).with_types(&[INT8_OID]);
+    run_at_primary(context, database, serving, deadline, step).await
 }
 
 /// Creates the ledger if the database has none.
@@ -563,11 +598,11 @@
     serving: &Serving,
     deadline: Instant,
 ) -> Result<(), Failure> {
-    run_own(context, database, serving, deadline, Step::own(ledger::CREATE_SQL)).await
+    run_at_primary(context, database, serving, deadline, Step::internal(ledger::CREATE_SQL)).await
 }
 
-/// Runs a statement of our own at the primary.
-async fn run_own(
+/// Runs a statement of the proxy itself at the primary.
+async fn run_at_primary(
     context: &Shared,
     database: &DatabaseId,
     serving: &Serving,
