--- a/daemon/src/engine/forwarded_session.rs
+++ b/daemon/src/engine/forwarded_session.rs
@@ -21,7 +21,7 @@
 
 use crate::engine::caller::Caller;
 use crate::engine::clock::now;
-use crate::engine::peers::Guest;
+use crate::engine::peers::ForwardedStatementHandler;
 use crate::engine::records;
 use crate::engine::request::Failure;
 use crate::engine::request::Request;
@@ -144,7 +144,9 @@
     /// has been told that it will not run.
     fn new(engine: &Arc<Engine>, ticket: StatementTicket) -> Option<Self> {
         let may_run = ticket == 0
-            || engine.with_arrivals(|received_statements| received_statements.begin(now(), ticket));
+            || engine.with_received_statements(|received_statements| {
+                received_statements.begin(now(), ticket)
+            });
         may_run.then(|| Self { engine: engine.clone(), ticket })
     }
 }
@@ -152,14 +154,15 @@
 impl Drop for ArrivedGuard {
     fn drop(&mut self) {
         if self.ticket != 0 {
-            self.engine
-                .with_arrivals(|received_statements| received_statements.end(now(), self.ticket));
+            self.engine.with_received_statements(|received_statements| {
+                received_statements.end(now(), self.ticket)
+            });
         }
     }
 }
 
 #[async_trait]
-impl Guest for ForwardedSession {
+impl ForwardedStatementHandler for ForwardedSession {
     async fn run(&mut self, statement: engine_protos::Statement) -> StatementReply {
         let Some(_arrived) = ArrivedGuard::new(&self.engine, statement.ticket) else {
             let floor = Position::new(statement.floor_term, statement.floor_index);
--- a/daemon/src/engine/holders.rs
+++ b/daemon/src/engine/holders.rs
@@ -121,7 +121,7 @@
         // An instance that has just started would compute that it is the only one. After a
         // power loss each of 72 instances opened connections to all servers, and each
         // connection took a slot of the server for 12 to 27 ms.
-        let holders_known = self.knows_who_holds();
+        let holders_known = self.knows_candidate_holders();
         let staying = self.with_fleet(|fleet| {
             let record = |id: &InstanceId| match fleet.record(id) {
                 Some(record) => record.clone(),
@@ -215,7 +215,7 @@
             until.is_some_and(|until| *until > at)
         };
         let candidate = |record: InstanceRecord| Candidate {
-            contact: self.contacts().of(&record.id),
+            contact: self.peer_contacts().of(&record.id),
             recently_refused: recently_refused(&record.id),
             near: record.failure_domain == self.me().failure_domain,
             record,
--- a/daemon/src/engine/lease.rs
+++ b/daemon/src/engine/lease.rs
@@ -9,9 +9,9 @@
 use chervilwharf_lib::moment::Moment;
 use chervilwharf_lib::statement::Prepared;
 
-use crate::engine::border::ServerConnection;
-use crate::engine::border::Step;
 use crate::engine::clock::now;
+use crate::engine::server_connection::ServerConnection;
+use crate::engine::server_connection::Step;
 use crate::engine::shard::Shard;
 
 /// An open connection to a server, with the session values and prepared statements that
--- a/daemon/src/engine/contacts.rs
+++ b/daemon/src/engine/peer_contacts.rs
@@ -120,12 +120,13 @@
     ) -> Option<SignOfLifeReply> {
         let asked_at = now();
         let request = Body::SignOfLife(request);
-        let answer = self.peers().ask_anew(peer.peer_address, request, LIVENESS_TIMEOUT).await;
+        let answer =
+            self.peers().ask_on_new_link(peer.peer_address, request, LIVENESS_TIMEOUT).await;
         let Ok(Body::SignOfLifeReply(reply)) = answer else {
-            self.contacts().missed(asked_at, &peer.id);
+            self.peer_contacts().missed(asked_at, &peer.id);
             return None;
         };
-        self.contacts().heard(asked_at, &peer.id);
+        self.peer_contacts().heard(asked_at, &peer.id);
         Some(reply)
     }
 
@@ -137,7 +138,7 @@
             return SignOfLifeReply::default();
         }
         let sent_ago = Duration::from_millis(request.sent_ms_ago);
-        let fate = self.with_arrivals(|received_statements| {
+        let fate = self.with_received_statements(|received_statements| {
             received_statements.withdraw(now(), request.ticket, sent_ago)
         });
         SignOfLifeReply { withdrawn: fate == Fate::Withdrawn, ended: fate == Fate::Ended }
@@ -177,8 +178,9 @@
 
     /// Checks the candidates whose check is due, without waiting for their answers.
     fn check_in_background(self: &Arc<Self>, candidates: &[Candidate]) {
-        let due =
-            |candidate: &&Candidate| self.contacts().take_due_liveness_check(&candidate.record.id);
+        let due = |candidate: &&Candidate| {
+            self.peer_contacts().take_due_liveness_check(&candidate.record.id)
+        };
         for candidate in candidates.iter().filter(due) {
             let (engine, record) = (self.clone(), candidate.record.clone());
             tokio::spawn(async move { engine.check_liveness(&record).await });
@@ -188,8 +190,9 @@
     /// Checks unreachable candidates, except those that were checked just now. Returns
     /// true as soon as one answers, and false if none does.
     async fn check_unreachable(&self, candidates: &[Candidate]) -> bool {
-        let due =
-            candidates.iter().filter(|c| self.contacts().take_due_liveness_check(&c.record.id));
+        let due = candidates
+            .iter()
+            .filter(|c| self.peer_contacts().take_due_liveness_check(&c.record.id));
         let mut checks: FuturesUnordered<_> =
             due.map(|candidate| self.check_liveness(&candidate.record)).collect();
         while let Some(answered) = checks.next().await {
--- a/daemon/src/engine/primary_lease_control.rs
+++ b/daemon/src/engine/primary_lease_control.rs
@@ -179,11 +179,11 @@
 impl Engine {
     /// Lets this instance vote on all groups from now on.
     fn start_voting(&self) {
-        self.set_knows_orders();
+        self.set_orders_known();
         for shard in self.shards() {
             shard.change_lease(PrimaryLease::orders_known);
         }
-        self.renewal().notify_one();
+        self.lease_renewal().notify_one();
     }
 
     /// Lets this instance vote on the groups whose orders are known. Returns whether these
@@ -195,7 +195,7 @@
     /// matter any more when this instance has run for [`RESTART_PROMISE_WINDOW`].
     fn start_voting_where_orders_are_known(&self) -> bool {
         let era = self.store_era().latest();
-        if era == 0 || self.runs_for(RESTART_PROMISE_WINDOW) {
+        if era == 0 || self.has_run_for(RESTART_PROMISE_WINDOW) {
             return true;
         }
         let shards = self.shards();
--- a/daemon/src/engine/probe.rs
+++ b/daemon/src/engine/probe.rs
@@ -14,9 +14,9 @@
 use chervilwharf_lib::server_choice::Owner;
 use chervilwharf_lib::server_refusal::RefusalKind;
 
-use crate::engine::border::ConnectError;
 use crate::engine::clock::now;
 use crate::engine::event_log;
+use crate::engine::server_connection::ConnectError;
 use crate::engine::shard::Shard;
 use crate::engine::waiting::ConnectionRequest;
 
--- a/daemon/src/engine/server_control.rs
+++ b/daemon/src/engine/server_control.rs
@@ -56,7 +56,7 @@
     }
 
     fn currency(&self) -> Currency {
-        self.engine.record_currency()
+        self.engine.store_read_currency()
     }
 
     /// Many servers register and report their roles at the same time. Without a pause each
--- a/daemon/src/engine/shard.rs
+++ b/daemon/src/engine/shard.rs
@@ -34,9 +34,6 @@
 use tokio::sync::Notify;
 use tokio::sync::oneshot;
 
-use crate::engine::border::ConnectError;
-use crate::engine::border::Connector;
-use crate::engine::border::ServerConnection;
 use crate::engine::clock::now;
 use crate::engine::event_log;
 use crate::engine::lease::Lease;
@@ -44,6 +41,9 @@
 use crate::engine::peers;
 use crate::engine::peers::PeerError;
 use crate::engine::peers::Peers;
+use crate::engine::server_connection::ConnectError;
+use crate::engine::server_connection::Connector;
+use crate::engine::server_connection::ServerConnection;
 use crate::engine::shard::pool::Pool;
 use crate::engine::waiting::Waiter;
 
@@ -85,7 +85,7 @@
     doubt: Arc<Notify>,
     /// Wakes the task that renews the primary lease, when a request needs the lease and it
     /// has expired.
-    renewal: Arc<Notify>,
+    lease_renewal: Arc<Notify>,
     /// Wakes those who wait for a change of the primary lease.
     primary_lease_changed: Notify,
 }
@@ -126,13 +126,21 @@
     ) -> Self {
         let inner = Inner { budget: 1, group: Group::with_home(home), ..Inner::default() };
         let (inner, primary_lease_changed) = (Mutex::new(inner), Notify::new());
-        Self { id, connector, peers, inner, doubt, renewal: Arc::default(), primary_lease_changed }
+        Self {
+            id,
+            connector,
+            peers,
+            inner,
+            doubt,
+            lease_renewal: Arc::default(),
+            primary_lease_changed,
+        }
     }
 
     /// Sets what wakes the task that renews primary leases.
     #[must_use]
-    pub fn with_renewal(mut self, renewal: Arc<Notify>) -> Self {
-        self.renewal = renewal;
+    pub fn with_renewal(mut self, lease_renewal: Arc<Notify>) -> Self {
+        self.lease_renewal = lease_renewal;
         self
     }
 
@@ -170,7 +178,7 @@
     /// lease if that is due.
     pub fn want_leader(&self) {
         if !self.with_group(|group| group.want_leader(now())) {
-            self.renewal.notify_one();
+            self.lease_renewal.notify_one();
         }
     }
 
@@ -202,7 +210,7 @@
             if holds || retired || now() >= until {
                 return holds;
             }
-            self.renewal.notify_one();
+            self.lease_renewal.notify_one();
             let wait = until.saturating_sub(now());
             // The lease is checked again after a change as well as after the timeout.
             let _waited = tokio::time::timeout(wait, changed).await;
--- a/daemon/src/engine/store_liveness.rs
+++ b/daemon/src/engine/store_liveness.rs
@@ -48,7 +48,7 @@
 /// Checks the store and updates `state`. Never returns.
 pub async fn monitor_store(engine: Arc<Engine>, directory: Arc<dyn Directory>, state: StoreState) {
     let mut monitor =
-        StoreMonitor { directory, state, limits: engine.silence_limits(), newest_change: None };
+        StoreMonitor { directory, state, limits: engine.store_timeouts(), newest_change: None };
     loop {
         if monitor.state.availability.is_unavailable() {
             monitor.wait_until_available().await;
@@ -56,7 +56,7 @@
         }
         let watched = monitor.state.availability.watched_revision(KIND);
         match watched {
-            Some(watched) if engine.record_currency() == Currency::Fresh => {
+            Some(watched) if engine.store_read_currency() == Currency::Fresh => {
                 monitor.check(watched).await;
             }
             _ => tokio::time::sleep(NOT_CHECKING_PAUSE).await,
--- a/daemon/tests/test_duty.rs
+++ b/daemon/tests/test_duty.rs
@@ -161,7 +161,7 @@
 /// voter that knows all orders.
 fn engine_in(era: u64, votes: bool) -> Engine {
     let engine = Engine::new(instance("me"), Arc::new(NoServer));
-    engine.take_instances(vec![instance("me")]);
+    engine.apply_instance_list(vec![instance("me")]);
     engine.note_store_era(era, "the test");
     let shard = engine.shard(&"db".into());
     if votes {
--- a/lib/tests/test_peer_contact.rs
+++ b/lib/tests/test_peer_contact.rs
@@ -32,41 +32,41 @@
 
 #[test]
 fn test_instance_is_presumed_reachable_until_another_is_unreachable() {
-    let mut contacts = PeerContacts::default();
-    assert_eq!(contacts.contact(at(0), &id("a")), Contact::Heard);
-    contacts.heard(at(900), &id("b"));
-    assert!(contacts.missed(at(1_100), at(1_000), &id("a")));
-    assert_eq!(contacts.contact(at(1_100), &id("a")), Contact::Silent);
+    let mut peer_contacts = PeerContacts::default();
+    assert_eq!(peer_contacts.contact(at(0), &id("a")), Contact::Heard);
+    peer_contacts.heard(at(900), &id("b"));
+    assert!(peer_contacts.missed(at(1_100), at(1_000), &id("a")));
+    assert_eq!(peer_contacts.contact(at(1_100), &id("a")), Contact::Silent);
     // Its last answer is older than the message that "a" did not answer, so it does
     // not prove that "b" is still reachable.
-    assert_eq!(contacts.contact(at(1_100), &id("b")), Contact::Unverified);
-    contacts.heard(at(1_150), &id("b"));
-    assert_eq!(contacts.contact(at(1_160), &id("b")), Contact::Heard);
+    assert_eq!(peer_contacts.contact(at(1_100), &id("b")), Contact::Unverified);
+    peer_contacts.heard(at(1_150), &id("b"));
+    assert_eq!(peer_contacts.contact(at(1_160), &id("b")), Contact::Heard);
     // After the suspicion period, all but the unreachable instance are presumed
     // reachable.
-    assert_eq!(contacts.contact(at(9_000), &id("c")), Contact::Heard);
-    assert_eq!(contacts.contact(at(9_000), &id("a")), Contact::Silent);
+    assert_eq!(peer_contacts.contact(at(9_000), &id("c")), Contact::Heard);
+    assert_eq!(peer_contacts.contact(at(9_000), &id("a")), Contact::Silent);
 }
 
 #[test]
 fn test_unreachable_instance_is_checked_again_until_it_answers() {
-    let mut contacts = PeerContacts::default();
-    contacts.missed(at(1_000), at(900), &id("a"));
-    assert!(!contacts.take_due_liveness_check(at(1_100), &id("a")), "it was checked just now");
-    assert!(contacts.take_due_liveness_check(at(1_500), &id("a")));
-    assert!(!contacts.take_due_liveness_check(at(1_501), &id("a")));
-    assert!(contacts.heard(at(1_502), &id("a")), "it was silent");
-    assert!(!contacts.take_due_liveness_check(at(2_500), &id("a")));
+    let mut peer_contacts = PeerContacts::default();
+    peer_contacts.missed(at(1_000), at(900), &id("a"));
+    assert!(!peer_contacts.take_due_liveness_check(at(1_100), &id("a")), "it was checked just now");
+    assert!(peer_contacts.take_due_liveness_check(at(1_500), &id("a")));
+    assert!(!peer_contacts.take_due_liveness_check(at(1_501), &id("a")));
+    assert!(peer_contacts.heard(at(1_502), &id("a")), "it was silent");
+    assert!(!peer_contacts.take_due_liveness_check(at(2_500), &id("a")));
 }
 
 /// A message without an answer does not make an instance unreachable if it has
 /// answered a later one.
 #[test]
 fn test_instance_that_answered_since_is_not_unreachable() {
-    let mut contacts = PeerContacts::default();
-    contacts.heard(at(1_050), &id("a"));
-    assert!(!contacts.missed(at(1_100), at(1_000), &id("a")));
-    assert_ne!(contacts.contact(at(1_100), &id("a")), Contact::Silent);
+    let mut peer_contacts = PeerContacts::default();
+    peer_contacts.heard(at(1_050), &id("a"));
+    assert!(!peer_contacts.missed(at(1_100), at(1_000), &id("a")));
+    assert_ne!(peer_contacts.contact(at(1_100), &id("a")), Contact::Silent);
 }
 
 fn candidate(name: &str, contact: Contact, recently_refused: bool, near: bool) -> Candidate {
@@ -157,7 +157,7 @@
 /// the partition, which begins at time 0.
 struct SendingInstance<'a> {
     record: &'a InstanceRecord,
-    contacts: PeerContacts,
+    peer_contacts: PeerContacts,
     /// Unreachable holders without liveness checks, each with the time until which
     /// the result is kept.
     forgotten_at: HashMap<InstanceId, Moment>,
@@ -167,8 +167,8 @@
 
 impl<'a> SendingInstance<'a> {
     fn new(record: &'a InstanceRecord) -> Self {
-        let (contacts, forgotten_at) = (PeerContacts::default(), HashMap::new());
-        Self { record, contacts, forgotten_at, now: Moment::ZERO }
+        let (peer_contacts, forgotten_at) = (PeerContacts::default(), HashMap::new());
+        Self { record, peer_contacts, forgotten_at, now: Moment::ZERO }
     }
 
     fn reaches(&self, id: &InstanceId) -> bool {
@@ -177,7 +177,7 @@
 
     fn contact(&self, method: DetectionMethod, id: &InstanceId) -> Contact {
         match method {
-            DetectionMethod::ByLivenessCheck => self.contacts.contact(self.now, id),
+            DetectionMethod::ByLivenessCheck => self.peer_contacts.contact(self.now, id),
             DetectionMethod::ByStatement => match self.forgotten_at.get(id) {
                 Some(until) if *until > self.now => Contact::Silent,
                 _ => Contact::Heard,
@@ -208,9 +208,9 @@
         let reached = checked.iter().any(|id| self.reaches(id));
         for id in checked {
             if self.reaches(id) {
-                self.contacts.heard(self.now, id);
+                self.peer_contacts.heard(self.now, id);
             } else {
-                self.contacts.missed(self.now + LIVENESS_TIMEOUT, self.now, id);
+                self.peer_contacts.missed(self.now + LIVENESS_TIMEOUT, self.now, id);
             }
         }
         if !checked.is_empty() {
@@ -237,14 +237,15 @@
                 (DetectionMethod::ByLivenessCheck, Contact::Silent) => {
                     let now = self.now;
                     let ids = candidates.iter().map(|c| c.record.id.clone());
-                    let due: Vec<_> =
-                        ids.filter(|id| self.contacts.take_due_liveness_check(now, id)).collect();
+                    let due: Vec<_> = ids
+                        .filter(|id| self.peer_contacts.take_due_liveness_check(now, id))
+                        .collect();
                     if !self.check_liveness(&due) {
                         return false;
                     }
                 }
                 _ if self.reaches(&id) => {
-                    self.contacts.heard(self.now, &id);
+                    self.peer_contacts.heard(self.now, &id);
                     self.now += ROUND_TRIP + SERVICE;
                     return true;
                 }
@@ -266,7 +267,7 @@
             }
             DetectionMethod::ByLivenessCheck => {
                 self.now += LIVENESS_CHECK_AFTER + LIVENESS_TIMEOUT;
-                self.contacts.missed(self.now, sent_at, id);
+                self.peer_contacts.missed(self.now, sent_at, id);
             }
         }
     }
