--- a/daemon/src/engine/counted_directory.rs
+++ b/daemon/src/engine/counted_directory.rs
@@ -37,7 +37,7 @@
     }
 
     fn counted<T, E: CallError>(&self, call: &Call, result: Result<T, E>) -> Result<T, E> {
-        self.metrics.called(call.kind, result.is_ok());
+        self.metrics.record_call(call.kind, result.is_ok());
         let silence = result.as_ref().err().and_then(CallError::silence);
         if let Some(error) = silence {
             call.report_unanswered(error, self.metrics.answer_age());
@@ -111,7 +111,7 @@
         wait: Duration,
     ) -> Result<Sign, DirectoryError> {
         let result = self.inner.ask_for_sign(kind, after, wait).await;
-        self.metrics.asked_for_sign(result.is_ok());
+        self.metrics.record_liveness_check(result.is_ok());
         result
     }
 
--- a/daemon/src/engine/guest.rs
+++ b/daemon/src/engine/guest.rs
@@ -21,7 +21,7 @@
 
 use crate::engine::caller::Caller;
 use crate::engine::clock::now;
-use crate::engine::peers::Guest;
+use crate::engine::peers::ForwardedStatementHandler;
 use crate::engine::records;
 use crate::engine::request::Failure;
 use crate::engine::request::Request;
@@ -142,7 +142,8 @@
 impl ArrivedGuard {
     /// `None` if the statement must not run: its sender was told that it never will.
     fn new(engine: &Arc<Engine>, ticket: StatementTicket) -> Option<Self> {
-        let may_run = ticket == 0 || engine.with_arrivals(|arrivals| arrivals.begin(now(), ticket));
+        let may_run = ticket == 0
+            || engine.with_received_statements(|arrivals| arrivals.begin(now(), ticket));
         may_run.then(|| Self { engine: engine.clone(), ticket })
     }
 }
@@ -150,13 +151,13 @@
 impl Drop for ArrivedGuard {
     fn drop(&mut self) {
         if self.ticket != 0 {
-            self.engine.with_arrivals(|arrivals| arrivals.end(now(), self.ticket));
+            self.engine.with_received_statements(|arrivals| arrivals.end(now(), self.ticket));
         }
     }
 }
 
 #[async_trait]
-impl Guest for GuestSession {
+impl ForwardedStatementHandler for GuestSession {
     async fn run(&mut self, statement: engine_protos::Statement) -> StatementReply {
         let Some(_arrived) = ArrivedGuard::new(&self.engine, statement.ticket) else {
             let floor = Position::new(statement.floor_term, statement.floor_index);
--- a/daemon/src/engine/holders.rs
+++ b/daemon/src/engine/holders.rs
@@ -118,7 +118,7 @@
         // An instance that has just started would take itself for the only one:
         // after a power loss each of 72 opened connections to all servers, each
         // of which takes a slot for 12 to 27 ms.
-        let known = self.knows_who_holds();
+        let known = self.knows_candidate_holders();
         let staying = self.with_fleet(|fleet| {
             let record = |id: &InstanceId| match fleet.record(id) {
                 Some(record) => record.clone(),
@@ -211,7 +211,7 @@
             until.is_some_and(|until| *until > at)
         };
         let candidate = |record: InstanceRecord| Candidate {
-            contact: self.contacts().of(&record.id),
+            contact: self.peer_contacts().of(&record.id),
             unable: unable(&record.id),
             near: record.failure_domain == self.me().failure_domain,
             record,
--- a/daemon/src/engine/lease.rs
+++ b/daemon/src/engine/lease.rs
@@ -9,9 +9,9 @@
 use chervilwharf_lib::moment::Moment;
 use chervilwharf_lib::statement::Prepared;
 
-use crate::engine::border::ServerConnection;
-use crate::engine::border::Step;
 use crate::engine::clock::now;
+use crate::engine::server_connection::ServerConnection;
+use crate::engine::server_connection::Step;
 use crate::engine::shard::Shard;
 
 /// An open connection and what is set up on it.
--- a/daemon/src/engine/mod.rs
+++ b/daemon/src/engine/mod.rs
@@ -1,16 +1,14 @@
 //! The session engine: serves client sessions with typed statements on groups
 //! of replicated servers that guard their own lead.
 //!
-//! Protocols are behind borders: [`border`] for servers, [`directory`] for
+//! Protocols are behind borders: [`server_connection`] for servers, [`directory`] for
 //! the platform's lists. A front decodes what a client sends into
 //! [`chervilwharf_lib::statement::Statement`] and gives it to a [`session`].
 
 pub mod account_metrics;
-pub mod border;
 pub mod caller;
 pub mod clock;
 pub mod configuration_control;
-pub mod contacts;
 pub mod controllers;
 pub mod counted_directory;
 pub mod directory;
@@ -24,6 +22,7 @@
 pub mod leader_control;
 pub mod lease;
 pub mod metrics;
+pub mod peer_contacts;
 pub mod peer_records;
 pub mod peers;
 pub mod probe;
@@ -34,6 +33,7 @@
 pub mod replacement;
 pub mod request;
 pub mod right_control;
+pub mod server_connection;
 pub mod server_control;
 pub mod session;
 pub mod shard;
--- a/daemon/src/engine/contacts.rs
+++ b/daemon/src/engine/peer_contacts.rs
@@ -110,12 +110,12 @@
     ) -> Option<SignOfLifeReply> {
         let asked_at = now();
         let question = Body::SignOfLife(question);
-        let answer = self.peers().ask_anew(peer.peer_address, question, SIGN_LIMIT).await;
+        let answer = self.peers().ask_on_new_link(peer.peer_address, question, SIGN_LIMIT).await;
         let Ok(Body::SignOfLifeReply(reply)) = answer else {
-            self.contacts().missed(asked_at, &peer.id);
+            self.peer_contacts().missed(asked_at, &peer.id);
             return None;
         };
-        self.contacts().heard(asked_at, &peer.id);
+        self.peer_contacts().heard(asked_at, &peer.id);
         Some(reply)
     }
 
@@ -126,8 +126,9 @@
             return SignOfLifeReply::default();
         }
         let sent_ago = Duration::from_millis(question.sent_ms_ago);
-        let fate =
-            self.with_arrivals(|arrivals| arrivals.withdraw(now(), question.ticket, sent_ago));
+        let fate = self.with_received_statements(|arrivals| {
+            arrivals.withdraw(now(), question.ticket, sent_ago)
+        });
         SignOfLifeReply { withdrawn: fate == Fate::Withdrawn, ended: fate == Fate::Ended }
     }
 
@@ -166,7 +167,8 @@
 
     /// Asks those that are not heard, without waiting for them.
     fn ask_in_background(self: &Arc<Self>, candidates: &[Candidate]) {
-        let wanted = |candidate: &&Candidate| self.contacts().take_question(&candidate.record.id);
+        let wanted =
+            |candidate: &&Candidate| self.peer_contacts().take_question(&candidate.record.id);
         for candidate in candidates.iter().filter(wanted) {
             let (engine, record) = (self.clone(), candidate.record.clone());
             tokio::spawn(async move { engine.ask_for_sign(&record).await });
@@ -176,7 +178,7 @@
     /// Asks the silent ones that were not asked just now. Returns as soon as one
     /// gives a sign of life; false if none does.
     async fn ask_silent(&self, candidates: &[Candidate]) -> bool {
-        let due = candidates.iter().filter(|c| self.contacts().take_question(&c.record.id));
+        let due = candidates.iter().filter(|c| self.peer_contacts().take_question(&c.record.id));
         let mut asking: FuturesUnordered<_> =
             due.map(|candidate| self.ask_for_sign(&candidate.record)).collect();
         while let Some(heard) = asking.next().await {
--- a/daemon/src/engine/peers.rs
+++ b/daemon/src/engine/peers.rs
@@ -211,7 +211,7 @@
     /// # Errors
     ///
     /// When no answer came in time.
-    pub async fn ask_anew(
+    pub async fn ask_on_new_link(
         &self,
         address: SocketAddr,
         body: Body,
@@ -266,7 +266,7 @@
 
 /// Serves statements of another instance, one at a time.
 #[async_trait]
-pub trait Guest: Send {
+pub trait ForwardedStatementHandler: Send {
     /// Runs a statement.
     async fn run(&mut self, statement: Statement) -> StatementReply;
 }
@@ -277,7 +277,7 @@
     fn answer(&self, question: Body) -> Option<Body>;
 
     /// Serves statements of another instance's clients on one link.
-    fn guest(self: Arc<Self>) -> Box<dyn Guest>;
+    fn guest(self: Arc<Self>) -> Box<dyn ForwardedStatementHandler>;
 
     /// Address of a server for a tunnel; `None` if it is not known.
     fn tunnel_target(&self, tunnel: &Tunnel) -> Option<SocketAddr>;
@@ -308,7 +308,7 @@
         return;
     }
     let mut frames = frames(stream);
-    let mut guest: Option<Box<dyn Guest>> = None;
+    let mut guest: Option<Box<dyn ForwardedStatementHandler>> = None;
     while let Ok(frame) = read_frame(&mut frames).await {
         if let Some(Body::Tunnel(tunnel)) = &frame.body {
             let target = handler.tunnel_target(tunnel);
--- a/daemon/src/engine/probe.rs
+++ b/daemon/src/engine/probe.rs
@@ -13,9 +13,9 @@
 use chervilwharf_lib::pool_share::Owner;
 use chervilwharf_lib::server_refusal::RefusalKind;
 
-use crate::engine::border::ConnectError;
 use crate::engine::clock::now;
 use crate::engine::event_log;
+use crate::engine::server_connection::ConnectError;
 use crate::engine::shard::Shard;
 use crate::engine::waiting::Want;
 
--- a/daemon/src/engine/quota_control.rs
+++ b/daemon/src/engine/quota_control.rs
@@ -132,7 +132,7 @@
 }
 
 /// Keeps shards of accounts, as long as this instance should, for ever.
-pub async fn keep_shards(engine: Arc<Engine>) {
+pub async fn maintain_keeper_leases(engine: Arc<Engine>) {
     loop {
         tokio::time::sleep(ROUND).await;
         let counts = engine.catalog().accounts.is_some();
--- a/daemon/src/engine/remote.rs
+++ b/daemon/src/engine/remote.rs
@@ -341,7 +341,7 @@
     let result = exchange(&engine, request, holder, link, statement, leaving).await;
     session.trail_mut().sent(holder.id.clone(), now().saturating_sub(sent_at));
     if result.is_ok() {
-        engine.contacts().heard(sent_at, &holder.id);
+        engine.peer_contacts().heard(sent_at, &holder.id);
     }
     result
 }
@@ -357,7 +357,7 @@
     let sent_at = now();
     let limit = SIGN_LIMIT.min(request.time_left(sent_at));
     let Ok(Ok(())) = tokio::time::timeout(limit, link.open(holder.peer_address)).await else {
-        engine.contacts().missed(sent_at, &holder.id);
+        engine.peer_contacts().missed(sent_at, &holder.id);
         return Err(SendError::NotSent);
     };
     let ticket = statement.ticket;
--- a/daemon/src/engine/right_control.rs
+++ b/daemon/src/engine/right_control.rs
@@ -171,11 +171,11 @@
 impl Engine {
     /// This instance votes from now on, on all groups.
     fn vote(&self) {
-        self.set_knows_orders();
+        self.set_orders_known();
         for shard in self.shards() {
             shard.change_right(PrimaryRight::knows_orders);
         }
-        self.renewal().notify_one();
+        self.lease_renewal().notify_one();
     }
 
     /// Votes on the groups whose orders are known. Returns whether that is so of all.
@@ -185,7 +185,7 @@
     /// voters; and it matters no more when the instance has run for long enough.
     fn vote_where_orders_are_known(&self) -> bool {
         let era = self.store_era().latest();
-        if era == 0 || self.runs_for(FORGETFUL) {
+        if era == 0 || self.has_run_for(FORGETFUL) {
             return true;
         }
         let shards = self.shards();
--- a/daemon/src/engine/server_control.rs
+++ b/daemon/src/engine/server_control.rs
@@ -56,7 +56,7 @@
     }
 
     fn currency(&self) -> Currency {
-        self.engine.record_currency()
+        self.engine.store_read_currency()
     }
 
     /// Servers register, and report their roles, many at a time. Each change ended
--- a/daemon/src/engine/session.rs
+++ b/daemon/src/engine/session.rs
@@ -31,7 +31,6 @@
 use chervilwharf_lib::statement::TransactionState;
 use chervilwharf_lib::waits;
 
-use crate::engine::border::Step;
 use crate::engine::caller::Caller;
 use crate::engine::clock::now;
 use crate::engine::event_log;
@@ -40,6 +39,7 @@
 use crate::engine::request::Failure;
 use crate::engine::request::Request;
 use crate::engine::request::Served;
+use crate::engine::server_connection::Step;
 use crate::engine::shard::Shard;
 use crate::engine::shared::Engine;
 use crate::engine::shared::SessionGuard;
--- a/daemon/src/engine/shard.rs
+++ b/daemon/src/engine/shard.rs
@@ -30,9 +30,6 @@
 use tokio::sync::Notify;
 use tokio::sync::oneshot;
 
-use crate::engine::border::ConnectError;
-use crate::engine::border::Connector;
-use crate::engine::border::ServerConnection;
 use crate::engine::clock::now;
 use crate::engine::event_log;
 use crate::engine::lease::Lease;
@@ -40,6 +37,9 @@
 use crate::engine::peers;
 use crate::engine::peers::PeerError;
 use crate::engine::peers::Peers;
+use crate::engine::server_connection::ConnectError;
+use crate::engine::server_connection::Connector;
+use crate::engine::server_connection::ServerConnection;
 use crate::engine::shard::pool::Pool;
 use crate::engine::waiting::Waiter;
 
@@ -79,7 +79,7 @@
     /// Woken when there is something to find out about the primary.
     doubt: Arc<Notify>,
     /// Woken when the right to use the primary is wanted and missing.
-    renewal: Arc<Notify>,
+    lease_renewal: Arc<Notify>,
     /// Woken when the right to use the primary changed.
     right_changed: Notify,
 }
@@ -120,13 +120,13 @@
     ) -> Self {
         let inner = Inner { budget: 1, group: Group::with_home(home), ..Inner::default() };
         let (inner, right_changed) = (Mutex::new(inner), Notify::new());
-        Self { id, connector, peers, inner, doubt, renewal: Arc::default(), right_changed }
+        Self { id, connector, peers, inner, doubt, lease_renewal: Arc::default(), right_changed }
     }
 
     /// With somebody to wake when the right to use the primary is missing.
     #[must_use]
-    pub fn with_renewal(mut self, renewal: Arc<Notify>) -> Self {
-        self.renewal = renewal;
+    pub fn with_renewal(mut self, lease_renewal: Arc<Notify>) -> Self {
+        self.lease_renewal = lease_renewal;
         self
     }
 
@@ -163,7 +163,7 @@
     /// The primary is wanted: sees to it that the right to use it is renewed.
     pub fn want_leader(&self) {
         if !self.with_group(|group| group.want_leader(now())) {
-            self.renewal.notify_one();
+            self.lease_renewal.notify_one();
         }
     }
 
@@ -194,7 +194,7 @@
             if holds || retired || now() >= until {
                 return holds;
             }
-            self.renewal.notify_one();
+            self.lease_renewal.notify_one();
             let wait = until.saturating_sub(now());
             // Over either way: looked at again.
             let _waited = tokio::time::timeout(wait, changed).await;
--- a/daemon/src/engine/single.rs
+++ b/daemon/src/engine/single.rs
@@ -15,15 +15,15 @@
 use chervilwharf_lib::statement::TransactionState;
 use chervilwharf_lib::waits;
 
-use crate::engine::border::ExchangeError;
-use crate::engine::border::Step;
-use crate::engine::border::StepReply;
 use crate::engine::clock::now;
 use crate::engine::event_log;
 use crate::engine::lease::Lease;
 use crate::engine::request::Failure;
 use crate::engine::request::Request;
 use crate::engine::request::Served;
+use crate::engine::server_connection::ExchangeError;
+use crate::engine::server_connection::Step;
+use crate::engine::server_connection::StepReply;
 use crate::engine::session::Session;
 
 /// A statement as it goes to a server.
--- a/daemon/src/engine/store_signs.rs
+++ b/daemon/src/engine/store_signs.rs
@@ -41,7 +41,7 @@
 
 /// Asks for signs of life for ever.
 pub async fn ask_for_ever(engine: Arc<Engine>, directory: Arc<dyn Directory>, state: StoreState) {
-    let mut signs = Signs { directory, state, limits: engine.silence_limits(), seen: None };
+    let mut signs = Signs { directory, state, limits: engine.store_timeouts(), seen: None };
     loop {
         if signs.state.contact.is_lost() {
             signs.regain().await;
@@ -49,7 +49,7 @@
         }
         let followed = signs.state.contact.followed(KIND);
         match followed {
-            Some(followed) if engine.record_currency() == Currency::Fresh => {
+            Some(followed) if engine.store_read_currency() == Currency::Fresh => {
                 signs.ask(followed).await;
             }
             _ => tokio::time::sleep(UNNEEDED_PAUSE).await,
--- a/daemon/tests/test_duty.rs
+++ b/daemon/tests/test_duty.rs
@@ -162,7 +162,7 @@
 /// An engine in a fleet of its own, in an era of the store, that votes.
 fn engine_in(era: u64, votes: bool) -> Engine {
     let engine = Engine::new(instance("me"), Arc::new(NoServer));
-    engine.take_instances(vec![instance("me")]);
+    engine.apply_instance_list(vec![instance("me")]);
     engine.note_store_era(era, "the test");
     let shard = engine.shard(&"db".into());
     if votes {
--- a/daemon/tests/test_guest.rs
+++ b/daemon/tests/test_guest.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use chervilwharf_daemon::engine::guest::GuestSession;
-use chervilwharf_daemon::engine::peers::Guest;
+use chervilwharf_daemon::engine::peers::ForwardedStatementHandler;
 use chervilwharf_daemon::engine::records;
 use chervilwharf_daemon::engine::shared::Engine;
 use chervilwharf_lib::catalog::Consistency;
--- a/daemon/tests/test_probe.rs
+++ b/daemon/tests/test_probe.rs
@@ -5,10 +5,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use chervilwharf_daemon::engine::border::Connector;
 use chervilwharf_daemon::engine::clock::now;
 use chervilwharf_daemon::engine::probe::Probed;
 use chervilwharf_daemon::engine::probe::probe;
+use chervilwharf_daemon::engine::server_connection::Connector;
 use chervilwharf_daemon::engine::shard::Shard;
 use chervilwharf_lib::id::TargetId;
 use stubs::Full;
--- a/daemon/tests/test_session_values.rs
+++ b/daemon/tests/test_session_values.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use chervilwharf_daemon::engine::guest::GuestSession;
-use chervilwharf_daemon::engine::peers::Guest;
+use chervilwharf_daemon::engine::peers::ForwardedStatementHandler;
 use chervilwharf_daemon::engine::records;
 use chervilwharf_daemon::engine::session::Reply;
 use chervilwharf_daemon::engine::session::Session;
--- a/daemon/tests/test_store_lines.rs
+++ b/daemon/tests/test_store_lines.rs
@@ -63,7 +63,7 @@
     event_log::start_with("a".into(), Box::new(kept.clone())).unwrap();
     let engine = Arc::new(Engine::new(stubs::instance("a"), Arc::new(NoServer)));
     engine.set_catalog(&Arc::new(Catalog { version: 7, ..Catalog::default() }));
-    engine.know_fleet();
+    engine.set_fleet_known();
     let store = ReadOnly::new(&Arc::new(ListsOnly(DirectoryError::Silent)));
     let directory = CountedDirectory::new(store, engine.metrics().store.clone());
     let kind = RecordKind::Configuration;
--- a/daemon/tests/values_world/mod.rs
+++ b/daemon/tests/values_world/mod.rs
@@ -12,12 +12,12 @@
 use std::time::Duration;
 
 use async_trait::async_trait;
-use chervilwharf_daemon::engine::border::ConnectError;
-use chervilwharf_daemon::engine::border::Connector;
-use chervilwharf_daemon::engine::border::ExchangeError;
-use chervilwharf_daemon::engine::border::ServerConnection;
-use chervilwharf_daemon::engine::border::Step;
-use chervilwharf_daemon::engine::border::StepReply;
+use chervilwharf_daemon::engine::server_connection::ConnectError;
+use chervilwharf_daemon::engine::server_connection::Connector;
+use chervilwharf_daemon::engine::server_connection::ExchangeError;
+use chervilwharf_daemon::engine::server_connection::ServerConnection;
+use chervilwharf_daemon::engine::server_connection::Step;
+use chervilwharf_daemon::engine::server_connection::StepReply;
 use chervilwharf_daemon::engine::session::SessionStart;
 use chervilwharf_daemon::engine::shared::Engine;
 use chervilwharf_lib::account::Account;
@@ -280,9 +280,9 @@
         });
         let me = instance("one");
         let engine = Arc::new(Engine::new(me, Arc::new(ValuesServer(shared.clone()))));
-        engine.set_knows_orders();
+        engine.set_orders_known();
         engine.set_registered();
-        engine.know_fleet();
+        engine.set_fleet_known();
         // Two are kept back for probes.
         let settings = GroupSettings { max_connections: connections + 2, sync_replicas: 0 };
         let route = route();
--- a/lib/tests/test_peer_contact.rs
+++ b/lib/tests/test_peer_contact.rs
@@ -31,38 +31,38 @@
 
 #[test]
 fn test_instance_is_trusted_until_one_is_silent() {
-    let mut contacts = PeerContacts::default();
-    assert_eq!(contacts.contact(at(0), &id("a")), Contact::Heard);
-    contacts.heard(at(900), &id("b"));
-    assert!(contacts.missed(at(1_100), at(1_000), &id("a")));
-    assert_eq!(contacts.contact(at(1_100), &id("a")), Contact::Silent);
+    let mut peer_contacts = PeerContacts::default();
+    assert_eq!(peer_contacts.contact(at(0), &id("a")), Contact::Heard);
+    peer_contacts.heard(at(900), &id("b"));
+    assert!(peer_contacts.missed(at(1_100), at(1_000), &id("a")));
+    assert_eq!(peer_contacts.contact(at(1_100), &id("a")), Contact::Silent);
     // It was heard before the other one fell silent, which shows nothing.
-    assert_eq!(contacts.contact(at(1_100), &id("b")), Contact::Unproven);
-    contacts.heard(at(1_150), &id("b"));
-    assert_eq!(contacts.contact(at(1_160), &id("b")), Contact::Heard);
+    assert_eq!(peer_contacts.contact(at(1_100), &id("b")), Contact::Unproven);
+    peer_contacts.heard(at(1_150), &id("b"));
+    assert_eq!(peer_contacts.contact(at(1_160), &id("b")), Contact::Heard);
     // Long after, all are trusted again but the silent one.
-    assert_eq!(contacts.contact(at(9_000), &id("c")), Contact::Heard);
-    assert_eq!(contacts.contact(at(9_000), &id("a")), Contact::Silent);
+    assert_eq!(peer_contacts.contact(at(9_000), &id("c")), Contact::Heard);
+    assert_eq!(peer_contacts.contact(at(9_000), &id("a")), Contact::Silent);
 }
 
 #[test]
 fn test_silent_instance_is_asked_now_and_then_until_it_answers() {
-    let mut contacts = PeerContacts::default();
-    contacts.missed(at(1_000), at(900), &id("a"));
-    assert!(!contacts.take_question(at(1_100), &id("a")), "it was asked just now");
-    assert!(contacts.take_question(at(1_500), &id("a")));
-    assert!(!contacts.take_question(at(1_501), &id("a")));
-    assert!(contacts.heard(at(1_502), &id("a")), "it was silent");
-    assert!(!contacts.take_question(at(2_500), &id("a")));
+    let mut peer_contacts = PeerContacts::default();
+    peer_contacts.missed(at(1_000), at(900), &id("a"));
+    assert!(!peer_contacts.take_question(at(1_100), &id("a")), "it was asked just now");
+    assert!(peer_contacts.take_question(at(1_500), &id("a")));
+    assert!(!peer_contacts.take_question(at(1_501), &id("a")));
+    assert!(peer_contacts.heard(at(1_502), &id("a")), "it was silent");
+    assert!(!peer_contacts.take_question(at(2_500), &id("a")));
 }
 
 /// A question that was lost before an answer to a later one says nothing.
 #[test]
 fn test_instance_that_was_heard_since_is_not_silent() {
-    let mut contacts = PeerContacts::default();
-    contacts.heard(at(1_050), &id("a"));
-    assert!(!contacts.missed(at(1_100), at(1_000), &id("a")));
-    assert_ne!(contacts.contact(at(1_100), &id("a")), Contact::Silent);
+    let mut peer_contacts = PeerContacts::default();
+    peer_contacts.heard(at(1_050), &id("a"));
+    assert!(!peer_contacts.missed(at(1_100), at(1_000), &id("a")));
+    assert_ne!(peer_contacts.contact(at(1_100), &id("a")), Contact::Silent);
 }
 
 fn candidate(name: &str, contact: Contact, unable: bool, near: bool) -> Candidate {
@@ -149,7 +149,7 @@
 /// An entry that knows nothing of a partition that began at 0.
 struct Entry<'a> {
     record: &'a InstanceRecord,
-    contacts: PeerContacts,
+    peer_contacts: PeerContacts,
     /// Without signs of life: silent holders, until they are forgotten.
     forgotten_at: HashMap<InstanceId, Moment>,
     /// Where the present request's time has got to.
@@ -158,8 +158,8 @@
 
 impl<'a> Entry<'a> {
     fn new(record: &'a InstanceRecord) -> Self {
-        let (contacts, forgotten_at) = (PeerContacts::default(), HashMap::new());
-        Self { record, contacts, forgotten_at, now: Moment::ZERO }
+        let (peer_contacts, forgotten_at) = (PeerContacts::default(), HashMap::new());
+        Self { record, peer_contacts, forgotten_at, now: Moment::ZERO }
     }
 
     fn reaches(&self, id: &InstanceId) -> bool {
@@ -168,7 +168,7 @@
 
     fn contact(&self, way: Way, id: &InstanceId) -> Contact {
         match way {
-            Way::BySigns => self.contacts.contact(self.now, id),
+            Way::BySigns => self.peer_contacts.contact(self.now, id),
             Way::ByStatement => match self.forgotten_at.get(id) {
                 Some(until) if *until > self.now => Contact::Silent,
                 _ => Contact::Heard,
@@ -198,9 +198,9 @@
         let reached = asked.iter().any(|id| self.reaches(id));
         for id in asked {
             if self.reaches(id) {
-                self.contacts.heard(self.now, id);
+                self.peer_contacts.heard(self.now, id);
             } else {
-                self.contacts.missed(self.now + SIGN_LIMIT, self.now, id);
+                self.peer_contacts.missed(self.now + SIGN_LIMIT, self.now, id);
             }
         }
         if !asked.is_empty() {
@@ -228,13 +228,13 @@
                     let now = self.now;
                     let ids = candidates.iter().map(|c| c.record.id.clone());
                     let due: Vec<_> =
-                        ids.filter(|id| self.contacts.take_question(now, id)).collect();
+                        ids.filter(|id| self.peer_contacts.take_question(now, id)).collect();
                     if !self.ask(&due) {
                         return false;
                     }
                 }
                 _ if self.reaches(&id) => {
-                    self.contacts.heard(self.now, &id);
+                    self.peer_contacts.heard(self.now, &id);
                     self.now += ROUND_TRIP + SERVICE;
                     return true;
                 }
@@ -256,7 +256,7 @@
             }
             Way::BySigns => {
                 self.now += SIGN_AFTER + SIGN_LIMIT;
-                self.contacts.missed(self.now, sent_at, id);
+                self.peer_contacts.missed(self.now, sent_at, id);
             }
         }
     }
