--- a/daemon/src/engine/leader_control.rs
+++ b/daemon/src/engine/leader_control.rs
@@ -95,7 +95,7 @@
     let claims_from = now() + CLAIM_AFTER;
     loop {
         // Either wakes the loop.
-        let _timeout = tokio::time::timeout(TICK, replacer.engine.doubt().notified()).await;
+        let _timeout = tokio::time::timeout(TICK, replacer.engine.primary_check().notified()).await;
         // Who holds no connections cannot tell how a primary is, and leaves it
         // to those who do.
         for shard in replacer.engine.held_shards() {
@@ -144,7 +144,7 @@
             tokio::spawn(async move {
                 if probe::probe(&shard, &id).await == Probed::Failed {
                     replacer.engine.watches().with(shard.id(), |watch| watch.probe_failed(&id));
-                    replacer.engine.doubt().notify_one();
+                    replacer.engine.primary_check().notify_one();
                 }
             });
         }
--- a/daemon/src/engine/shared.rs
+++ b/daemon/src/engine/shared.rs
@@ -86,7 +86,7 @@
     statement_links: Arc<StatementLinks>,
     watches: LeaderWatches,
     /// Woken when there is something to find out about a primary.
-    doubt: Arc<Notify>,
+    primary_check: Arc<Notify>,
     /// Woken when the right to use a primary is wanted and missing.
     lease_renewal: Arc<Notify>,
     voter_lists: VoterLists,
@@ -145,7 +145,7 @@
             peer_contacts: Contacts::default(),
             statement_links: Arc::default(),
             watches: LeaderWatches::default(),
-            doubt: Arc::default(),
+            primary_check: Arc::default(),
             lease_renewal: Arc::default(),
             voter_lists: VoterLists::default(),
             registered: AtomicBool::new(false),
@@ -267,8 +267,8 @@
 
     /// Woken when there is something to find out about a primary.
     #[must_use]
-    pub fn doubt(&self) -> &Notify {
-        &self.doubt
+    pub fn primary_check(&self) -> &Notify {
+        &self.primary_check
     }
 
     /// Woken when the right to use a primary is wanted and missing.
@@ -368,7 +368,8 @@
         let shard = shards.entry(group.clone()).or_insert_with(|| {
             let home = self.me.failure_domain.clone();
             let (connector, peers) = (self.connector.clone(), self.peers.clone());
-            let shard = Shard::new(group.clone(), home, connector, peers, self.doubt.clone());
+            let shard =
+                Shard::new(group.clone(), home, connector, peers, self.primary_check.clone());
             let shard = shard.with_renewal(self.lease_renewal.clone());
             shard.with_group(|group| {
                 *group.right_mut() = PrimaryRight::unknown().with_start(self.started_at);
