--- a/daemon/src/engine/account_metrics.rs
+++ b/daemon/src/engine/account_metrics.rs
@@ -12,10 +12,10 @@
 
 /// Accounts that have counters of their own. Those that come later share one, so that
 /// the number of accounts does not decide how large an answer with metrics is.
-const MOST_NAMED: usize = 256;
+const MAX_NAMED_ACCOUNTS: usize = 256;
 
 /// Stands for the accounts without counters of their own.
-const OTHERS: &str = "other";
+const OTHER_ACCOUNTS: &str = "other";
 
 /// Labels of statements by account.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -39,13 +39,14 @@
     /// A statement of an account ended.
     pub fn ended(&self, account: &AccountId, failure: Option<ErrorKind>) {
         let outcome = failure.map_or("ok", ErrorKind::name);
-        let account = if self.is_named(account) { account } else { OTHERS };
+        let account = if self.is_named(account) { account } else { OTHER_ACCOUNTS };
         let labels = AccountLabels { account: account.to_owned(), outcome };
         self.statements.get_or_create(&labels).inc();
     }
 
     fn is_named(&self, account: &AccountId) -> bool {
         let mut named = self.named.lock().expect("never poisoned");
-        named.contains(account) || (named.len() < MOST_NAMED && named.insert(account.clone()))
+        named.contains(account)
+            || (named.len() < MAX_NAMED_ACCOUNTS && named.insert(account.clone()))
     }
 }
--- a/daemon/src/engine/configuration_control.rs
+++ b/daemon/src/engine/configuration_control.rs
@@ -32,7 +32,7 @@
         Self { engine }
     }
 
-    fn take(&self, entry: Entry) {
+    fn apply(&self, entry: Entry) {
         let Record::Configuration(catalog) = entry.record else {
             return;
         };
@@ -101,14 +101,14 @@
     fn replace(&mut self, listing: Listing) {
         self.engine.note_store_answered();
         for entry in listing.entries {
-            self.take(entry);
+            self.apply(entry);
         }
     }
 
     fn change(&mut self, _revision: Revision, changes: Vec<Change>) {
         for change in changes {
             if let Change::Present(entry) = change {
-                self.take(entry);
+                self.apply(entry);
             }
         }
     }
--- a/daemon/src/engine/controllers.rs
+++ b/daemon/src/engine/controllers.rs
@@ -56,7 +56,7 @@
     tokio::spawn(fleet_control::send_heartbeats(engine.clone(), directory.clone()));
     tokio::spawn(quota_control::maintain_keeper_leases(engine.clone()));
     tokio::spawn(peers::serve(engine.clone(), peer_listener));
-    tokio::spawn(ask_seeds(engine.clone(), seeds.to_vec()));
+    tokio::spawn(pull_from_seeds(engine.clone(), seeds.to_vec()));
     tokio::spawn(start_without_peers(engine.clone()));
 }
 
@@ -66,13 +66,14 @@
     directory: &Arc<dyn Directory>,
 ) -> Vec<JoinHandle<()>> {
     let state = StoreState { era: engine.store_era().clone(), ..StoreState::default() };
-    let signs = store_signs::ask_for_ever(engine.clone(), directory.clone(), state.clone());
+    let liveness_checks =
+        store_signs::ask_for_ever(engine.clone(), directory.clone(), state.clone());
     let configuration = ConfigurationFollower::new(engine.clone());
     let servers = ServerFollower::new(engine.clone());
     let instances = InstanceFollower::new(engine.clone());
     let duties = DutyFollower::new(engine.clone());
     vec![
-        tokio::spawn(signs),
+        tokio::spawn(liveness_checks),
         tokio::spawn(follow(directory.clone(), state.clone(), configuration)),
         tokio::spawn(follow(directory.clone(), state.clone(), servers)),
         tokio::spawn(follow(directory.clone(), state.clone(), instances)),
@@ -83,25 +84,27 @@
 /// How long a starting instance waits to hear of others, from the store or from
 /// them: the store answers after 4 ms, or 200 ms when it is slow, and others
 /// are asked after 250 ms.
-const OTHERS_WAIT: Duration = Duration::from_secs(1);
+const PEER_DISCOVERY_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Without the store and without others an instance serves all by itself.
 async fn start_without_peers(engine: Arc<Engine>) {
     // Once they are listed, others are asked whom the list lacks.
-    if engine.wait_for_fleet(OTHERS_WAIT).await || engine.is_fleet_listed() {
+    if engine.wait_for_fleet(PEER_DISCOVERY_TIMEOUT).await || engine.is_fleet_listed() {
         return;
     }
-    event_log::emit(&Event::new(EventKind::FleetUnknown).with_ms("waited_ms", OTHERS_WAIT));
+    event_log::emit(
+        &Event::new(EventKind::FleetUnknown).with_ms("waited_ms", PEER_DISCOVERY_TIMEOUT),
+    );
     engine.set_fleet_known();
 }
 
 /// Pause between two rounds over the seeds.
-const SEED_PAUSE: Duration = Duration::from_millis(500);
+const SEED_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Learns configuration and servers from other instances while the store does
 /// not answer. An instance that restarts during an outage of the store would
 /// otherwise serve nobody until its end.
-async fn ask_seeds(engine: Arc<Engine>, seeds: Vec<SocketAddr>) {
+async fn pull_from_seeds(engine: Arc<Engine>, seeds: Vec<SocketAddr>) {
     tokio::time::sleep(PEER_FALLBACK_DELAY).await;
     while engine.lacks_records() {
         // They are three for all instances; asked by 180 that had started together,
@@ -117,6 +120,6 @@
             };
             pull_directory(&engine, &record).await;
         }
-        tokio::time::sleep(SEED_PAUSE).await;
+        tokio::time::sleep(SEED_RETRY_INTERVAL).await;
     }
 }
--- a/daemon/src/engine/fleet_control.rs
+++ b/daemon/src/engine/fleet_control.rs
@@ -30,12 +30,12 @@
 
 /// A pause between two rounds longer than this means that this instance stood
 /// still itself.
-const STOOD_STILL: Duration = Duration::from_millis(1_500);
+const PROCESS_PAUSE_THRESHOLD: Duration = Duration::from_millis(1_500);
 
 /// Shortest pause between two rounds of heartbeats, where the right to use a
 /// primary is wanted and missing: what 7 instances send then is a twentieth of
 /// their processor at most.
-const RENEWAL_PAUSE: Duration = Duration::from_millis(50);
+const MIN_RENEWAL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Sends heartbeats for ever.
 pub async fn send_heartbeats(engine: Arc<Engine>, directory: Arc<dyn Directory>) {
@@ -44,12 +44,12 @@
         tokio::select! {
             () = tokio::time::sleep(HEARTBEAT_INTERVAL) => {}
             // Grants come with the replies.
-            () = engine.lease_renewal().notified() => tokio::time::sleep(RENEWAL_PAUSE).await,
+            () = engine.lease_renewal().notified() => tokio::time::sleep(MIN_RENEWAL_INTERVAL).await,
         }
         let at = now();
-        if at > last_round + STOOD_STILL {
-            let still = at.saturating_sub(last_round);
-            event_log::emit(&Event::new(EventKind::StoodStill).with_ms("for_ms", still));
+        if at > last_round + PROCESS_PAUSE_THRESHOLD {
+            let paused_for = at.saturating_sub(last_round);
+            event_log::emit(&Event::new(EventKind::StoodStill).with_ms("for_ms", paused_for));
             engine.with_fleet(|fleet| fleet.stood_still(at));
             engine.peer_contacts().forget();
         }
@@ -76,8 +76,8 @@
 async fn heartbeat(engine: &Arc<Engine>, target: &HeartbeatTarget) {
     let asked_at = now();
     let peer = &target.record;
-    let question = Body::Heartbeat(engine.heartbeat(&target.shared_groups));
-    let answer = engine.peers().ask(peer.peer_address, question).await;
+    let request = Body::Heartbeat(engine.heartbeat(&target.shared_groups));
+    let answer = engine.peers().ask(peer.peer_address, request).await;
     let Ok(Body::HeartbeatReply(reply)) = answer else {
         engine.peer_contacts().missed(asked_at, &peer.id);
         return;
@@ -132,11 +132,11 @@
     pub fn voters_and_co_holders(&self, group: &GroupId) -> Vec<InstanceRecord> {
         let mut records = self.co_holders(group);
         let voters = self.voters(group);
-        let lacking = voters.iter().filter(|id| !records.iter().any(|record| record.id == **id));
-        let lacking: Vec<_> = lacking.cloned().collect();
+        let missing = voters.iter().filter(|id| !records.iter().any(|record| record.id == **id));
+        let missing: Vec<_> = missing.cloned().collect();
         records.extend(self.with_fleet(|fleet| {
             let record = |id: &InstanceId| fleet.record(id).cloned();
-            lacking.iter().filter_map(record).collect::<Vec<_>>()
+            missing.iter().filter_map(record).collect::<Vec<_>>()
         }));
         records
     }
@@ -171,9 +171,9 @@
 
     /// The reply to a heartbeat, with what is known of the groups it names.
     #[must_use]
-    pub fn heartbeat_reply(&self, question: &Heartbeat) -> Heartbeat {
+    pub fn heartbeat_reply(&self, request: &Heartbeat) -> Heartbeat {
         let catalog = self.catalog();
-        let shards: Vec<_> = question
+        let shards: Vec<_> = request
             .demands
             .iter()
             .map(|demand| GroupId::from(demand.group.as_str()))
@@ -189,7 +189,7 @@
             Some(PositionSample { group, term: position.term, index: position.index, age_ms })
         };
         let samples = shards.iter().filter_map(sample).collect();
-        let grants = self.grants(at, &question.instance, &question.demands);
+        let grants = self.grants(at, &request.instance, &request.demands);
         let lacks_records = self.take_records_request();
         Heartbeat { samples, grants, lacks_records, ..self.heartbeat(&shards) }
     }
--- a/daemon/src/engine/instance_control.rs
+++ b/daemon/src/engine/instance_control.rs
@@ -44,51 +44,51 @@
         Self { engine, listed_era: None }
     }
 
-    fn take_all(&mut self, records: Vec<InstanceRecord>, era: Era) {
+    fn apply_listing(&mut self, records: Vec<InstanceRecord>, era: Era) {
         let before = self.listed_era.replace(era);
         let update = if before.is_some_and(|before| before < era) {
             Fleet::replace_by_copy
         } else {
             Fleet::replace
         };
-        self.engine.list_instances(records, update);
+        self.engine.record_instance_listing(records, update);
         if era == 0 || self.engine.is_fleet_known() {
             self.engine.set_fleet_known();
         } else {
-            tokio::spawn(go_on_with_newest_records(self.engine.clone()));
+            tokio::spawn(complete_records_from_peers(self.engine.clone()));
         }
     }
 }
 
 /// Instances that one asks for newer records when it starts.
-const ASKED_AT_START: usize = 3;
+const PEERS_ASKED_AT_START: usize = 3;
 
 /// How long an instance waits at its start for another one that knows all, after a
 /// copy of the store that may lack some: those that are alive are listed again by then.
-const LISTED_AGAIN: Duration = Duration::from_secs(3);
+const RELISTING_TIME: Duration = Duration::from_secs(3);
 
 /// Pause between two rounds of asking others at the start.
-const ASK_PAUSE: Duration = Duration::from_millis(100);
+const PEER_QUERY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Asks some of the others what they know before this instance goes on.
 ///
 /// A store that came back from a copy can hold a configuration that others have
 /// succeeded already, and lack instances that vote; until they are written again, one
 /// that starts would serve by it, and take fewer votes for most.
-async fn go_on_with_newest_records(engine: Arc<Engine>) {
+async fn complete_records_from_peers(engine: Arc<Engine>) {
     while !engine.is_fleet_known() {
         let others: Vec<_> = engine.with_fleet(|fleet| fleet.others().cloned().collect());
-        let asked = others.choose_multiple(&mut rand::rng(), ASKED_AT_START);
+        let asked = others.choose_multiple(&mut rand::rng(), PEERS_ASKED_AT_START);
         let pulls: FuturesUnordered<_> = asked.map(|peer| pull_directory(&engine, peer)).collect();
         // The first one that knows all will do: those that are gone never answer.
-        let told = pulls.any(std::future::ready).await;
+        let got_instances = pulls.any(std::future::ready).await;
         // A duty is taken in an era when all that are alive are listed again.
         let is_settled =
             engine.with_duties(|duties| duties.is_any_taken_in(engine.store_era().latest()));
-        if told || is_settled || engine.has_run_for(LISTED_AGAIN) {
+        if got_instances || is_settled || engine.has_run_for(RELISTING_TIME) {
             return engine.set_fleet_known();
         }
-        tokio::time::sleep(ASK_PAUSE).await;
+        tokio::time::sleep(PEER_QUERY_INTERVAL).await;
     }
 }
 
@@ -122,7 +122,7 @@
             self.engine.set_earlier_record(earlier);
             self.engine.record_write_needed().notify_one();
         }
-        self.take_all(records, listing.revision.era);
+        self.apply_listing(records, listing.revision.era);
     }
 
     fn change(&mut self, _revision: Revision, changes: Vec<Change>) {
@@ -144,7 +144,7 @@
 }
 
 /// Pause before the record is written again after a failure.
-const REGISTER_PAUSE: Duration = Duration::from_millis(400);
+const REGISTRATION_RETRY_DELAY: Duration = Duration::from_millis(400);
 
 /// Keeps the record of this instance in the store until it stops.
 pub async fn keep_record(engine: Arc<Engine>, directory: Arc<dyn Directory>) {
@@ -156,7 +156,7 @@
                 Err(error) => {
                     let event = Event::new(EventKind::InstanceRecordFailed);
                     event_log::emit(&event.with("reason", error));
-                    tokio::time::sleep(REGISTER_PAUSE).await;
+                    tokio::time::sleep(REGISTRATION_RETRY_DELAY).await;
                 }
             }
         }
--- a/daemon/src/engine/metrics.rs
+++ b/daemon/src/engine/metrics.rs
@@ -117,7 +117,7 @@
 pub struct StoreMetrics {
     calls: Family<StoreLabels, Counter>,
     answers: Arc<Mutex<HashMap<RecordKind, LastAnswer>>>,
-    last_sign: Arc<Mutex<Option<Moment>>>,
+    last_liveness_reply: Arc<Mutex<Option<Moment>>>,
     age_seconds: Family<KindLabels, SecondsGauge>,
 }
 
@@ -131,7 +131,7 @@
     pub fn record_liveness_check(&self, succeeded: bool) {
         self.count("signs".to_owned(), succeeded);
         if succeeded {
-            *self.last_sign.lock().expect("never poisoned") = Some(now());
+            *self.last_liveness_reply.lock().expect("never poisoned") = Some(now());
         }
     }
 
@@ -149,9 +149,9 @@
     /// Time since the last answer of any kind; `None` before the first.
     #[must_use]
     pub fn answer_age(&self) -> Option<Duration> {
-        let sign = *self.last_sign.lock().expect("never poisoned");
+        let liveness_reply_at = *self.last_liveness_reply.lock().expect("never poisoned");
         let answers = self.answers.lock().expect("never poisoned");
-        let newest = answers.values().map(|answer| answer.at).chain(sign).max()?;
+        let newest = answers.values().map(|answer| answer.at).chain(liveness_reply_at).max()?;
         Some(now().saturating_sub(newest))
     }
 
@@ -161,7 +161,7 @@
         self.answers.lock().expect("never poisoned").get(&kind)?.gap
     }
 
-    fn look_at_ages(&self) {
+    fn update_answer_ages(&self) {
         for (kind, answer) in self.answers.lock().expect("never poisoned").iter() {
             let age = now().saturating_sub(answer.at);
             let labels = KindLabels { kind: kind.to_string() };
@@ -182,7 +182,7 @@
     /// Time that statements spent at servers.
     server_seconds: HistogramFamily<ServerLabels>,
     /// Tries that were followed by another one.
-    tries_again: Family<ReasonLabels, Counter>,
+    retries: Family<ReasonLabels, Counter>,
     /// Calls to the platform's store.
     pub store: StoreMetrics,
     /// Statements by client account.
@@ -214,7 +214,7 @@
             statement_seconds: histograms(),
             wait_seconds: histograms(),
             server_seconds: histograms(),
-            tries_again: Family::default(),
+            retries: Family::default(),
             store: StoreMetrics::default(),
             accounts: AccountMetrics::default(),
             replacement_seconds: histograms(),
@@ -238,7 +238,7 @@
         registry.register("statement_seconds", "Arrival to answer", seconds);
         registry.register("wait_seconds", "Wait for a connection", self.wait_seconds.clone());
         registry.register("server_seconds", "Time at servers", self.server_seconds.clone());
-        registry.register("tries_again", "Tries followed by others", self.tries_again.clone());
+        registry.register("tries_again", "Tries followed by others", self.retries.clone());
         let statements = self.accounts.statements.clone();
         registry.register("account_statements", "Statements by account", statements);
         registry.register("store_calls", "Calls to the store", self.store.calls.clone());
@@ -298,7 +298,7 @@
 
     /// A try was followed by another one.
     pub fn moved(&self, reason: ErrorKind) {
-        self.tries_again.get_or_create(&ReasonLabels { reason: reason.name() }).inc();
+        self.retries.get_or_create(&ReasonLabels { reason: reason.name() }).inc();
     }
 
     /// All metrics as text.
@@ -307,10 +307,10 @@
         self.configuration_version.set(i64::try_from(engine.catalog().version).unwrap_or(i64::MAX));
         self.sessions.set(i64::try_from(engine.session_count()).unwrap_or(i64::MAX));
         self.lines_left_out.set(i64::try_from(event_log::left_out()).unwrap_or(i64::MAX));
-        self.store.look_at_ages();
+        self.store.update_answer_ages();
         self.connections.clear();
         for shard in engine.shards() {
-            self.look_at(&shard);
+            self.update_shard_gauges(&shard);
         }
         let mut text = String::new();
         // Writing to a String cannot fail.
@@ -318,7 +318,7 @@
         text
     }
 
-    fn look_at(&self, shard: &Shard) {
+    fn update_shard_gauges(&self, shard: &Shard) {
         let labels = GroupLabels { group: shard.id().to_string() };
         let waiting = i64::try_from(shard.waiting()).unwrap_or(i64::MAX);
         self.waiting.get_or_create(&labels).set(waiting);
--- a/daemon/src/engine/peer_records.rs
+++ b/daemon/src/engine/peer_records.rs
@@ -38,17 +38,17 @@
 /// it told which instances there are.
 pub async fn pull_directory(engine: &Engine, peer: &InstanceRecord) -> bool {
     let known_servers = engine.servers_revision();
-    let question = Body::DirectoryPull(DirectoryPull {
+    let request = Body::DirectoryPull(DirectoryPull {
         configuration_version: engine.catalog().version,
         servers_revision: known_servers.number,
         servers_era: known_servers.era,
         knows_instances: engine.is_fleet_listed() && engine.is_fleet_known(),
     });
-    let reason = match engine.peers().ask(peer.peer_address, question).await {
+    let reason = match engine.peers().ask(peer.peer_address, request).await {
         Ok(Body::DirectoryState(state)) => {
-            let tells_instances = !state.instances.is_empty();
+            let has_instances = !state.instances.is_empty();
             engine.apply_directory_state(state);
-            return tells_instances;
+            return has_instances;
         }
         Ok(_) => "it answered something else than was asked".to_owned(),
         Err(error) => error.to_string(),
@@ -63,10 +63,12 @@
     /// store turns this instance away, others may still be served by it.
     #[must_use]
     pub fn should_pull_from(&self, heartbeat: &Heartbeat) -> bool {
-        let told = Revision::new(heartbeat.servers_era, heartbeat.servers_revision);
-        let newer_servers = told > self.servers_revision();
-        let late = self.has_servers_outage() || self.store_read_currency() == Currency::MayBeOld;
-        heartbeat.configuration_version > self.catalog().version || (newer_servers && late)
+        let peer_revision = Revision::new(heartbeat.servers_era, heartbeat.servers_revision);
+        let newer_servers = peer_revision > self.servers_revision();
+        let may_be_outdated =
+            self.has_servers_outage() || self.store_read_currency() == Currency::MayBeOld;
+        heartbeat.configuration_version > self.catalog().version
+            || (newer_servers && may_be_outdated)
     }
 
     /// Takes over what another instance tells of the platform's records.
@@ -77,7 +79,7 @@
             self.apply_configuration(&catalog, &ConfigurationSource::Peer(from.as_str().into()));
         }
         let instances = state.instances.into_iter().filter_map(records::decode_instance);
-        self.take_told_instances(instances.collect());
+        self.apply_peer_instances(instances.collect());
         let servers = state.servers.into_iter().filter_map(records::decode_server);
         let servers: Vec<_> = servers.collect();
         let revision = Revision::new(state.servers_era, state.servers_revision);
@@ -92,7 +94,7 @@
 
     /// Takes over which instances another one knows. Only a start needs them, without
     /// the store or with a copy of it; later the store's list is newer.
-    fn take_told_instances(&self, instances: Vec<InstanceRecord>) {
+    fn apply_peer_instances(&self, instances: Vec<InstanceRecord>) {
         if instances.is_empty() {
             return;
         }
@@ -106,8 +108,8 @@
     /// How current this instance's own view of configuration and servers is.
     #[must_use]
     pub fn store_read_currency(&self) -> Currency {
-        let relays = self.with_fleet(|fleet| fleet.is_relay(now(), &self.me().failure_domain));
-        if relays { Currency::Fresh } else { Currency::MayBeOld }
+        let is_relay = self.with_fleet(|fleet| fleet.is_relay(now(), &self.me().failure_domain));
+        if is_relay { Currency::Fresh } else { Currency::MayBeOld }
     }
 
     /// What this instance knows of the platform's records and another lacks.
--- a/daemon/src/engine/peers.rs
+++ b/daemon/src/engine/peers.rs
@@ -36,7 +36,7 @@
 
 /// Time for an answer, connecting included: many times a round trip of 3 ms,
 /// short enough that several tries fit into the time to notice a dead primary.
-const ASK_TIMEOUT: Duration = Duration::from_millis(300);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
 
 type Frames = Framed<TcpStream, LengthDelimitedCodec>;
 
@@ -47,7 +47,7 @@
     /// it cannot be reached: {0}
     Unreachable(String),
     /// it did not answer in time
-    Silent,
+    TimedOut,
     /// its answer cannot be read
     Unreadable,
 }
@@ -159,36 +159,41 @@
     match answer {
         Ok(Ok(answer)) => Ok(answer),
         Ok(Err(LinkError::NotConnected(error) | LinkError::Failed(error))) => Err(error),
-        Err(_) => Err(PeerError::Silent),
+        Err(_) => Err(PeerError::TimedOut),
     }
 }
 
 /// Asks on the kept link, and on a new one as well if that gives no answer.
-async fn ask_twice(link: &SharedLink, address: SocketAddr, body: Body) -> Result<Body, LinkError> {
+async fn ask_on_kept_or_new_link(
+    link: &SharedLink,
+    address: SocketAddr,
+    body: Body,
+) -> Result<Body, LinkError> {
     let is_kept = link.try_lock().is_ok_and(|link| link.is_open());
     if !is_kept {
         return link.lock().await.exchange(address, body).await;
     }
-    let on_kept = body.clone();
-    let mut asking = Box::pin(async move { link.lock().await.exchange(address, on_kept).await });
-    if let Ok(answer) = tokio::time::timeout(SIGN_LIMIT, &mut asking).await {
+    let body_on_kept = body.clone();
+    let mut pending =
+        Box::pin(async move { link.lock().await.exchange(address, body_on_kept).await });
+    if let Ok(answer) = tokio::time::timeout(SIGN_LIMIT, &mut pending).await {
         return answer;
     }
-    let mut fresh = PeerLink::default();
+    let mut new_link = PeerLink::default();
     let answer = tokio::select! {
-        Ok(answer) = &mut asking => return Ok(answer),
-        answer = fresh.exchange(address, body) => answer?,
+        Ok(answer) = &mut pending => return Ok(answer),
+        answer = new_link.exchange(address, body) => answer?,
     };
     // Closes the link that gave no answer.
-    drop(asking);
-    keep(link, fresh);
+    drop(pending);
+    keep(link, new_link);
     Ok(answer)
 }
 
 /// Keeps a new link in place of the one before, unless that is in use.
-fn keep(link: &SharedLink, fresh: PeerLink) {
+fn keep(link: &SharedLink, new_link: PeerLink) {
     if let Ok(mut kept) = link.try_lock() {
-        *kept = fresh;
+        *kept = new_link;
     }
 }
 
@@ -203,7 +208,10 @@
     /// When no answer came in time.
     pub async fn ask(&self, address: SocketAddr, body: Body) -> Result<Body, PeerError> {
         let link = self.link(address);
-        flatten(tokio::time::timeout(ASK_TIMEOUT, ask_twice(&link, address, body)).await)
+        flatten(
+            tokio::time::timeout(REQUEST_TIMEOUT, ask_on_kept_or_new_link(&link, address, body))
+                .await,
+        )
     }
 
     /// Asks another instance on a new link, within `limit`.
@@ -217,10 +225,10 @@
         body: Body,
         limit: Duration,
     ) -> Result<Body, PeerError> {
-        let mut fresh = PeerLink::default();
-        let exchange = fresh.exchange(address, body);
+        let mut new_link = PeerLink::default();
+        let exchange = new_link.exchange(address, body);
         let answer = flatten(tokio::time::timeout(limit, exchange).await)?;
-        keep(&self.link(address), fresh);
+        keep(&self.link(address), new_link);
         Ok(answer)
     }
 
@@ -241,13 +249,13 @@
     ) -> Result<TcpStream, PeerError> {
         let mut frames = frames(connect(address).await?);
         let frame = EngineFrame { exchange_id: 1, body: Some(Body::Tunnel(tunnel)) };
-        let asking = async {
+        let pending = async {
             let sent = frames.send(Bytes::from(frame.encode_to_vec())).await;
             sent.map_err(|error| unreachable(&error))?;
             read_frame(&mut frames).await
         };
-        let reply = tokio::time::timeout(ASK_TIMEOUT, asking).await;
-        match reply.unwrap_or(Err(PeerError::Silent))?.body {
+        let reply = tokio::time::timeout(REQUEST_TIMEOUT, pending).await;
+        match reply.unwrap_or(Err(PeerError::TimedOut))?.body {
             // The server speaks only when spoken to: nothing is buffered yet.
             Some(Body::TunnelReply(reply)) if reply.connected => Ok(frames.into_inner()),
             Some(Body::TunnelReply(_)) => {
@@ -274,7 +282,7 @@
 /// Answers other instances.
 pub trait PeerHandler: Send + Sync {
     /// The answer to a question; `None` if it is none.
-    fn answer(&self, question: Body) -> Option<Body>;
+    fn answer(&self, request: Body) -> Option<Body>;
 
     /// Serves statements of another instance's clients on one link.
     fn guest(self: Arc<Self>) -> Box<dyn ForwardedStatementHandler>;
@@ -289,20 +297,20 @@
         match listener.accept().await {
             Ok((stream, _)) => {
                 let handler = handler.clone();
-                tokio::spawn(async move { answer_all(handler, stream).await });
+                tokio::spawn(async move { serve_connection(handler, stream).await });
             }
             Err(error) => {
                 event_log::emit(&Event::new(EventKind::PeerFailed).with("reason", error));
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
 /// Pause after the system refused to accept a connection.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-async fn answer_all(handler: Arc<dyn PeerHandler>, stream: TcpStream) {
+async fn serve_connection(handler: Arc<dyn PeerHandler>, stream: TcpStream) {
     if let Err(error) = socket::configure(&stream) {
         event_log::emit(&Event::new(EventKind::PeerFailed).with("reason", error));
         return;
@@ -314,7 +322,7 @@
             let target = handler.tunnel_target(tunnel);
             let event = Event::new(EventKind::TunnelOpened).with("group", &tunnel.group);
             event_log::emit(&event.with("server", &tunnel.server).with_some("address", target));
-            carry_tunnel(frames, frame.exchange_id, target).await;
+            run_tunnel(frames, frame.exchange_id, target).await;
             return;
         }
         let body = match frame.body {
@@ -322,7 +330,7 @@
                 let guest = guest.get_or_insert_with(|| handler.clone().guest());
                 Some(Body::StatementReply(guest.run(statement).await))
             }
-            Some(question) => handler.answer(question),
+            Some(request) => handler.answer(request),
             None => None,
         };
         let Some(body) = body else {
@@ -338,7 +346,7 @@
 }
 
 /// Connects a stream of another instance with a server, until either closes.
-async fn carry_tunnel(mut frames: Frames, exchange_id: u64, target: Option<SocketAddr>) {
+async fn run_tunnel(mut frames: Frames, exchange_id: u64, target: Option<SocketAddr>) {
     let server = match target {
         Some(target) => connect(target).await,
         None => Err(PeerError::Unreachable("not listed".to_owned())),
@@ -360,12 +368,12 @@
 ///
 /// When it cannot be opened in time.
 pub async fn connect(address: SocketAddr) -> Result<TcpStream, PeerError> {
-    match tokio::time::timeout(ASK_TIMEOUT, TcpStream::connect(address)).await {
+    match tokio::time::timeout(REQUEST_TIMEOUT, TcpStream::connect(address)).await {
         Ok(Ok(stream)) => {
             socket::configure(&stream).map_err(|error| unreachable(&error))?;
             Ok(stream)
         }
         Ok(Err(error)) => Err(unreachable(&error)),
-        Err(_) => Err(PeerError::Silent),
+        Err(_) => Err(PeerError::TimedOut),
     }
 }
--- a/daemon/src/engine/quota_control.rs
+++ b/daemon/src/engine/quota_control.rs
@@ -42,18 +42,18 @@
 use crate::engine::shared::Engine;
 
 /// Time between two looks at the shards: a fraction of the stagger of candidates.
-const ROUND: Duration = Duration::from_millis(50);
+const SHARD_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Longest time for a keeper's answer: several round trips, and short against the
 /// objective of any request.
-const ASK_LIMIT: Duration = Duration::from_millis(100);
+const KEEPER_ANSWER_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// A keeper that did not answer is not asked again for this long.
-const SILENT_FOR: Duration = Duration::from_millis(300);
+const KEEPER_SKIP_TIME: Duration = Duration::from_millis(300);
 
 /// Keepers that are asked for one operation: one that is believed to be it, and one
 /// that the first names.
-const KEEPERS_ASKED: usize = 2;
+const MAX_KEEPERS_ASKED: usize = 2;
 
 /// What an instance does about one shard of accounts.
 #[derive(Default)]
@@ -61,7 +61,7 @@
     voters: Arc<Vec<InstanceRecord>>,
     lease: KeeperLease,
     renewed_at: Moment,
-    book: QuotaBook,
+    counters: QuotaBook,
     /// The instance that answered last as the keeper.
     keeper: Option<InstanceRecord>,
 }
@@ -72,7 +72,7 @@
     /// Records from which the voters were computed.
     recorded: Vec<InstanceRecord>,
     allowances: HashMap<AccountId, Allowance>,
-    silent_until: HashMap<InstanceId, Moment>,
+    skipped_until: HashMap<InstanceId, Moment>,
 }
 
 /// What an instance knows of quotas.
@@ -92,7 +92,7 @@
                 shards,
                 recorded: Vec::new(),
                 allowances: HashMap::new(),
-                silent_until: HashMap::new(),
+                skipped_until: HashMap::new(),
             }),
         }
     }
@@ -120,10 +120,10 @@
         shard: ShardNumber,
         asked: &[InstanceId],
     ) -> Option<InstanceRecord> {
-        self.silent_until.retain(|_, until| *until > at);
-        let silent = &self.silent_until;
+        self.skipped_until.retain(|_, until| *until > at);
+        let skipped = &self.skipped_until;
         let usable = |record: &&InstanceRecord| {
-            !silent.contains_key(&record.id) && !asked.contains(&record.id)
+            !skipped.contains_key(&record.id) && !asked.contains(&record.id)
         };
         let shard = &self.shards[shard as usize];
         let known = shard.keeper.as_ref().filter(usable);
@@ -134,16 +134,16 @@
 /// Keeps shards of accounts, as long as this instance should, for ever.
 pub async fn maintain_keeper_leases(engine: Arc<Engine>) {
     loop {
-        tokio::time::sleep(ROUND).await;
-        let counts = engine.catalog().accounts.is_some();
+        tokio::time::sleep(SHARD_CHECK_INTERVAL).await;
+        let has_accounts = engine.catalog().accounts.is_some();
         // Who knows no others would take itself for a majority.
-        if !counts || !engine.is_fleet_listed() || !engine.is_fleet_known() {
+        if !has_accounts || !engine.is_fleet_listed() || !engine.is_fleet_known() {
             continue;
         }
         engine.update_keeper_voters();
         let shards = 0..SHARDS;
-        let due: Vec<_> = shards.filter(|shard| engine.should_ask_votes(*shard)).collect();
-        join_all(due.into_iter().map(|shard| engine.ask_votes(shard))).await;
+        let due: Vec<_> = shards.filter(|shard| engine.should_request_votes(*shard)).collect();
+        join_all(due.into_iter().map(|shard| engine.request_votes(shard))).await;
     }
 }
 
@@ -154,7 +154,7 @@
     }
 
     /// Asks for a vote, or gives it back.
-    fn vote_question(&self, shard: ShardNumber, released: bool) -> KeeperVote {
+    fn vote_request(&self, shard: ShardNumber, released: bool) -> KeeperVote {
         let Candidate { id, life } = self.as_candidate();
         KeeperVote { shard, instance: id.to_string(), life, released }
     }
@@ -174,7 +174,7 @@
         inner.recorded = recorded;
     }
 
-    fn should_ask_votes(&self, number: ShardNumber) -> bool {
+    fn should_request_votes(&self, number: ShardNumber) -> bool {
         let at = now();
         if self.is_stopping() {
             self.release_shard(number);
@@ -186,20 +186,20 @@
             return false;
         };
         let rank = u32::try_from(rank).unwrap_or(u32::MAX);
-        let asks = if shard.lease.is_held(at) {
+        let is_due = if shard.lease.is_held(at) {
             shard.renewed_at + RENEWAL <= at
         } else {
             inner.votes.should_try(at, number, rank)
         };
-        if asks {
+        if is_due {
             shard.renewed_at = at;
         }
-        asks
+        is_due
     }
 
-    async fn ask_votes(&self, number: ShardNumber) {
+    async fn request_votes(&self, number: ShardNumber) {
         let voters = self.quota().lock().shard(number).voters.clone();
-        let asking = voters.iter().map(|voter| self.ask_vote(number, voter));
+        let asking = voters.iter().map(|voter| self.request_vote(number, voter));
         join_all(asking).await;
         let at = now();
         let (gained, held) = {
@@ -207,7 +207,7 @@
             let shard = inner.shard(number);
             let gained = shard.lease.check(at, &voters);
             if gained {
-                shard.book.begin_again();
+                shard.counters.begin_again();
             }
             (gained, shard.lease.is_held(at))
         };
@@ -220,13 +220,13 @@
         }
     }
 
-    async fn ask_vote(&self, number: ShardNumber, voter: &InstanceRecord) {
+    async fn request_vote(&self, number: ShardNumber, voter: &InstanceRecord) {
         let asked_at = now();
-        let question = self.vote_question(number, false);
+        let request = self.vote_request(number, false);
         let reply = if voter.id == self.me().id {
-            self.keeper_vote(&question)
+            self.keeper_vote(&request)
         } else {
-            match self.peers().ask(voter.peer_address, Body::KeeperVote(question)).await {
+            match self.peers().ask(voter.peer_address, Body::KeeperVote(request)).await {
                 Ok(Body::KeeperVoteReply(reply)) => reply,
                 // A voter that does not answer has not voted.
                 Ok(_) | Err(_) => return,
@@ -251,29 +251,29 @@
             inner.shards[number as usize].voters.clone()
         };
         for voter in voters.iter().filter(|voter| voter.id != me.id) {
-            let question = self.vote_question(number, true);
+            let request = self.vote_request(number, true);
             let (peers, address) = (self.shared_peers(), voter.peer_address);
             tokio::spawn(async move {
                 // Without an answer the vote ends by itself.
-                drop(peers.ask(address, Body::KeeperVote(question)).await);
+                drop(peers.ask(address, Body::KeeperVote(request)).await);
             });
         }
     }
 
     /// Another instance wants to keep a shard, or does not any more.
     #[must_use]
-    pub fn keeper_vote(&self, question: &KeeperVote) -> KeeperVoteReply {
-        if question.shard >= SHARDS {
+    pub fn keeper_vote(&self, request: &KeeperVote) -> KeeperVoteReply {
+        if request.shard >= SHARDS {
             return KeeperVoteReply::default();
         }
-        let (at, instance) = (now(), question.instance.as_str());
-        let candidate = Candidate { id: instance.into(), life: question.life };
+        let (at, instance) = (now(), request.instance.as_str());
+        let candidate = Candidate { id: instance.into(), life: request.life };
         let mut inner = self.quota().lock();
-        if question.released {
-            inner.votes.release(at, question.shard, &candidate);
+        if request.released {
+            inner.votes.release(at, request.shard, &candidate);
             return KeeperVoteReply::default();
         }
-        match inner.votes.ask(at, question.shard, candidate) {
+        match inner.votes.ask(at, request.shard, candidate) {
             Vote::Granted { fresh } => KeeperVoteReply { granted: true, fresh },
             Vote::Refused => KeeperVoteReply::default(),
         }
@@ -281,10 +281,10 @@
 
     /// Operations of an account are about to begin at another instance.
     #[must_use]
-    pub fn quota_reply(&self, question: &QuotaQuestion) -> QuotaReply {
-        let (at, account) = (now(), AccountId::from(question.account.as_str()));
+    pub fn quota_reply(&self, request: &QuotaQuestion) -> QuotaReply {
+        let (at, account) = (now(), AccountId::from(request.account.as_str()));
         let shard_number = shard_of(&account);
-        let limit = self.newest_limit(&account, question);
+        let limit = self.newest_limit(&account, request);
         let mut inner = self.quota().lock();
         if !inner.shard(shard_number).lease.is_held(at) {
             let keeper = inner.votes.keeper(at, shard_number);
@@ -292,10 +292,10 @@
             return QuotaReply { keeper, ..QuotaReply::default() };
         }
         let Some(limit) = limit else {
-            return QuotaReply { keeps: true, granted: question.wanted, ..QuotaReply::default() };
+            return QuotaReply { keeps: true, granted: request.wanted, ..QuotaReply::default() };
         };
         let shard = inner.shard(shard_number);
-        match shard.book.ask(at, &account, limit, question.wanted) {
+        match shard.counters.ask(at, &account, limit, request.wanted) {
             QuotaAnswer::Granted(granted) => {
                 QuotaReply { keeps: true, granted, ..QuotaReply::default() }
             }
@@ -312,10 +312,10 @@
     }
 
     /// The limit of an account by the newer one of two configurations.
-    fn newest_limit(&self, account: &AccountId, question: &QuotaQuestion) -> Option<QuotaGrant> {
+    fn newest_limit(&self, account: &AccountId, request: &QuotaQuestion) -> Option<QuotaGrant> {
         let catalog = self.catalog();
-        if question.configuration_version > catalog.version {
-            let (rate_per_s, burst) = (question.rate_per_s, question.burst);
+        if request.configuration_version > catalog.version {
+            let (rate_per_s, burst) = (request.rate_per_s, request.burst);
             return Some(self.tolerated(QuotaLimit { rate_per_s, burst }));
         }
         Some(self.tolerated(catalog.accounts.as_ref()?.limit(account)?))
@@ -339,10 +339,10 @@
         let admission = self.quota().lock().allowance(at, account).admit(at);
         let wanted = match admission {
             Admission::Admitted => return Ok(()),
-            Admission::Refused { retry_after } => return Err(at_limit(limit, retry_after)),
+            Admission::Refused { retry_after } => return Err(rate_limited(limit, retry_after)),
             Admission::Ask(wanted) => wanted,
         };
-        let question = QuotaQuestion {
+        let request = QuotaQuestion {
             account: account.to_string(),
             wanted,
             rate_per_s: limit.rate_per_s,
@@ -351,10 +351,10 @@
         };
         let instances = self.with_fleet(|fleet| fleet.others().count() + 1);
         let asked_at = now();
-        let Some(reply) = self.find_keeper(account, question, asked_at + patience).await else {
+        let Some(reply) = self.find_keeper(account, request, asked_at + patience).await else {
             let mut inner = self.quota().lock();
             let at = now();
-            let instances = if self.is_fleet_listed() { instances } else { UNKNOWN_FLEET };
+            let instances = if self.is_fleet_listed() { instances } else { ASSUMED_FLEET_SIZE };
             let admitted = inner.allowance(at, account).admit_alone(at, limit, instances);
             return admitted.then_some(()).ok_or_else(|| Failure::new(ErrorKind::QuotaUnknown));
         };
@@ -366,7 +366,7 @@
             return Ok(());
         }
         allowance.exhausted(at, ask_again_after(limit, instances));
-        Err(at_limit(limit, Duration::from_millis(reply.retry_after_ms)))
+        Err(rate_limited(limit, Duration::from_millis(reply.retry_after_ms)))
     }
 
     /// An operation that was admitted did not run.
@@ -388,28 +388,28 @@
     async fn find_keeper(
         &self,
         account: &AccountId,
-        question: QuotaQuestion,
+        request: QuotaQuestion,
         until: Moment,
     ) -> Option<QuotaReply> {
         loop {
-            let reply = self.ask_keeper(account, question.clone()).await;
-            if reply.is_some() || now() + KEEPER_PAUSE >= until {
+            let reply = self.ask_keeper(account, request.clone()).await;
+            if reply.is_some() || now() + KEEPER_RETRY_INTERVAL >= until {
                 return reply;
             }
-            tokio::time::sleep(KEEPER_PAUSE).await;
+            tokio::time::sleep(KEEPER_RETRY_INTERVAL).await;
         }
     }
 
     /// Asks the keeper of an account; `None` if none answers.
-    async fn ask_keeper(&self, account: &AccountId, question: QuotaQuestion) -> Option<QuotaReply> {
+    async fn ask_keeper(&self, account: &AccountId, request: QuotaQuestion) -> Option<QuotaReply> {
         let shard = shard_of(account);
         let mut asked = Vec::new();
-        while asked.len() < KEEPERS_ASKED {
+        while asked.len() < MAX_KEEPERS_ASKED {
             let keeper = self.quota().lock().keeper(now(), shard, &asked)?;
             asked.push(keeper.id.clone());
-            let Some(reply) = self.ask_one_keeper(&keeper, question.clone()).await else {
+            let Some(reply) = self.ask_one_keeper(&keeper, request.clone()).await else {
                 let mut inner = self.quota().lock();
-                inner.silent_until.insert(keeper.id.clone(), now() + SILENT_FOR);
+                inner.skipped_until.insert(keeper.id.clone(), now() + KEEPER_SKIP_TIME);
                 inner.shard(shard).keeper = None;
                 continue;
             };
@@ -428,13 +428,13 @@
     async fn ask_one_keeper(
         &self,
         keeper: &InstanceRecord,
-        question: QuotaQuestion,
+        request: QuotaQuestion,
     ) -> Option<QuotaReply> {
         if keeper.id == self.me().id {
-            return Some(self.quota_reply(&question));
+            return Some(self.quota_reply(&request));
         }
-        let asking = self.peers().ask(keeper.peer_address, Body::QuotaQuestion(question));
-        match tokio::time::timeout(ASK_LIMIT, asking).await {
+        let asking = self.peers().ask(keeper.peer_address, Body::QuotaQuestion(request));
+        match tokio::time::timeout(KEEPER_ANSWER_TIMEOUT, asking).await {
             Ok(Ok(Body::QuotaReply(reply))) => Some(reply),
             _ => None,
         }
@@ -442,17 +442,17 @@
 }
 
 /// Pause before a keeper is looked for again.
-const KEEPER_PAUSE: Duration = Duration::from_millis(40);
+const KEEPER_RETRY_INTERVAL: Duration = Duration::from_millis(40);
 
 /// Instances that are assumed where it is not known how many there are.
-const UNKNOWN_FLEET: usize = 64;
+const ASSUMED_FLEET_SIZE: usize = 64;
 
 /// Refusals are told return times up to this much longer, so that those refused
 /// together do not come back together.
-const RETURN_SPREAD: f64 = 0.5;
+const RETRY_JITTER: f64 = 0.5;
 
-fn at_limit(limit: QuotaLimit, retry_after: Duration) -> Failure {
-    let spread = 1.0 + rand::random_range(0.0..RETURN_SPREAD);
+fn rate_limited(limit: QuotaLimit, retry_after: Duration) -> Failure {
+    let spread = 1.0 + rand::random_range(0.0..RETRY_JITTER);
     let text = format!("{}: {} a second", ErrorKind::RateLimited, limit.rate_per_s);
     let failure = Failure { text: text.into(), ..Failure::new(ErrorKind::RateLimited) };
     failure.with_retry_after(retry_after.mul_f64(spread))
--- a/daemon/src/engine/shared.rs
+++ b/daemon/src/engine/shared.rs
@@ -56,14 +56,14 @@
 /// How long servers keep the connections of a caller that lost power. Until then those of
 /// earlier lives may fill them: who opens more than half of its share is refused, and
 /// waits before it tries again.
-const DEAD_FOR: Duration = Duration::from_secs(3);
+const STALE_CONNECTION_TIME: Duration = Duration::from_secs(3);
 
 /// How long a starting instance waits for the store before it asks others:
 /// many times the store's usual answer of 4 ms.
 pub const PEER_FALLBACK_DELAY: Duration = Duration::from_millis(250);
 
 /// Time in which a configuration is in force where the platform sets none.
-const CONFIGURATION_BOUND: Duration = Duration::from_secs(3);
+const DEFAULT_CONFIGURATION_BOUND: Duration = Duration::from_secs(3);
 
 /// What all sessions of an instance share.
 pub struct Engine {
@@ -160,7 +160,7 @@
             quota_tolerance: None,
             newer_configuration: NewerConfiguration::default(),
             store_era: Arc::default(),
-            store_timeouts: SilenceLimits::within(CONFIGURATION_BOUND),
+            store_timeouts: SilenceLimits::within(DEFAULT_CONFIGURATION_BOUND),
             arrivals: Mutex::new(Arrivals::new(now())),
         }
     }
@@ -168,7 +168,7 @@
     /// With the time in which a configuration has to be in force, if there is one.
     #[must_use]
     pub fn with_configuration_bound(mut self, bound: Option<Duration>) -> Self {
-        self.store_timeouts = SilenceLimits::within(bound.unwrap_or(CONFIGURATION_BOUND));
+        self.store_timeouts = SilenceLimits::within(bound.unwrap_or(DEFAULT_CONFIGURATION_BOUND));
         self
     }
 
@@ -350,8 +350,8 @@
             let granted = budget(settings.max_connections, own, &others);
             shard.set_budget(match catalog.accounts {
                 Some(_) => {
-                    let earlier_lives = at < self.started_at + DEAD_FOR;
-                    kept_for_accounts(granted, if earlier_lives { 0.0 } else { own })
+                    let may_be_occupied = at < self.started_at + STALE_CONNECTION_TIME;
+                    kept_for_accounts(granted, if may_be_occupied { 0.0 } else { own })
                 }
                 None => granted,
             });
@@ -510,8 +510,8 @@
 }
 
 impl PeerHandler for Engine {
-    fn answer(&self, question: Body) -> Option<Body> {
-        match question {
+    fn answer(&self, request: Body) -> Option<Body> {
+        match request {
             Body::Heartbeat(heartbeat) => {
                 self.apply_heartbeat(&heartbeat);
                 Some(Body::HeartbeatReply(self.heartbeat_reply(&heartbeat)))
@@ -527,7 +527,7 @@
                 Some(Body::DirectoryTaken(DirectoryTaken {}))
             }
             Body::KeeperVote(vote) => Some(Body::KeeperVoteReply(self.keeper_vote(&vote))),
-            Body::QuotaQuestion(question) => Some(Body::QuotaReply(self.quota_reply(&question))),
+            Body::QuotaQuestion(request) => Some(Body::QuotaReply(self.quota_reply(&request))),
             Body::SignOfLife(sign) => Some(Body::SignOfLifeReply(self.sign_of_life(sign))),
             Body::DirectoryPull(pull) => Some(Body::DirectoryState(self.directory_state(pull))),
             _ => None,
--- a/daemon/src/engine/shared/known_fleet.rs
+++ b/daemon/src/engine/shared/known_fleet.rs
@@ -16,17 +16,17 @@
 
 /// How long an instance that was asked to tell the records has for it, before
 /// another one is asked: as long as for any answer.
-const INVITATION: Duration = Duration::from_millis(300);
+const RECORDS_REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
 
 impl Engine {
     /// Takes a list of all instances over.
     pub fn apply_instance_list(&self, records: Vec<InstanceRecord>) {
-        self.list_instances(records, Fleet::replace);
+        self.record_instance_listing(records, Fleet::replace);
         self.set_fleet_known();
     }
 
     /// Lists all instances, each as `update` takes it over, without going on with them.
-    pub fn list_instances(
+    pub fn record_instance_listing(
         &self,
         records: Vec<InstanceRecord>,
         update: fn(&mut Fleet, Moment, Vec<InstanceRecord>),
@@ -106,12 +106,12 @@
             return false;
         }
         let mut records_requested_at = self.records_requested_at.lock().expect("never poisoned");
-        let waits = records_requested_at
-            .is_some_and(|records_requested_at| records_requested_at + INVITATION > at);
-        if !waits {
+        let is_pending = records_requested_at
+            .is_some_and(|requested_at| requested_at + RECORDS_REQUEST_TIMEOUT > at);
+        if !is_pending {
             *records_requested_at = Some(at);
         }
-        !waits
+        !is_pending
     }
 
     /// This instance has a record now.
--- a/daemon/src/engine/stop.rs
+++ b/daemon/src/engine/stop.rs
@@ -23,14 +23,14 @@
     engine.stop(plan);
     let closing_begins = plan.closing_begins_at().saturating_sub(now());
     tokio::time::sleep(closing_begins).await;
-    let left = plan.ends_at().saturating_sub(now());
-    if tokio::time::timeout(left, engine.sessions_ended()).await.is_err() {
+    let time_left = plan.ends_at().saturating_sub(now());
+    if tokio::time::timeout(time_left, engine.sessions_ended()).await.is_err() {
         let event = Event::new(EventKind::ClientFailed);
         event_log::emit(&event.with("reason", "sessions are left at the end of the stop"));
     }
-    let left = plan.ends_at().saturating_sub(now());
+    let time_left = plan.ends_at().saturating_sub(now());
     let withdrawn = instance_control::withdraw_record(engine, directory);
-    if tokio::time::timeout(left, withdrawn).await.is_err() {
+    if tokio::time::timeout(time_left, withdrawn).await.is_err() {
         let event = Event::new(EventKind::InstanceRecordFailed);
         event_log::emit(&event.with("reason", "no time is left to remove it"));
     }
