--- a/daemon/src/engine/mod.rs
+++ b/daemon/src/engine/mod.rs
@@ -1,9 +1,13 @@
-//! The session engine: serves client sessions with typed statements on groups
-//! of replicated servers that guard their own lead.
+//! The session engine: runs the statements of client sessions on groups of replicated
+//! database servers.
 //!
-//! Protocols are behind borders: [`server_connection`] for servers, [`directory`] for
-//! the platform's lists. A front decodes what a client sends into
-//! [`chervilwharf_lib::statement::Statement`] and gives it to a [`session`].
+//! A group consists of a primary and its replicas. Each server keeps its own role and
+//! term; the instances replace a primary that fails.
+//!
+//! The engine is independent of any platform's protocols. A platform implements the
+//! traits in [`server_connection`] for its database servers and those in [`directory`]
+//! for its store of records. Its front end decodes the messages of clients into
+//! [`chervilwharf_lib::statement::Statement`] and passes them to a [`session`].
 
 pub mod account_metrics;
 pub mod caller;
--- a/daemon/src/engine/server_connection.rs
+++ b/daemon/src/engine/server_connection.rs
@@ -1,4 +1,5 @@
-//! The border to the servers of a group.
+//! Interface to the database servers of a group. A platform implements these traits
+//! in the protocol of its servers.
 
 use async_trait::async_trait;
 use chervilwharf_lib::group::ServerInfo;
@@ -14,38 +15,39 @@
 use displaydoc::Display;
 use tokio::net::TcpStream;
 
-/// One statement for a server.
+/// One statement to be run by a server, with the conditions under which it may run.
 #[derive(Clone, Debug)]
 pub struct Step {
-    /// Id of the client's request; `None` for statements of our own.
+    /// Id of the client's request; `None` for statements that the proxy issues itself.
     pub id: Option<RequestId>,
-    /// Position that the server's log must hold.
+    /// Position up to which the server must have applied its log before it runs the
+    /// statement.
     pub floor: Option<Position>,
-    /// What to run.
+    /// The statement to run.
     pub statement: Statement,
 }
 
 impl Step {
-    /// A statement of our own.
+    /// A statement that the proxy issues itself, without a request id or a position.
     #[must_use]
     pub fn own(statement: Statement) -> Self {
         Self { id: None, floor: None, statement }
     }
 }
 
-/// A server's whole answer to one step.
+/// A server's complete answer to one step.
 #[derive(Clone, Debug)]
 pub struct StepReply {
-    /// Rows and signature, or why not.
+    /// Rows and signature, or the reason why the server refused the step.
     pub result: Result<Answer, ServerRefusal>,
     /// State of the connection after the step.
     pub state: TransactionState,
-    /// Position that the server's log had reached.
+    /// Position that the server's log had reached, if the server reported it.
     pub position: Option<Position>,
 }
 
-/// Why an exchange with a server gave no whole answer. The connection is
-/// useless afterwards, and what was sent may have run.
+/// Why an exchange with a server gave no complete answer. The connection cannot be
+/// used afterwards, and the statements that were sent may have run.
 #[derive(Clone, Debug)]
 #[derive(Display)]
 pub enum ExchangeError {
@@ -67,41 +69,50 @@
     Refused(ServerRefusal),
 }
 
-/// A connection to one server.
+/// An open session with one server.
 #[async_trait]
 pub trait ServerConnection: Send + Sync {
-    /// Runs steps, sent together, and returns one reply for each.
+    /// Sends all steps at once and returns one reply for each.
     ///
-    /// A future that is dropped early leaves the connection in an unknown
-    /// state: it has to be closed then.
+    /// Dropping the future before it completes leaves the connection in an unknown
+    /// state; the caller has to close it then.
+    ///
+    /// # Errors
+    ///
+    /// When the answer is not complete.
     async fn run(&mut self, steps: &[Step]) -> Result<Vec<StepReply>, ExchangeError>;
 
-    /// Asks the server for its state.
+    /// Queries the server's role, term and log position.
     async fn status(&mut self) -> Result<Result<ServerStatus, ServerRefusal>, ExchangeError>;
 
-    /// Stops a replica from receiving, until it is promoted or resumed.
+    /// Stops a replica from receiving the log of its primary until it is promoted or
+    /// resumed.
     async fn pause(
         &mut self,
         term: u64,
     ) -> Result<Result<ServerStatus, ServerRefusal>, ExchangeError>;
 
-    /// Makes a primary of a term below `term` a replica.
+    /// Makes a primary whose term is below `term` a replica.
     async fn demote(
         &mut self,
         term: u64,
     ) -> Result<Result<ServerStatus, ServerRefusal>, ExchangeError>;
 
-    /// Whether the server has closed an idle connection, as far as can be
-    /// told without asking it.
+    /// Whether the server has closed this idle connection, as far as the local socket
+    /// shows it; sends nothing.
     fn is_closed(&mut self) -> bool;
 }
 
-/// Begins sessions with servers.
+/// Opens sessions with servers.
 #[async_trait]
 pub trait Connector: Send + Sync {
-    /// Begins a session with a server of a group over an open stream, for an
-    /// account where clients have some. The server refuses when it is not the one
-    /// that `server` names.
+    /// Opens a session with a server of a group over a connected stream. `account` is
+    /// the client account that the session is for, where clients have accounts. The
+    /// server refuses the session when its id is not that of `server`.
+    ///
+    /// # Errors
+    ///
+    /// When the server cannot be reached over the stream, or refuses the session.
     async fn start(
         &self,
         stream: TcpStream,
--- a/daemon/src/engine/shared.rs
+++ b/daemon/src/engine/shared.rs
@@ -1,4 +1,10 @@
-//! What all sessions of an instance share.
+//! The state of an instance that all its sessions and background tasks share.
+//!
+//! A *shard* is what this instance keeps of one group of servers: their state as it is
+//! known here, and the connections to them. Only some instances, the *holders* of a
+//! group, keep connections to its servers; other instances forward statements to them.
+//! The *voters* of a group are the instances that, like the store, grant leases on the
+//! term of its primary: statements run on a primary only under such a lease.
 
 mod accounts;
 mod known_fleet;
@@ -53,25 +59,26 @@
 use crate::engine::shard::Shard;
 use crate::engine::store_era::StoreEra;
 
-/// How long servers keep the connections of a caller that lost power. Until then those of
-/// earlier lives may fill them: who opens more than half of its share is refused, and
-/// waits before it tries again.
+/// How long servers keep the connections of a client that lost power. For this long after
+/// a start, connections of earlier incarnations may still occupy the servers: an instance
+/// that opens more than half of its budget is refused, and waits before it tries again.
 const STALE_CONNECTION_TIME: Duration = Duration::from_secs(3);
 
-/// How long a starting instance waits for the store before it asks others:
-/// many times the store's usual answer of 4 ms.
+/// How long a starting instance waits for the store before it asks other instances for
+/// records: many times the store's usual response time of 4 ms.
 pub const PEER_FALLBACK_DELAY: Duration = Duration::from_millis(250);
 
-/// Time in which a configuration is in force where the platform sets none.
+/// Time within which a new configuration has to be in force on all instances, where the
+/// platform sets none.
 const DEFAULT_CONFIGURATION_BOUND: Duration = Duration::from_secs(3);
 
-/// What all sessions of an instance share.
+/// The state of an instance that all its sessions and background tasks share.
 pub struct Engine {
     connector: Arc<dyn Connector>,
     catalog: watch::Sender<Arc<Catalog>>,
     shards: RwLock<HashMap<GroupId, Arc<Shard>>>,
     servers: Mutex<ServerList>,
-    /// Whether the store fails for the list of servers.
+    /// Whether the store currently fails to serve the list of servers.
     servers_outage: AtomicBool,
     /// Whether records are being pulled from another instance.
     pulling: AtomicBool,
@@ -85,30 +92,31 @@
     peer_contacts: Contacts,
     statement_links: Arc<StatementLinks>,
     watches: LeaderWatches,
-    /// Woken when there is something to find out about a primary.
+    /// Notified when the state of a primary has to be checked.
     primary_check: Arc<Notify>,
-    /// Woken when the right to use a primary is wanted and missing.
+    /// Notified when the lease on the term of a primary is needed and missing.
     lease_renewal: Arc<Notify>,
     voter_lists: VoterLists,
-    /// Whether this instance has a record, by which the others count it among
-    /// those that vote.
+    /// Whether this instance has a record in the store, by which the other instances
+    /// count it as a voter.
     registered: AtomicBool,
-    /// Woken when the store listed something.
+    /// Notified when the store returned a listing of the configuration or the instances.
     store_answered: Notify,
-    /// When it last told the configuration.
+    /// Time of the last such listing.
     store_answered_at: Mutex<Option<Moment>>,
-    /// Whether this instance knows which orders there were when it started.
+    /// Whether this instance knows the promotion orders that existed when it started.
     knows_orders: AtomicBool,
-    /// Woken when the record of this instance has to be written.
+    /// Notified when the record of this instance has to be written to the store.
     record_write_needed: Notify,
-    /// Revision of the record of an earlier life, if one was listed.
+    /// Revision of the record of an earlier incarnation, if one was listed.
     earlier_record: Mutex<Option<Revision>>,
-    /// Whether it is known which other instances there are.
+    /// Whether this instance serves with the other instances in `fleet`; see
+    /// [`Engine::set_fleet_known`].
     fleet_known: watch::Sender<bool>,
-    /// Whether the store, or an instance that had it from there, told of all
-    /// instances.
+    /// Whether `fleet` comes from a listing of all instances by the store, received
+    /// from the store or from another instance.
     fleet_listed: AtomicBool,
-    /// When another instance was last asked to tell the records.
+    /// When another instance was last asked to send its records.
     records_requested_at: Mutex<Option<Moment>>,
     /// Set once a planned stop has begun.
     stopping: watch::Sender<Option<StopPlan>>,
@@ -122,7 +130,7 @@
 }
 
 impl Engine {
-    /// An engine without a configuration.
+    /// Creates an engine without a configuration. `me` is the record of this instance.
     #[must_use]
     pub fn new(me: InstanceRecord, connector: Arc<dyn Connector>) -> Self {
         Self {
@@ -165,130 +173,135 @@
         }
     }
 
-    /// With the time in which a configuration has to be in force, if there is one.
+    /// Sets the time within which a new configuration has to be in force on all instances;
+    /// `None` selects the default.
     #[must_use]
     pub fn with_configuration_bound(mut self, bound: Option<Duration>) -> Self {
         self.store_timeouts = SilenceLimits::within(bound.unwrap_or(DEFAULT_CONFIGURATION_BOUND));
         self
     }
 
-    /// Reads or updates which statements of other instances have arrived.
+    /// Calls `f` with the table of statements received from other instances.
     pub fn with_received_statements<R>(&self, f: impl FnOnce(&mut Arrivals) -> R) -> R {
         f(&mut self.arrivals.lock().expect("never poisoned"))
     }
 
-    /// How soon silence of the store is noticed.
+    /// Timeouts by which an unresponsive store is detected.
     #[must_use]
     pub fn store_timeouts(&self) -> SilenceLimits {
         self.store_timeouts
     }
 
-    /// This instance.
+    /// Record of this instance.
     #[must_use]
     pub fn me(&self) -> &InstanceRecord {
         &self.me
     }
 
-    /// Links to other instances.
+    /// Connections to other instances.
     #[must_use]
     pub fn peers(&self) -> &Peers {
         &self.peers
     }
 
-    /// Links to other instances, for tasks that outlive a borrow.
+    /// Connections to other instances, for tasks that cannot borrow the engine.
     #[must_use]
     pub fn shared_peers(&self) -> Arc<Peers> {
         self.peers.clone()
     }
 
-    /// Woken when the record of this instance has to be written.
+    /// Notified when the record of this instance has to be written to the store.
     #[must_use]
     pub fn record_write_needed(&self) -> &Notify {
         &self.record_write_needed
     }
 
-    /// The list of instances shows a record of an earlier life of this one.
+    /// Sets the revision of a record that an earlier incarnation of this instance left in
+    /// the store.
     pub fn set_earlier_record(&self, revision: Option<Revision>) {
         *self.earlier_record.lock().expect("never poisoned") = revision;
     }
 
-    /// Revision of the record to replace; it counts for one try.
+    /// Takes the revision of the record to replace. It is used for one attempt to write:
+    /// if that fails, the record has changed.
     #[must_use]
     pub fn take_earlier_record(&self) -> Option<Revision> {
         self.earlier_record.lock().expect("never poisoned").take()
     }
 
-    /// Reads or updates what is known of the duties.
+    /// Calls `f` with the table of duties.
     pub fn with_duties<R>(&self, f: impl FnOnce(&mut DutyBook) -> R) -> R {
         f(&mut self.duties.lock().expect("never poisoned"))
     }
 
-    /// The latest era of the platform's store.
+    /// The latest known era of the platform's store, which counts how often it was
+    /// restored from a backup.
     #[must_use]
     pub fn store_era(&self) -> &Arc<StoreEra> {
         &self.store_era
     }
 
-    /// Lists of holders, by group.
+    /// The connection holders of each group.
     #[must_use]
     pub fn holder_lists(&self) -> &Holders {
         &self.holders
     }
 
-    /// Which other instances are heard.
+    /// Which other instances are reachable.
     #[must_use]
     pub fn peer_contacts(&self) -> &Contacts {
         &self.peer_contacts
     }
 
-    /// Lists of those that vote, by group.
+    /// The voters of each group.
     #[must_use]
     pub fn voter_lists(&self) -> &VoterLists {
         &self.voter_lists
     }
 
-    /// Idle links for statements that go through other instances.
+    /// Idle connections on which statements are forwarded to other instances.
     #[must_use]
     pub fn statement_links(&self) -> &Arc<StatementLinks> {
         &self.statement_links
     }
 
-    /// Counters and histograms.
+    /// Metrics of this engine.
     #[must_use]
     pub fn metrics(&self) -> &EngineMetrics {
         &self.metrics
     }
 
-    /// The watches of all groups.
+    /// State of the monitoring of all primaries.
     #[must_use]
     pub fn watches(&self) -> &LeaderWatches {
         &self.watches
     }
 
-    /// Woken when there is something to find out about a primary.
+    /// Notified when the state of a primary has to be checked.
     #[must_use]
     pub fn primary_check(&self) -> &Notify {
         &self.primary_check
     }
 
-    /// Woken when the right to use a primary is wanted and missing.
+    /// Notified when the lease on the term of a primary is needed and missing.
     #[must_use]
     pub fn lease_renewal(&self) -> &Notify {
         &self.lease_renewal
     }
 
-    /// Woken when the store listed something.
+    /// Notified when the store returned a listing of the configuration or the instances.
     #[must_use]
     pub fn store_answered(&self) -> &Notify {
         &self.store_answered
     }
 
-    /// From now on this instance votes on groups that it gets to know.
+    /// Marks the promotion orders as known: this instance votes on all groups for which it
+    /// creates a shard from now on.
     pub fn set_orders_known(&self) {
         self.knows_orders.store(true, Ordering::Relaxed);
     }
 
-    /// Reads or updates what is known of the instances.
+    /// Calls `f` with the table of the other instances.
     pub fn with_fleet<R>(&self, f: impl FnOnce(&mut Fleet) -> R) -> R {
         f(&mut self.fleet.lock().expect("never poisoned"))
     }
@@ -299,14 +312,14 @@
         self.catalog.borrow().clone()
     }
 
-    /// The route of a database name.
+    /// The route for a database name; `None` if the configuration has none.
     #[must_use]
     pub fn route(&self, database: &str) -> Option<Arc<Route>> {
         self.catalog.borrow().routes.get(database).cloned()
     }
 
-    /// Puts a configuration in force, unless it is older than the present
-    /// one. Returns whether it is in force now.
+    /// Puts a configuration in force if its version is later than the present one. Returns
+    /// whether it did.
     pub fn set_catalog(&self, next: &Arc<Catalog>) -> bool {
         let newer = self.catalog.send_if_modified(|catalog| {
             if next.version <= catalog.version {
@@ -321,7 +334,9 @@
         newer
     }
 
-    /// Divides the connections of each server among the live instances.
+    /// Recomputes what follows from the configuration and from the live instances: the
+    /// holders of each group, the number of connections that this instance may open to
+    /// its servers, and its voters.
     pub fn recompute_assignments(&self) {
         self.holders.check_again();
         self.apply_budgets();
@@ -358,7 +373,7 @@
         }
     }
 
-    /// The shard of a group.
+    /// The shard of a group, created if there is none.
     #[must_use]
     pub fn shard(&self, group: &GroupId) -> Arc<Shard> {
         if let Some(shard) = self.shards.read().expect("never poisoned").get(group) {
@@ -383,14 +398,14 @@
         shard.clone()
     }
 
-    /// All shards.
+    /// The shards of all groups.
     #[must_use]
     pub fn shards(&self) -> Vec<Arc<Shard>> {
         self.shards.read().expect("never poisoned").values().cloned().collect()
     }
 
-    /// Whether this instance takes new clients: it has a configuration, knows
-    /// the other instances and servers, and does not stop.
+    /// Whether this instance accepts new clients: it has a configuration, knows the other
+    /// instances and at least one server, and is not stopping.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let prepared = self.catalog().version > 0 && self.is_fleet_known();
@@ -401,8 +416,8 @@
         shards.iter().any(|shard| shard.with_group(|group| group.servers().next().is_some()))
     }
 
-    /// Updates the list of servers and tells the shards. Returns whether some
-    /// servers are missing in the platform's list and still used.
+    /// Updates the list of servers and applies the changes to the shards. Returns whether
+    /// some servers are still used although the platform's list lacks them.
     pub fn update_servers(&self, update: impl FnOnce(&mut ServerList)) -> bool {
         let (missing, groups) = {
             let mut list = self.servers.lock().expect("never poisoned");
@@ -415,51 +430,52 @@
         missing
     }
 
-    /// Revision up to which the list of servers is known.
+    /// Revision of the store up to which the list of servers is known.
     #[must_use]
     pub fn servers_revision(&self) -> Revision {
         self.servers.lock().expect("never poisoned").revision()
     }
 
-    /// Revision at which the list of servers last changed.
+    /// Revision of the store at which the list of servers last changed.
     #[must_use]
     pub fn servers_changed_at(&self) -> Revision {
         self.servers.lock().expect("never poisoned").changed_at()
     }
 
-    /// All listed servers.
+    /// All listed servers with their groups.
     #[must_use]
     pub fn listed_servers(&self) -> Vec<(GroupId, ServerInfo)> {
         let list = self.servers.lock().expect("never poisoned");
         list.all().map(|(group, info)| (group.clone(), info.clone())).collect()
     }
 
-    /// Marks that records are being pulled from another instance; `None` while
-    /// that is so already.
+    /// Reserves the only pull of records from another instance until the guard is dropped;
+    /// `None` while another pull is in progress.
     #[must_use]
     pub fn begin_pull(self: &Arc<Self>) -> Option<PullGuard> {
         let idle = !self.pulling.swap(true, Ordering::Relaxed);
         idle.then(|| PullGuard(self.clone()))
     }
 
-    /// The store began or ceased to fail for the list of servers.
+    /// Sets whether the store currently fails to serve the list of servers.
     pub fn set_servers_outage(&self, lasting: bool) {
         self.servers_outage.store(lasting, Ordering::Relaxed);
     }
 
-    /// Whether the list of servers may be behind the store, or is not known.
+    /// Whether the list of servers may be outdated because the store fails to serve it, or
+    /// is not known at all.
     #[must_use]
     pub fn has_servers_outage(&self) -> bool {
         self.servers_outage.load(Ordering::Relaxed) || self.servers_revision().is_unknown()
     }
 
-    /// Whether a planned stop has begun.
+    /// Whether a planned stop is in progress.
     #[must_use]
     pub fn is_stopping(&self) -> bool {
         self.stopping.borrow().is_some()
     }
 
-    /// Announces a planned stop.
+    /// Subscribes to the plan of a planned stop; `None` until one begins.
     #[must_use]
     pub fn stop_changes(&self) -> watch::Receiver<Option<StopPlan>> {
         self.stopping.subscribe()
@@ -470,28 +486,28 @@
         self.stopping.send_replace(Some(plan));
     }
 
-    /// Counts a session as long as the guard lives.
+    /// Counts a session until the guard is dropped.
     #[must_use]
     pub fn count_session(self: &Arc<Self>) -> SessionGuard {
         self.sessions.send_modify(|count| *count += 1);
         SessionGuard(self.clone())
     }
 
-    /// Open sessions.
+    /// Number of open sessions.
     #[must_use]
     pub fn session_count(&self) -> usize {
         *self.sessions.borrow()
     }
 
-    /// Waits until no session is left.
+    /// Waits until no session is open.
     pub async fn sessions_ended(&self) {
         let mut sessions = self.sessions.subscribe();
-        // Fails only when the engine is gone, and with it all sessions.
+        // Fails only if the sender is dropped, which this borrow of the engine excludes.
         let _ended = sessions.wait_for(|count| *count == 0).await;
     }
 }
 
-/// Records are being pulled as long as it lives.
+/// Guard of a pull of records from another instance; see [`Engine::begin_pull`].
 pub struct PullGuard(Arc<Engine>);
 
 impl Drop for PullGuard {
@@ -500,7 +516,7 @@
     }
 }
 
-/// Counts one session.
+/// Guard that counts one session; see [`Engine::count_session`].
 pub struct SessionGuard(Arc<Engine>);
 
 impl Drop for SessionGuard {
--- a/daemon/src/engine/shared/accounts.rs
+++ b/daemon/src/engine/shared/accounts.rs
@@ -1,4 +1,5 @@
-//! What an instance knows of client accounts beside the configuration.
+//! State of client accounts that is not part of the configuration: quotas and their
+//! counts.
 
 use chervilwharf_lib::quota::QuotaTolerance;
 
@@ -7,7 +8,7 @@
 use crate::engine::shared::Engine;
 
 impl Engine {
-    /// With the tolerance that the platform grants accounts beyond their limits.
+    /// Sets the tolerance that the platform grants accounts beyond their limits.
     #[must_use]
     pub fn with_quota_tolerance(mut self, tolerance: Option<QuotaTolerance>) -> Self {
         self.quota_tolerance = tolerance;
@@ -20,13 +21,13 @@
         self.quota_tolerance
     }
 
-    /// Counts of the accounts' operations.
+    /// Quota state of the accounts.
     #[must_use]
     pub fn quota(&self) -> &QuotaControl {
         &self.quota
     }
 
-    /// When others were last asked for a newer configuration.
+    /// When other instances were last asked for a newer configuration.
     #[must_use]
     pub fn newer_configuration(&self) -> &NewerConfiguration {
         &self.newer_configuration
--- a/daemon/src/engine/shared/known_fleet.rs
+++ b/daemon/src/engine/shared/known_fleet.rs
@@ -1,4 +1,9 @@
-//! Whether it is known which instances there are, and who told.
+//! Whether an instance knows the other instances, and from which source.
+//!
+//! The fleet is *listed* once the instances come from a listing of the store, received
+//! from the store or from another instance. It is *known* once this instance serves with
+//! the instances that it has, be they listed or, without the store and without peers,
+//! none.
 
 use std::fmt::Display;
 use std::sync::atomic::Ordering;
@@ -14,18 +19,19 @@
 use crate::engine::shared::Engine;
 use crate::engine::shared::PEER_FALLBACK_DELAY;
 
-/// How long an instance that was asked to tell the records has for it, before
-/// another one is asked: as long as for any answer.
+/// How long an instance that was asked to send its records has before another one is
+/// asked: as long as for any answer.
 const RECORDS_REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
 
 impl Engine {
-    /// Takes a list of all instances over.
+    /// Applies a listing of all instances, and marks the fleet as known.
     pub fn apply_instance_list(&self, records: Vec<InstanceRecord>) {
         self.record_instance_listing(records, Fleet::replace);
         self.set_fleet_known();
     }
 
-    /// Lists all instances, each as `update` takes it over, without going on with them.
+    /// Applies a listing of all instances by `update` and marks the fleet as listed, but
+    /// not as known.
     pub fn record_instance_listing(
         &self,
         records: Vec<InstanceRecord>,
@@ -38,52 +44,55 @@
         self.fleet_listed.store(true, Ordering::Relaxed);
     }
 
-    /// Whether the store, or an instance that had it from there, told of all
-    /// instances. An instance that goes on alone knows no others, and must not
-    /// tell that there are none.
+    /// Whether the known instances come from a listing of the store, received from the
+    /// store or from another instance. An instance that serves without peers has no
+    /// listing, and must not report to others that there are no other instances.
     #[must_use]
     pub fn is_fleet_listed(&self) -> bool {
         self.fleet_listed.load(Ordering::Relaxed)
     }
 
-    /// An answer of the store, or another instance, told of an era.
+    /// Records an era of the store that `source`, the store or another instance, reported.
     pub fn note_store_era(&self, era: Era, source: impl Display) {
         if self.store_era.note(era, source) {
-            // Grants of this era are wanted.
+            // Leases have to be granted anew in this era.
             self.lease_renewal.notify_one();
         }
     }
 
-    /// Whether this instance runs for as long as this.
+    /// Whether this instance started at least `time` ago.
     #[must_use]
     pub fn has_run_for(&self, time: Duration) -> bool {
         self.started_at + time <= now()
     }
 
-    /// The store told the configuration, or the instances.
+    /// Records that the store returned a listing of the configuration or the instances.
     pub fn note_store_answered(&self) {
         *self.store_answered_at.lock().expect("never poisoned") = Some(now());
         self.store_answered.notify_one();
     }
 
-    /// Whether it is known who could hold connections: the other instances were
-    /// listed, or there is nobody to tell of them.
+    /// Whether it is known which instances can hold connections: the instances are listed,
+    /// or there is no source for a listing.
     ///
-    /// A store that has just answered again is about to tell: taking themselves for
-    /// alone until then, 74 instances opened connections to all servers at once.
+    /// A store that has just become available again is about to list the instances. When
+    /// each of 74 instances took itself for the only one until then, all of them opened
+    /// connections to all servers at once.
     #[must_use]
     pub fn knows_candidate_holders(&self) -> bool {
         self.is_fleet_listed() || (self.is_fleet_known() && !self.expects_store_listings())
     }
 
-    /// Whether the store told something just now, and so is about to tell the rest.
+    /// Whether the store has just returned a listing, so that listings of the other kinds
+    /// of records are about to follow.
     #[must_use]
     pub fn expects_store_listings(&self) -> bool {
         let answered_at = *self.store_answered_at.lock().expect("never poisoned");
         answered_at.is_some_and(|at| at + OTHERS_LISTED > now())
     }
 
-    /// Whether this instance lacks configuration, servers or the other instances.
+    /// Whether this instance lacks the configuration, the servers or a listing of the
+    /// instances.
     #[must_use]
     pub fn lacks_records(&self) -> bool {
         self.catalog().version == 0
@@ -91,11 +100,12 @@
             || !self.is_fleet_listed()
     }
 
-    /// Whether the one who asks now should tell the records: they are lacking, the
-    /// store does not tell them, and nobody else was asked just now.
+    /// Whether the instance whose heartbeat is answered now should send its records: this
+    /// instance lacks some, the store does not return them, and no other instance was
+    /// asked within the last 300 ms. Returns true at most once in that time.
     ///
-    /// A store that answers tells all by itself; what others send then only fills
-    /// the link over which it comes.
+    /// A store that answers returns all records itself; records from other instances would
+    /// only compete with them for the bandwidth of a slow link.
     #[must_use]
     pub fn take_records_request(&self) -> bool {
         let at = now();
@@ -114,46 +124,45 @@
         !is_pending
     }
 
-    /// This instance has a record now.
+    /// Marks this instance as having a record in the store.
     pub fn set_registered(&self) {
         self.registered.store(true, Ordering::Relaxed);
         self.update_voters();
     }
 
-    /// Whether this instance has a record.
+    /// Whether this instance has a record in the store.
     #[must_use]
     pub fn is_registered(&self) -> bool {
         self.registered.load(Ordering::Relaxed)
     }
 
-    /// Goes on with the instances that are known, also when nobody told of
-    /// others.
+    /// Marks the fleet as known: this instance serves with the instances that it has,
+    /// even if no source has listed any.
     pub fn set_fleet_known(&self) {
         self.fleet_known.send_replace(true);
         self.recompute_assignments();
         self.lease_renewal.notify_one();
     }
 
-    /// Whether it is known which other instances there are.
+    /// Whether the fleet is known; see [`Engine::set_fleet_known`].
     #[must_use]
     pub fn is_fleet_known(&self) -> bool {
         *self.fleet_known.borrow()
     }
 
-    /// Waits until the other instances are known, at most this long. Returns
-    /// whether they are.
+    /// Waits until the fleet is known, at most for `limit`. Returns whether it is.
     pub async fn wait_for_fleet(&self, limit: Duration) -> bool {
         let mut fleet_known = self.fleet_known.subscribe();
         tokio::time::timeout(limit, fleet_known.wait_for(|known| *known)).await.is_ok()
     }
 
-    /// Waits until there is a configuration and the other instances are known,
-    /// at most this long. Returns whether that is so.
+    /// Waits until there is a configuration and the fleet is known, at most for `limit`.
+    /// Returns whether both hold.
     pub async fn wait_until_prepared(&self, limit: Duration) -> bool {
         let mut catalog = self.catalog.subscribe();
         let mut fleet_known = self.fleet_known.subscribe();
         let both = async {
-            // Neither ends before the engine, which this borrows.
+            // The senders outlive this future, since it borrows the engine.
             drop(catalog.wait_for(|catalog| catalog.version > 0).await);
             drop(fleet_known.wait_for(|known| *known).await);
         };
