--- a/daemon/src/engine/configuration_control.rs
+++ b/daemon/src/engine/configuration_control.rs
@@ -1,4 +1,4 @@
-//! Puts the configurations that the platform's store announces in force.
+//! Follows the configuration in the platform's store and puts later versions in force.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,13 +20,13 @@
 use crate::engine::follow::OTHERS_LISTED;
 use crate::engine::shared::Engine;
 
-/// Puts configurations in force.
+/// Applies the store's configuration to an engine.
 pub struct ConfigurationFollower {
     engine: Arc<Engine>,
 }
 
 impl ConfigurationFollower {
-    /// Feeds an engine.
+    /// Creates a follower that updates `engine`.
     #[must_use]
     pub fn new(engine: Arc<Engine>) -> Self {
         Self { engine }
@@ -41,7 +41,7 @@
     }
 }
 
-/// Who told of a configuration.
+/// Where a configuration comes from.
 #[derive(Clone, Debug)]
 pub enum ConfigurationSource {
     /// The store, at the revision of its last change.
@@ -60,8 +60,8 @@
 }
 
 impl Engine {
-    /// Puts a configuration in force, unless it is older than the present one, and
-    /// logs either.
+    /// Puts a configuration in force if its version is later than the present one, and logs
+    /// whether it did.
     pub fn apply_configuration(&self, catalog: &Arc<Catalog>, source: &ConfigurationSource) {
         let in_force = self.catalog().version;
         let taken = self.set_catalog(catalog);
@@ -70,7 +70,8 @@
         let event = source.add_to(Event::new(kind).with("version", catalog.version));
         let event = event.with_count("routes", catalog.routes.len());
         let event = event.with("before", in_force);
-        // How long a configuration may have waited for the answer that told it.
+        // Upper bound of the time between the change in the store and the answer that
+        // contained it.
         let store = &self.metrics().store;
         let event = match source {
             ConfigurationSource::Store(_) => {
--- a/daemon/src/engine/fleet_control.rs
+++ b/daemon/src/engine/fleet_control.rs
@@ -1,4 +1,9 @@
-//! Sends heartbeats, by which instances know which others are alive and what they know.
+//! Sends and answers heartbeats.
+//!
+//! By heartbeats instances detect which others are alive, and exchange their demand for
+//! connections, the versions of their records, log positions of primaries, and grants of
+//! leases on the terms of primaries. Each round of heartbeats also triggers the periodic
+//! work on the records of instances.
 
 use std::collections::BTreeMap;
 use std::collections::HashSet;
@@ -28,22 +33,21 @@
 use crate::engine::shard::Shard;
 use crate::engine::shared::Engine;
 
-/// A pause between two rounds longer than this means that this instance stood
-/// still itself.
+/// A longer time between two rounds means that the process of this instance was paused.
 const PROCESS_PAUSE_THRESHOLD: Duration = Duration::from_millis(1_500);
 
-/// Shortest pause between two rounds of heartbeats, where the right to use a
-/// primary is wanted and missing: what 7 instances send then is a twentieth of
-/// their processor at most.
+/// Shortest time between two rounds of heartbeats while the lease on the term of a primary
+/// is needed and missing: the heartbeats of 7 instances then take at most a twentieth of
+/// their processor time.
 const MIN_RENEWAL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Sends heartbeats for ever.
+/// Sends rounds of heartbeats; never returns.
 pub async fn send_heartbeats(engine: Arc<Engine>, directory: Arc<dyn Directory>) {
     let mut last_round = now();
     loop {
         tokio::select! {
             () = tokio::time::sleep(HEARTBEAT_INTERVAL) => {}
-            // Grants come with the replies.
+            // Grants of leases arrive with the replies.
             () = engine.lease_renewal().notified() => tokio::time::sleep(MIN_RENEWAL_INTERVAL).await,
         }
         let at = now();
@@ -66,10 +70,11 @@
     }
 }
 
-/// An instance to send heartbeats to.
+/// An instance to send a heartbeat to.
 struct HeartbeatTarget {
     record: InstanceRecord,
-    /// Groups that both hold connections to.
+    /// Groups that this instance uses and on which the other votes or to which it also
+    /// holds connections.
     shared_groups: Vec<Arc<Shard>>,
 }
 
@@ -92,14 +97,14 @@
     if !engine.should_pull_from(&reply) {
         return;
     }
-    // One at a time: all neighbours tell of the same news at once.
+    // One pull at a time: all peers report the same change at about the same time.
     if let Some(_pulling) = engine.begin_pull() {
         pull_directory(engine, peer).await;
     }
 }
 
 impl Engine {
-    /// Closes links to instances whose record is gone.
+    /// Closes the links to instances whose record is gone, and drops their state.
     fn close_unused_links(&self) {
         let (ids, addresses): (Vec<_>, Vec<_>) = self.with_fleet(|fleet| {
             fleet.others().map(|record| (record.id.clone(), record.peer_address)).unzip()
@@ -110,8 +115,8 @@
         self.statement_links().keep_only(&addresses);
     }
 
-    /// Instances to send heartbeats to: those it watches, and those that hold
-    /// connections to the same groups.
+    /// Instances to send heartbeats to: those that this instance watches, and those that
+    /// vote on or hold connections to the groups that it uses.
     fn heartbeat_targets(&self) -> Vec<HeartbeatTarget> {
         let mut targets: BTreeMap<InstanceId, HeartbeatTarget> = BTreeMap::new();
         let target = |record| HeartbeatTarget { record, shared_groups: Vec::new() };
@@ -141,10 +146,11 @@
         records
     }
 
-    /// What this instance says of itself to one that shares these groups.
+    /// The heartbeat of this instance to one that shares these groups.
     ///
-    /// Only of shared groups: with each of 64 groups in each heartbeat 31
-    /// instances sent 600 KB a second each, and it grew with the square.
+    /// It contains the demand for shared groups only. With all of 64 groups in each
+    /// heartbeat, 31 instances sent 600 KB a second each, and the traffic grew with the
+    /// square of the number of instances.
     #[must_use]
     pub fn heartbeat(&self, shared_groups: &[Arc<Shard>]) -> Heartbeat {
         let at = now();
@@ -169,7 +175,8 @@
         }
     }
 
-    /// The reply to a heartbeat, with what is known of the groups it names.
+    /// The reply to a heartbeat, with the log positions of primaries and the grants of
+    /// leases for the groups that the heartbeat names.
     #[must_use]
     pub fn heartbeat_reply(&self, request: &Heartbeat) -> Heartbeat {
         let catalog = self.catalog();
@@ -194,12 +201,12 @@
         Heartbeat { samples, grants, lacks_records, ..self.heartbeat(&shards) }
     }
 
-    /// Another instance told, in reply to something asked at `asked_at`, what
-    /// primaries had reached.
+    /// Applies samples of the log positions of primaries, which another instance sent in
+    /// reply to a heartbeat of `asked_at`.
     ///
-    /// The reply was written after the question was sent, so a sample is at
-    /// most its age older than the question. That errs to the safe side
-    /// whatever the message took.
+    /// The reply was written after the heartbeat was sent. So `asked_at` minus the age of a
+    /// sample is never later than the time at which it was taken, however long the messages
+    /// took: a sample is dated too early at worst, which is safe.
     pub fn apply_position_samples(&self, asked_at: Moment, samples: &[PositionSample]) {
         for sample in samples {
             let Some(sampled_at) = asked_at.checked_sub(Duration::from_millis(sample.age_ms))
@@ -212,7 +219,7 @@
         }
     }
 
-    /// Another instance is alive.
+    /// Applies a heartbeat or the reply to one: its sender is alive.
     pub fn apply_heartbeat(&self, heartbeat: &Heartbeat) {
         self.note_store_era(heartbeat.store_era, &heartbeat.instance);
         let demands = heartbeat.demands.iter();
--- a/daemon/src/engine/instance_control.rs
+++ b/daemon/src/engine/instance_control.rs
@@ -1,5 +1,8 @@
-//! Keeps the records of instances in the platform's store: its own, and those of others that
-//! are gone or that a copy of the store lacks.
+//! Maintains the records of instances in the platform's store.
+//!
+//! Each instance follows the listing of all records, writes its own record and removes it
+//! at a planned stop. It also removes the records of instances that are gone, and writes
+//! those of live instances that a store lacks after it was restored from a backup.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -30,15 +33,15 @@
 use crate::engine::peer_records::pull_directory;
 use crate::engine::shared::Engine;
 
-/// Tells an engine which instances there are.
+/// Applies the store's records of instances to an engine.
 pub struct InstanceFollower {
     engine: Arc<Engine>,
-    /// Era of the last list; `None` before the first one.
+    /// Era of the last listing; `None` before the first one.
     listed_era: Option<Era>,
 }
 
 impl InstanceFollower {
-    /// Feeds an engine.
+    /// Creates a follower that updates `engine`.
     #[must_use]
     pub fn new(engine: Arc<Engine>) -> Self {
         Self { engine, listed_era: None }
@@ -60,29 +63,31 @@
     }
 }
 
-/// Instances that one asks for newer records when it starts.
+/// Number of other instances that a starting instance asks for later records in each round.
 const PEERS_ASKED_AT_START: usize = 3;
 
-/// How long an instance waits at its start for another one that knows all, after a
-/// copy of the store that may lack some: those that are alive are listed again by then.
+/// How long a starting instance waits for another one that has all records, when the store
+/// was restored from a backup that may lack some. By then all live instances are listed
+/// again.
 const RELISTING_TIME: Duration = Duration::from_secs(3);
 
-/// Pause between two rounds of asking others at the start.
+/// Time between two rounds of asking other instances for later records.
 const PEER_QUERY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Asks some of the others what they know before this instance goes on.
+/// Pulls records from other instances, and then marks the fleet as known.
 ///
-/// A store that came back from a copy can hold a configuration that others have
-/// succeeded already, and lack instances that vote; until they are written again, one
-/// that starts would serve by it, and take fewer votes for most.
+/// A store that was restored from a backup can hold an outdated configuration, and lack
+/// instances that vote. Until those are written again, a starting instance would serve by
+/// the outdated configuration, and take a minority of the voters for a majority.
 async fn complete_records_from_peers(engine: Arc<Engine>) {
     while !engine.is_fleet_known() {
         let others: Vec<_> = engine.with_fleet(|fleet| fleet.others().cloned().collect());
         let asked = others.choose_multiple(&mut rand::rng(), PEERS_ASKED_AT_START);
         let pulls: FuturesUnordered<_> = asked.map(|peer| pull_directory(&engine, peer)).collect();
-        // The first one that knows all will do: those that are gone never answer.
+        // One answer with the list of instances is enough: instances that are gone never
+        // answer.
         let got_instances = pulls.any(std::future::ready).await;
-        // A duty is taken in an era when all that are alive are listed again.
+        // A duty is taken in an era only after all live instances are listed again.
         let is_settled =
             engine.with_duties(|duties| duties.is_any_taken_in(engine.store_era().latest()));
         if got_instances || is_settled || engine.has_run_for(RELISTING_TIME) {
@@ -143,10 +148,11 @@
     }
 }
 
-/// Pause before the record is written again after a failure.
+/// Delay after a failure to write the record before the next attempt.
 const REGISTRATION_RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// Keeps the record of this instance in the store until it stops.
+/// Writes the record of this instance to the store whenever the store lacks it, until the
+/// instance stops.
 pub async fn keep_record(engine: Arc<Engine>, directory: Arc<dyn Directory>) {
     loop {
         engine.record_write_needed().notified().await;
@@ -166,8 +172,9 @@
 async fn write_record(engine: &Engine, directory: &dyn Directory) -> Result<(), WriteError> {
     let me = engine.me();
     let record = Record::Instance(me.clone());
-    // Each call is paid for: a record of an earlier life is replaced by the
-    // revision that was listed, and read only by a refusal.
+    // Each call to the store has a price. So the record of an earlier incarnation is
+    // replaced at the revision that was listed; if the write is refused, the refusal
+    // contains the present record.
     let earlier = engine.take_earlier_record();
     match directory.write(&me.id, &record, earlier).await {
         Err(WriteError::Conflict(Some(present))) if present.record == record => {
@@ -194,8 +201,8 @@
     Ok(())
 }
 
-/// Removes the record at a planned stop, so that the others share the
-/// connections of this instance without waiting for it to be silent.
+/// Removes the record at a planned stop, so that the other instances take over the
+/// connection budget of this one without waiting until it counts as unresponsive.
 pub async fn withdraw_record(engine: &Engine, directory: &dyn Directory) {
     let me = engine.me();
     let removed = match directory.get(RecordKind::Instances, &me.id).await {
@@ -204,12 +211,12 @@
         Err(error) => Err(WriteError::NotDone(error)),
     };
     if let Err(error) = removed {
-        // Others notice the silence instead.
+        // The other instances detect that this one is unresponsive instead.
         event_log::emit(&Event::new(EventKind::InstanceRecordFailed).with("reason", error));
     }
 }
 
-/// Removes the records of instances that were silent for long.
+/// Removes the records of instances that have long been unresponsive.
 pub fn remove_unresponsive(engine: &Arc<Engine>, directory: &Arc<dyn Directory>, at: Moment) {
     let lost = engine.with_fleet(|fleet| fleet.removable(at));
     for record in lost {
@@ -218,7 +225,8 @@
     }
 }
 
-/// Writes the records of living instances that a copy of the store lacks.
+/// Writes the records of live instances that the store lacks after it was restored from a
+/// backup.
 pub fn restore_unlisted(engine: &Arc<Engine>, directory: &Arc<dyn Directory>, at: Moment) {
     let unlisted = engine.with_fleet(|fleet| {
         fleet.forget_unlisted(at);
@@ -239,7 +247,7 @@
     let Ok(Some(entry)) = directory.get(RecordKind::Instances, &lost.id).await else {
         return;
     };
-    // It may have come back under the same name meanwhile.
+    // The instance may have restarted under the same name in the meantime.
     if entry.record != Record::Instance(lost.clone()) {
         return;
     }
--- a/daemon/src/engine/peer_records.rs
+++ b/daemon/src/engine/peer_records.rs
@@ -1,5 +1,6 @@
-//! What instances tell each other of the platform's records, while the store does not
-//! tell them itself.
+//! Exchange of the platform's records between instances: the configuration, the servers
+//! and the instances. It serves instances that start while the store is unavailable, and
+//! passes on what some instances read from the store earlier than others.
 
 use std::sync::Arc;
 
@@ -19,10 +20,11 @@
 use crate::engine::records;
 use crate::engine::shared::Engine;
 
-/// Tells an instance that has just started, without the store, what it lacks.
+/// Sends all known records to an instance that reported that it lacks some, because it
+/// started while the store was unavailable.
 ///
-/// It asks the addresses of its settings itself, but those are three, and may have
-/// been started again with it.
+/// A starting instance also pulls records from the seed addresses in its settings, but
+/// those are only three instances, which may have been restarted together with it.
 pub async fn push_records(engine: &Engine, peer: &InstanceRecord) {
     if !engine.is_fleet_listed() {
         return;
@@ -34,8 +36,8 @@
     }
 }
 
-/// Takes over what another instance knows of the platform's records. Returns whether
-/// it told which instances there are.
+/// Pulls the records that another instance has and this one lacks, and applies them.
+/// Returns whether the answer contained a list of instances.
 pub async fn pull_directory(engine: &Engine, peer: &InstanceRecord) -> bool {
     let known_servers = engine.servers_revision();
     let request = Body::DirectoryPull(DirectoryPull {
@@ -50,7 +52,7 @@
             engine.apply_directory_state(state);
             return has_instances;
         }
-        Ok(_) => "it answered something else than was asked".to_owned(),
+        Ok(_) => "the answer does not match the request".to_owned(),
         Err(error) => error.to_string(),
     };
     let event = Event::new(EventKind::PeerFailed).with("peer", &peer.id);
@@ -59,8 +61,9 @@
 }
 
 impl Engine {
-    /// Whether another instance knows records that this one lacks: while the
-    /// store turns this instance away, others may still be served by it.
+    /// Whether this instance should pull records from the sender of a heartbeat: the sender
+    /// has a later configuration, or later servers while this instance does not read
+    /// current servers from the store. The store may fail for this instance alone.
     #[must_use]
     pub fn should_pull_from(&self, heartbeat: &Heartbeat) -> bool {
         let peer_revision = Revision::new(heartbeat.servers_era, heartbeat.servers_revision);
@@ -71,7 +74,8 @@
             || (newer_servers && may_be_outdated)
     }
 
-    /// Takes over what another instance tells of the platform's records.
+    /// Applies the records that another instance sent, as far as they are later than those
+    /// of this instance.
     pub fn apply_directory_state(&self, state: DirectoryState) {
         let from = state.sender;
         if let Some(configuration) = state.configuration {
@@ -92,8 +96,9 @@
         });
     }
 
-    /// Takes over which instances another one knows. Only a start needs them, without
-    /// the store or with a copy of it; later the store's list is newer.
+    /// Applies the list of instances that another instance sent. Only a starting instance
+    /// needs it, while the store is unavailable or was restored from a backup; later on
+    /// the store's listing is more recent.
     fn apply_peer_instances(&self, instances: Vec<InstanceRecord>) {
         if instances.is_empty() {
             return;
@@ -105,14 +110,17 @@
         }
     }
 
-    /// How current this instance's own view of configuration and servers is.
+    /// How current the configuration and the servers have to be that this instance reads
+    /// from the store. Relays, a few instances of each failure domain, read them as they
+    /// are now; all others read them at a lower price, possibly seconds old, and pull
+    /// later versions from the relays.
     #[must_use]
     pub fn store_read_currency(&self) -> Currency {
         let is_relay = self.with_fleet(|fleet| fleet.is_relay(now(), &self.me().failure_domain));
         if is_relay { Currency::Fresh } else { Currency::MayBeOld }
     }
 
-    /// What this instance knows of the platform's records and another lacks.
+    /// The records that this instance has and another one lacks.
     #[must_use]
     pub fn directory_state(&self, lacks: DirectoryPull) -> DirectoryState {
         let sender = self.me().id.to_string();
--- a/daemon/src/engine/peers.rs
+++ b/daemon/src/engine/peers.rs
@@ -1,4 +1,10 @@
-//! Connections between instances that run the session engine.
+//! Connections between instances: requests to other instances, and the server that
+//! answers theirs.
+//!
+//! The messages are frames of a length prefix and an encoded [`EngineFrame`]. A *link* is
+//! such a connection; it carries one exchange of a request and its answer at a time. A
+//! connection can also become a *tunnel*: a byte stream to a database server through an
+//! instance that reaches the server.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -31,11 +37,11 @@
 use crate::engine::event_log;
 use crate::engine::socket;
 
-/// Longest frame: a configuration of some thousand routes.
+/// Longest frame; enough for a configuration of some thousand routes.
 const MAX_FRAME_BYTES: usize = 4 * 1024 * 1024;
 
-/// Time for an answer, connecting included: many times a round trip of 3 ms,
-/// short enough that several tries fit into the time to notice a dead primary.
+/// Longest time for an answer, connecting included: many times a round trip of 3 ms, and
+/// short enough that several attempts fit into the time to detect a failed primary.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
 
 type Frames = Framed<TcpStream, LengthDelimitedCodec>;
@@ -44,11 +50,11 @@
 #[derive(Clone, Debug)]
 #[derive(Display)]
 pub enum PeerError {
-    /// it cannot be reached: {0}
+    /// unreachable: {0}
     Unreachable(String),
-    /// it did not answer in time
+    /// no answer in time
     TimedOut,
-    /// its answer cannot be read
+    /// the answer cannot be decoded, or belongs to another request
     Unreadable,
 }
 
@@ -61,7 +67,7 @@
     PeerError::Unreachable(error.to_string())
 }
 
-/// Why an exchange on a link gave no answer.
+/// Why an exchange on a link gave no answer, by whether the request was sent.
 #[derive(Clone, Debug)]
 #[derive(Display)]
 pub enum LinkError {
@@ -77,8 +83,7 @@
     }
 }
 
-/// A connection to another instance, opened when it is needed, for one
-/// exchange at a time.
+/// A connection to another instance, opened on demand, for one exchange at a time.
 #[derive(Default)]
 pub struct PeerLink {
     frames: Option<Frames>,
@@ -86,8 +91,8 @@
 }
 
 impl PeerLink {
-    /// Whether it is connected and the other side has not closed it, as far as
-    /// can be told without asking.
+    /// Whether the link is connected and the other side has not closed it, as far as the
+    /// local socket shows it; sends nothing.
     #[must_use]
     pub fn is_open(&self) -> bool {
         let Some(frames) = &self.frames else {
@@ -98,11 +103,11 @@
         read.is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock)
     }
 
-    /// Connects, unless it is connected.
+    /// Connects the link, unless it is connected.
     ///
     /// # Errors
     ///
-    /// When no connection can be opened in time.
+    /// When the connection cannot be opened in time.
     pub async fn open(&mut self, address: SocketAddr) -> Result<(), PeerError> {
         if self.frames.is_none() {
             self.frames = Some(frames(connect(address).await?));
@@ -110,14 +115,15 @@
         Ok(())
     }
 
-    /// Asks and waits for the answer. Dropped early it closes the connection.
+    /// Sends a request and waits for the answer. Dropping the future before it completes
+    /// closes the connection.
     ///
     /// # Errors
     ///
-    /// When no connection could be opened, or no answer came.
+    /// When the connection cannot be opened, or no valid answer arrives.
     pub async fn exchange(&mut self, address: SocketAddr, body: Body) -> Result<Body, LinkError> {
-        // Taken out, so that a connection on which an answer is still to come
-        // is closed when this future is dropped.
+        // The connection is taken out of the link, so that dropping this future closes it
+        // while an answer is outstanding.
         self.open(address).await.map_err(LinkError::NotConnected)?;
         let Some(mut frames) = self.frames.take() else {
             return Err(PeerError::Unreadable.into());
@@ -142,12 +148,12 @@
     let bytes: BytesMut = match frames.next().await {
         Some(Ok(bytes)) => bytes,
         Some(Err(error)) => return Err(unreachable(&error)),
-        None => return Err(PeerError::Unreachable("closed".to_owned())),
+        None => return Err(PeerError::Unreachable("the connection was closed".to_owned())),
     };
     EngineFrame::decode(bytes).map_err(|_| PeerError::Unreadable)
 }
 
-/// Links to other instances, opened when they are needed.
+/// Links to other instances, one for each address, opened on demand.
 #[derive(Default)]
 pub struct Peers {
     links: Mutex<HashMap<SocketAddr, SharedLink>>,
@@ -163,7 +169,8 @@
     }
 }
 
-/// Asks on the kept link, and on a new one as well if that gives no answer.
+/// Sends a request on the kept link, and on a new one as well if the kept link yields no
+/// answer within [`SIGN_LIMIT`]. Returns the first answer.
 async fn ask_on_kept_or_new_link(
     link: &SharedLink,
     address: SocketAddr,
@@ -184,13 +191,13 @@
         Ok(answer) = &mut pending => return Ok(answer),
         answer = new_link.exchange(address, body) => answer?,
     };
-    // Closes the link that gave no answer.
+    // Closes the connection that yielded no answer.
     drop(pending);
     keep(link, new_link);
     Ok(answer)
 }
 
-/// Keeps a new link in place of the one before, unless that is in use.
+/// Replaces a kept link by a new one, unless the kept link is in use.
 fn keep(link: &SharedLink, new_link: PeerLink) {
     if let Ok(mut kept) = link.try_lock() {
         *kept = new_link;
@@ -198,14 +205,14 @@
 }
 
 impl Peers {
-    /// Asks another instance.
+    /// Sends a request to another instance and waits for the answer.
     ///
-    /// A kept link can go silent without a reset. So that a living instance does not look
-    /// silent, the question is asked again on a new link.
+    /// A connection can stop delivering data without a reset. So that an instance which
+    /// runs does not appear unresponsive, the request is then sent again on a new link.
     ///
     /// # Errors
     ///
-    /// When no answer came in time.
+    /// When no valid answer arrives in time.
     pub async fn ask(&self, address: SocketAddr, body: Body) -> Result<Body, PeerError> {
         let link = self.link(address);
         flatten(
@@ -214,11 +221,12 @@
         )
     }
 
-    /// Asks another instance on a new link, within `limit`.
+    /// Sends a request to another instance on a new link and waits for the answer, at most
+    /// for `limit`. The new link replaces the kept one.
     ///
     /// # Errors
     ///
-    /// When no answer came in time.
+    /// When no valid answer arrives in time.
     pub async fn ask_on_new_link(
         &self,
         address: SocketAddr,
@@ -237,11 +245,11 @@
         links.entry(address).or_default().clone()
     }
 
-    /// Opens a stream to a server through another instance that reaches it.
+    /// Opens a byte stream to a database server through another instance.
     ///
     /// # Errors
     ///
-    /// When the other instance cannot be reached, or does not reach it either.
+    /// When the other instance cannot be reached, or cannot reach the server either.
     pub async fn tunnel(
         &self,
         address: SocketAddr,
@@ -256,42 +264,43 @@
         };
         let reply = tokio::time::timeout(REQUEST_TIMEOUT, pending).await;
         match reply.unwrap_or(Err(PeerError::TimedOut))?.body {
-            // The server speaks only when spoken to: nothing is buffered yet.
+            // The server sends nothing before it receives a message, so that no bytes
+            // of the tunnel are buffered in `frames`.
             Some(Body::TunnelReply(reply)) if reply.connected => Ok(frames.into_inner()),
             Some(Body::TunnelReply(_)) => {
-                Err(PeerError::Unreachable("the server, from there".to_owned()))
+                Err(PeerError::Unreachable("the other instance cannot reach the server".to_owned()))
             }
             _ => Err(PeerError::Unreadable),
         }
     }
 
-    /// Closes links to addresses that are not in use any more.
+    /// Closes the links to all addresses but these.
     pub fn keep_only(&self, addresses: &[SocketAddr]) {
         let mut links = self.links.lock().expect("never poisoned");
         links.retain(|address, _| addresses.contains(address));
     }
 }
 
-/// Serves statements of another instance, one at a time.
+/// Runs statements that another instance forwards on one link, one at a time.
 #[async_trait]
 pub trait ForwardedStatementHandler: Send {
-    /// Runs a statement.
+    /// Runs a statement and returns its reply.
     async fn run(&mut self, statement: Statement) -> StatementReply;
 }
 
-/// Answers other instances.
+/// Answers the requests of other instances.
 pub trait PeerHandler: Send + Sync {
-    /// The answer to a question; `None` if it is none.
+    /// Returns the answer to a request; `None` if the message is not a request.
     fn answer(&self, request: Body) -> Option<Body>;
 
-    /// Serves statements of another instance's clients on one link.
+    /// Creates the handler for the statements that another instance forwards on one link.
     fn guest(self: Arc<Self>) -> Box<dyn ForwardedStatementHandler>;
 
-    /// Address of a server for a tunnel; `None` if it is not known.
+    /// Address of the server that a tunnel leads to; `None` if the server is not known.
     fn tunnel_target(&self, tunnel: &Tunnel) -> Option<SocketAddr>;
 }
 
-/// Answers other instances for ever.
+/// Accepts connections of other instances and answers their requests; never returns.
 pub async fn serve(handler: Arc<dyn PeerHandler>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -307,7 +316,7 @@
     }
 }
 
-/// Pause after the system refused to accept a connection.
+/// Delay after the operating system failed to accept a connection.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 async fn serve_connection(handler: Arc<dyn PeerHandler>, stream: TcpStream) {
@@ -335,7 +344,7 @@
         };
         let Some(body) = body else {
             let event = Event::new(EventKind::PeerFailed);
-            event_log::emit(&event.with("reason", "it sent something that is no question"));
+            event_log::emit(&event.with("reason", "received a message that is not a request"));
             return;
         };
         let answer = EngineFrame { exchange_id: frame.exchange_id, body: Some(body) };
@@ -345,7 +354,7 @@
     }
 }
 
-/// Connects a stream of another instance with a server, until either closes.
+/// Copies bytes between another instance and a server until either side closes.
 async fn run_tunnel(mut frames: Frames, exchange_id: u64, target: Option<SocketAddr>) {
     let server = match target {
         Some(target) => connect(target).await,
@@ -358,15 +367,15 @@
         return;
     };
     let mut stream = frames.into_inner();
-    // Either end closing, or failing, is the usual end of a tunnel.
+    // A tunnel usually ends when either side closes or fails, so the result is ignored.
     let _ended = tokio::io::copy_bidirectional(&mut stream, &mut server).await;
 }
 
-/// Opens a stream within the time for an answer.
+/// Opens a TCP connection within the time for an answer.
 ///
 /// # Errors
 ///
-/// When it cannot be opened in time.
+/// When the connection cannot be opened in time.
 pub async fn connect(address: SocketAddr) -> Result<TcpStream, PeerError> {
     match tokio::time::timeout(REQUEST_TIMEOUT, TcpStream::connect(address)).await {
         Ok(Ok(stream)) => {
