--- a/daemon/src/engine/account_metrics.rs
+++ b/daemon/src/engine/account_metrics.rs
@@ -1,4 +1,4 @@
-//! Counters by client account.
+//! Counters by client account, for a limited number of accounts.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -10,11 +10,11 @@
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
 
-/// Accounts that have counters of their own. Those that come later share one, so that
-/// the number of accounts does not decide how large an answer with metrics is.
+/// Most accounts that have counters of their own: the first ones after the start. All other
+/// accounts share one label, so that the size of the metrics text is limited.
 const MAX_NAMED_ACCOUNTS: usize = 256;
 
-/// Stands for the accounts without counters of their own.
+/// Label of all accounts without counters of their own.
 const OTHER_ACCOUNTS: &str = "other";
 
 /// Labels of statements by account.
@@ -27,16 +27,16 @@
     pub outcome: &'static str,
 }
 
-/// Statements by account and outcome.
+/// Completed statements by account and outcome.
 #[derive(Clone, Debug, Default)]
 pub struct AccountMetrics {
-    /// The counters.
+    /// Number of completed statements.
     pub statements: Family<AccountLabels, Counter>,
     named: Arc<Mutex<HashSet<AccountId>>>,
 }
 
 impl AccountMetrics {
-    /// A statement of an account ended.
+    /// Counts a completed statement of an account; `failure` is `None` if it succeeded.
     pub fn ended(&self, account: &AccountId, failure: Option<ErrorKind>) {
         let outcome = failure.map_or("ok", ErrorKind::name);
         let account = if self.is_named(account) { account } else { OTHER_ACCOUNTS };
--- a/daemon/src/engine/clock.rs
+++ b/daemon/src/engine/clock.rs
@@ -1,4 +1,4 @@
-//! The clock of the engine.
+//! The monotonic clock of the engine.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use rustix::time::ClockId;
 use rustix::time::clock_gettime;
 
-/// Time since the machine started, suspensions included; see [`Moment`].
+/// Time since the machine booted, including time in which it was suspended; see [`Moment`].
 #[must_use]
 pub fn now() -> Moment {
     let time = clock_gettime(ClockId::Boottime);
--- a/daemon/src/engine/configuration_control.rs
+++ b/daemon/src/engine/configuration_control.rs
@@ -70,8 +70,8 @@
         let event = source.add_to(Event::new(kind).with("version", catalog.version));
         let event = event.with_count("routes", catalog.routes.len());
         let event = event.with("before", in_force);
-        // Upper bound of the time between the change in the store and the answer that
-        // contained it.
+        // These times show whether the configuration arrived late because the store did not
+        // answer: the time between the last two answers, or the time since the last one.
         let store = &self.metrics().store;
         let event = match source {
             ConfigurationSource::Store(_) => {
--- a/daemon/src/engine/controllers.rs
+++ b/daemon/src/engine/controllers.rs
@@ -1,4 +1,4 @@
-//! Starts the controllers of an engine.
+//! Starts the background tasks of an engine.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -33,7 +33,10 @@
 use crate::engine::shared::PEER_FALLBACK_DELAY;
 use crate::engine::store_signs;
 
-/// Starts all controllers. They run until the program ends.
+/// Starts all background tasks. They run until the program ends.
+///
+/// `seeds` are addresses of other instances from which this one pulls records if the store
+/// does not answer at the start.
 pub fn start(
     engine: &Arc<Engine>,
     directory: &Arc<dyn Directory>,
@@ -43,7 +46,7 @@
 ) {
     let counted = CountedDirectory::new(directory.clone(), engine.metrics().store.clone());
     let directory: Arc<dyn Directory> = Arc::new(counted);
-    // They run until the program ends.
+    // Dropping the handles leaves the tasks running.
     let _followers = start_followers(engine, &directory);
     let replacer = Replacer {
         engine: engine.clone(),
@@ -60,7 +63,7 @@
     tokio::spawn(start_without_peers(engine.clone()));
 }
 
-/// Starts following what the store keeps.
+/// Starts the tasks that follow the records in the store, and returns their handles.
 pub fn start_followers(
     engine: &Arc<Engine>,
     directory: &Arc<dyn Directory>,
@@ -81,14 +84,16 @@
     ]
 }
 
-/// How long a starting instance waits to hear of others, from the store or from
-/// them: the store answers after 4 ms, or 200 ms when it is slow, and others
-/// are asked after 250 ms.
+/// How long a starting instance waits for a list of the other instances, from the store or
+/// from a peer: the store answers within 4 ms, or 200 ms when it is slow, and peers are
+/// asked after 250 ms.
 const PEER_DISCOVERY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Without the store and without others an instance serves all by itself.
+/// Lets a starting instance serve all groups by itself if neither the store nor another
+/// instance provides a list of instances.
 async fn start_without_peers(engine: Arc<Engine>) {
-    // Once they are listed, others are asked whom the list lacks.
+    // If the fleet is listed but not known yet, the instance is still pulling records from
+    // its peers and marks the fleet as known itself.
     if engine.wait_for_fleet(PEER_DISCOVERY_TIMEOUT).await || engine.is_fleet_listed() {
         return;
     }
@@ -98,17 +103,17 @@
     engine.set_fleet_known();
 }
 
-/// Pause between two rounds over the seeds.
+/// Time between two rounds of requests to the seeds.
 const SEED_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Learns configuration and servers from other instances while the store does
-/// not answer. An instance that restarts during an outage of the store would
-/// otherwise serve nobody until its end.
+/// Pulls records from the seeds while the store does not answer. An instance that restarts
+/// during an outage of the store could otherwise serve no client until the outage ends.
 async fn pull_from_seeds(engine: Arc<Engine>, seeds: Vec<SocketAddr>) {
     tokio::time::sleep(PEER_FALLBACK_DELAY).await;
     while engine.lacks_records() {
-        // They are three for all instances; asked by 180 that had started together,
-        // they could answer nobody in time.
+        // All instances have the same three seeds. When 180 instances that had started
+        // together asked them, the seeds could answer none in time. So they are not asked
+        // while the store is about to return its listings.
         let asked = if engine.expects_store_listings() { &[] } else { &*seeds };
         for seed in asked {
             let record = InstanceRecord {
--- a/daemon/src/engine/event_log.rs
+++ b/daemon/src/engine/event_log.rs
@@ -1,4 +1,8 @@
-//! Writes log events to standard output: bounded, and never in the way.
+//! Writes log events as lines to standard output.
+//!
+//! Emitting an event never blocks: a thread of its own writes the lines from a bounded
+//! queue, and each kind of event has a limit of lines a second. Lines that exceed a bound
+//! are dropped and counted.
 
 use std::io::Write;
 use std::sync::Arc;
@@ -17,24 +21,26 @@
 
 use crate::metrics::since_epoch;
 
-/// Lines that wait for the writer. At 250 bytes each a quarter of a megabyte;
-/// when nobody reads standard output, further lines are left out.
+/// Most lines that wait for the writer: a quarter of a megabyte at 250 bytes a line. While
+/// nothing reads standard output, further lines are dropped.
 const QUEUE_LINES: usize = 1024;
 
-/// Target of event lines among all log records.
+/// Log target of event lines; records with other targets are not written.
 const EVENT_TARGET: &str = "chervilwharf::event";
 
 struct EventLog {
     instance: Arc<str>,
     counters: Mutex<Vec<LineCounter>>,
     lines: SyncSender<String>,
-    /// Lines that found the queue full, or no budget.
+    /// Number of lines dropped because the queue was full or the limit of their kind was
+    /// reached.
     left_out: AtomicU64,
 }
 
 static EVENT_LOG: OnceLock<EventLog> = OnceLock::new();
 
-/// Starts logging of this instance to standard output.
+/// Starts logging to standard output. `instance` is the name of this instance, which each
+/// line contains.
 ///
 /// # Errors
 ///
@@ -43,8 +49,8 @@
     start_with(instance, Box::new(std::io::stdout()))
 }
 
-/// Starts logging to a writer. It may block: only the lines behind it are
-/// lost.
+/// Starts logging to a writer. If the writer blocks, lines are dropped once the queue is
+/// full; emitting events does not block.
 ///
 /// # Errors
 ///
@@ -77,23 +83,23 @@
     }
 }
 
-/// One writer, on a thread of its own: standard output can be a pipe that
-/// nobody reads, and a request must not wait for that.
+/// Writes queued lines. Runs on a thread of its own, since standard output can be a pipe
+/// that nothing reads, and requests must not wait for it.
 fn write_lines(queued: &Receiver<String>, mut out: Box<dyn Write + Send>) {
     while let Ok(line) = queued.recv() {
-        // Without a reader there is nobody to tell.
+        // There is no other place to report a failure to write.
         let _written = out.write_all(line.as_bytes()).and_then(|()| out.write_all(b"\n"));
         let _flushed = out.flush();
     }
 }
 
-/// Lines left out so far.
+/// Number of lines dropped since the start.
 #[must_use]
 pub fn left_out() -> u64 {
     EVENT_LOG.get().map_or(0, |log| log.left_out.load(Ordering::Relaxed))
 }
 
-/// Writes an event, unless its kind has had its lines of this second.
+/// Writes an event, unless the limit of its kind for this second is reached.
 pub fn emit(event: &Event) {
     let Some(log) = EVENT_LOG.get() else {
         return;
--- a/daemon/src/engine/instance_control.rs
+++ b/daemon/src/engine/instance_control.rs
@@ -173,8 +173,7 @@
     let me = engine.me();
     let record = Record::Instance(me.clone());
     // Each call to the store has a price. So the record of an earlier incarnation is
-    // replaced at the revision that was listed; if the write is refused, the refusal
-    // contains the present record.
+    // replaced at the revision that was listed, and read only if that write is refused.
     let earlier = engine.take_earlier_record();
     match directory.write(&me.id, &record, earlier).await {
         Err(WriteError::Conflict(Some(present))) if present.record == record => {
--- a/daemon/src/engine/metrics.rs
+++ b/daemon/src/engine/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of the session engine.
+//! Counters, gauges and histograms of the session engine.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -25,7 +25,7 @@
 use crate::engine::shard::Shard;
 use crate::engine::shared::Engine;
 
-/// Labels of a statement that ended.
+/// Labels of a completed statement.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
 pub struct StatementLabels {
@@ -45,13 +45,13 @@
     pub group: String,
 }
 
-/// Labels of time at servers.
+/// Labels of the time that statements spend at servers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
 pub struct ServerLabels {
     /// The group.
     pub group: String,
-    /// `primary`, `replica`, or `holder` for another instance on the way there.
+    /// `primary` or `replica`; `holder` if another instance ran the statement.
     pub role: &'static str,
 }
 
@@ -75,7 +75,7 @@
     pub state: &'static str,
 }
 
-/// Labels of a try that was followed by another one.
+/// Labels of a failed attempt that was retried.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
 pub struct ReasonLabels {
@@ -87,13 +87,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
 pub struct StoreLabels {
-    /// Kind of the records, or `signs` for signs of life.
+    /// Kind of the records, or `signs` for liveness checks.
     pub kind: String,
     /// `ok` or `failed`.
     pub outcome: &'static str,
 }
 
-/// Labels of what is known of a kind of records.
+/// Labels of a kind of records.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
 pub struct KindLabels {
@@ -104,15 +104,15 @@
 type SecondsGauge = Gauge<f64, AtomicU64>;
 type HistogramFamily<L> = Family<L, Histogram, fn() -> Histogram>;
 
-/// When the platform's store last answered about a kind of records.
+/// The last successful call to the platform's store for a kind of records.
 #[derive(Clone, Copy, Debug)]
 struct LastAnswer {
     at: Moment,
-    /// Time since the answer before.
+    /// Time since the previous answer; `None` for the first one.
     gap: Option<Duration>,
 }
 
-/// Calls to the platform's store, and when it last answered.
+/// Metrics of calls to the platform's store.
 #[derive(Clone, Debug, Default)]
 pub struct StoreMetrics {
     calls: Family<StoreLabels, Counter>,
@@ -127,7 +127,7 @@
         self.calls.get_or_create(&StoreLabels { kind, outcome }).inc();
     }
 
-    /// A question for a sign of life ended.
+    /// Counts a liveness check of the store.
     pub fn record_liveness_check(&self, succeeded: bool) {
         self.count("signs".to_owned(), succeeded);
         if succeeded {
@@ -135,7 +135,7 @@
         }
     }
 
-    /// A call about a kind of records ended.
+    /// Counts a call to the store for a kind of records.
     pub fn record_call(&self, kind: RecordKind, succeeded: bool) {
         self.count(kind.to_string(), succeeded);
         if succeeded {
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Time since the last answer of any kind; `None` before the first.
+    /// Time since the last successful call of any kind; `None` before the first.
     #[must_use]
     pub fn answer_age(&self) -> Option<Duration> {
         let liveness_reply_at = *self.last_liveness_reply.lock().expect("never poisoned");
@@ -155,7 +155,7 @@
         Some(now().saturating_sub(newest))
     }
 
-    /// Time between the last two answers about a kind of records.
+    /// Time between the last two successful calls for a kind of records.
     #[must_use]
     pub fn answer_gap(&self, kind: RecordKind) -> Option<Duration> {
         self.answers.lock().expect("never poisoned").get(&kind)?.gap
@@ -170,24 +170,24 @@
     }
 }
 
-/// Counters and histograms of an engine.
+/// Metrics of an engine.
 pub struct EngineMetrics {
     registry: Registry,
-    /// Statements by group and outcome.
+    /// Completed statements by group, kind and outcome.
     pub statements: Family<StatementLabels, Counter>,
-    /// Time from a statement's arrival to its answer.
+    /// Time from the receipt of a statement to its answer.
     statement_seconds: HistogramFamily<GroupLabels>,
     /// Time that statements waited for a connection.
     wait_seconds: HistogramFamily<GroupLabels>,
     /// Time that statements spent at servers.
     server_seconds: HistogramFamily<ServerLabels>,
-    /// Tries that were followed by another one.
+    /// Failed attempts that were retried, by the kind of error.
     retries: Family<ReasonLabels, Counter>,
-    /// Calls to the platform's store.
+    /// Metrics of calls to the platform's store.
     pub store: StoreMetrics,
-    /// Statements by client account.
+    /// Completed statements by client account.
     pub accounts: AccountMetrics,
-    /// Time that each step in the replacement of a primary took here.
+    /// Time that each step in the replacement of a primary took at this instance.
     replacement_seconds: HistogramFamily<PhaseLabels>,
     connections: Family<ConnectionLabels, Gauge>,
     waiting: Family<GroupLabels, Gauge>,
@@ -197,7 +197,7 @@
     lines_left_out: Gauge,
 }
 
-/// Bounds of latency histograms: 1 ms to 8 s in factors of two.
+/// A latency histogram with bounds from 1 ms to 8 s in factors of two.
 fn latency_histogram() -> Histogram {
     Histogram::new(exponential_buckets(0.001, 2.0, 14))
 }
@@ -233,25 +233,49 @@
 impl EngineMetrics {
     fn register(&mut self) {
         let registry = &mut self.registry;
-        registry.register("statements", "Statements by outcome", self.statements.clone());
+        registry.register("statements", "Completed statements by outcome", self.statements.clone());
         let seconds = self.statement_seconds.clone();
-        registry.register("statement_seconds", "Arrival to answer", seconds);
-        registry.register("wait_seconds", "Wait for a connection", self.wait_seconds.clone());
-        registry.register("server_seconds", "Time at servers", self.server_seconds.clone());
-        registry.register("tries_again", "Tries followed by others", self.retries.clone());
+        registry.register(
+            "statement_seconds",
+            "Time from the receipt of a statement to its answer",
+            seconds,
+        );
+        registry.register(
+            "wait_seconds",
+            "Time that statements waited for a connection",
+            self.wait_seconds.clone(),
+        );
+        registry.register(
+            "server_seconds",
+            "Time that statements spent at servers",
+            self.server_seconds.clone(),
+        );
+        registry.register("tries_again", "Failed attempts that were retried", self.retries.clone());
         let statements = self.accounts.statements.clone();
-        registry.register("account_statements", "Statements by account", statements);
+        registry.register("account_statements", "Completed statements by account", statements);
         registry.register("store_calls", "Calls to the store", self.store.calls.clone());
         let age = self.store.age_seconds.clone();
-        registry.register("store_answer_age_seconds", "Since the store last answered", age);
+        registry.register("store_answer_age_seconds", "Time since the store last answered", age);
         let seconds = self.replacement_seconds.clone();
-        registry.register("replacement_seconds", "Steps in replacing a primary", seconds);
+        registry.register(
+            "replacement_seconds",
+            "Time of the steps in the replacement of a primary",
+            seconds,
+        );
         registry.register("connections", "Connections to servers", self.connections.clone());
-        registry.register("waiting", "Statements that wait", self.waiting.clone());
+        registry.register("waiting", "Statements that wait for a connection", self.waiting.clone());
         let age = self.sample_age_seconds.clone();
-        registry.register("sample_age_seconds", "Age of the primary's position", age);
+        registry.register(
+            "sample_age_seconds",
+            "Age of the newest known log position of the primary",
+            age,
+        );
         let version = self.configuration_version.clone();
-        registry.register("configuration_version", "Version in force", version);
+        registry.register(
+            "configuration_version",
+            "Version of the configuration in force",
+            version,
+        );
         registry.register("sessions", "Open sessions", self.sessions.clone());
         registry.register(
             "log_lines_left_out",
@@ -260,7 +284,7 @@
         );
     }
 
-    /// A statement of a kind ended after `took`.
+    /// Counts a statement that completed after `took`; `failure` is `None` if it succeeded.
     pub fn ended(
         &self,
         group: &GroupId,
@@ -276,7 +300,8 @@
         seconds.observe(took.as_secs_f64());
     }
 
-    /// A statement had waited for a connection, and was at a server of this role.
+    /// Records the times that a statement waited for a connection and spent at a server of
+    /// this role.
     pub fn tried(
         &self,
         group: &GroupId,
@@ -290,18 +315,18 @@
         self.server_seconds.get_or_create(&labels).observe(at_server.as_secs_f64());
     }
 
-    /// A step in the replacement of a primary took this long.
+    /// Records the time of a step in the replacement of a primary.
     pub fn replacement_step(&self, phase: &'static str, took: Duration) {
         let seconds = self.replacement_seconds.get_or_create(&PhaseLabels { phase });
         seconds.observe(took.as_secs_f64());
     }
 
-    /// A try was followed by another one.
+    /// Counts a failed attempt that is retried.
     pub fn moved(&self, reason: ErrorKind) {
         self.retries.get_or_create(&ReasonLabels { reason: reason.name() }).inc();
     }
 
-    /// All metrics as text.
+    /// All metrics in the text format of Prometheus, after an update of the gauges.
     #[must_use]
     pub fn text(&self, engine: &Engine) -> String {
         self.configuration_version.set(i64::try_from(engine.catalog().version).unwrap_or(i64::MAX));
--- a/daemon/src/engine/quota_control.rs
+++ b/daemon/src/engine/quota_control.rs
@@ -1,4 +1,10 @@
-//! Counts the operations of accounts with the other instances.
+//! Enforces the quotas of client accounts across all instances.
+//!
+//! Accounts are divided into shards by their name. For each shard one instance, the
+//! *keeper*, counts the operations of its accounts; it holds a lease that a majority of
+//! the shard's voters grants and renews. An instance that a client is connected to asks
+//! the keeper before it begins an operation, and gets operations granted in advance for
+//! busy accounts. While no keeper answers, each instance admits a fraction of the limit.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -41,47 +47,53 @@
 use crate::engine::request::Failure;
 use crate::engine::shared::Engine;
 
-/// Time between two looks at the shards: a fraction of the stagger of candidates.
+/// Time between two checks of the leases: a fraction of the delay by which the candidates
+/// for a lease are staggered.
 const SHARD_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Longest time for a keeper's answer: several round trips, and short against the
-/// objective of any request.
+/// Longest time for a keeper's answer: several round trips, and short compared with the
+/// latency objective of any request.
 const KEEPER_ANSWER_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// A keeper that did not answer is not asked again for this long.
+/// How long a keeper that did not answer is not asked again.
 const KEEPER_SKIP_TIME: Duration = Duration::from_millis(300);
 
-/// Keepers that are asked for one operation: one that is believed to be it, and one
-/// that the first names.
+/// Number of instances that are asked for one operation: the presumed keeper, and the one
+/// that it names instead.
 const MAX_KEEPERS_ASKED: usize = 2;
 
-/// What an instance does about one shard of accounts.
+/// State of one shard of accounts at this instance.
 #[derive(Default)]
 struct AccountShard {
     voters: Arc<Vec<InstanceRecord>>,
+    /// This instance's lease as the keeper of the shard.
     lease: KeeperLease,
     renewed_at: Moment,
     counters: QuotaBook,
-    /// The instance that answered last as the keeper.
+    /// The presumed keeper: the instance that last answered as such, or that another one
+    /// named.
     keeper: Option<InstanceRecord>,
 }
 
 struct Inner {
+    /// Votes that this instance gave to keepers.
     votes: Votes,
     shards: Vec<AccountShard>,
-    /// Records from which the voters were computed.
+    /// Records of instances from which the voters were computed.
     recorded: Vec<InstanceRecord>,
+    /// Operations that keepers granted to this instance, by account.
     allowances: HashMap<AccountId, Allowance>,
     skipped_until: HashMap<InstanceId, Moment>,
 }
 
-/// What an instance knows of quotas.
+/// Quota state of an instance: as a keeper, as a voter and as an instance that admits
+/// operations.
 pub struct QuotaControl {
     inner: Mutex<Inner>,
 }
 
 impl QuotaControl {
-    /// An instance that has just started.
+    /// State of an instance that started at `started_at`.
     #[must_use]
     pub fn new(started_at: Moment) -> Self {
         let mut shards = Vec::new();
@@ -104,7 +116,7 @@
 
 impl Inner {
     fn shard(&mut self, number: ShardNumber) -> &mut AccountShard {
-        // Numbers of other instances are checked where they come in.
+        // Numbers from other instances are checked when a message is received.
         &mut self.shards[number as usize]
     }
 
@@ -112,8 +124,8 @@
         self.allowances.entry(account.clone()).or_insert_with(|| Allowance::new(at))
     }
 
-    /// The instance to ask about a shard, but for those that were asked: who answered
-    /// last, else the first voter that is not silent.
+    /// The instance to ask as the keeper of a shard, except those in `asked` and those that
+    /// are skipped: the presumed keeper, else the first voter.
     fn keeper(
         &mut self,
         at: Moment,
@@ -131,12 +143,13 @@
     }
 }
 
-/// Keeps shards of accounts, as long as this instance should, for ever.
+/// Obtains and renews the leases on shards of accounts that this instance should keep;
+/// never returns.
 pub async fn maintain_keeper_leases(engine: Arc<Engine>) {
     loop {
         tokio::time::sleep(SHARD_CHECK_INTERVAL).await;
         let has_accounts = engine.catalog().accounts.is_some();
-        // Who knows no others would take itself for a majority.
+        // An instance that knows no others would take itself for a majority.
         if !has_accounts || !engine.is_fleet_listed() || !engine.is_fleet_known() {
             continue;
         }
@@ -148,12 +161,12 @@
 }
 
 impl Engine {
-    /// The candidate that this instance is.
+    /// This instance as a candidate for a lease.
     fn as_candidate(&self) -> Candidate {
         Candidate { id: self.me().id.clone(), life: self.me().life }
     }
 
-    /// Asks for a vote, or gives it back.
+    /// The message that requests a vote for this instance, or returns the vote if `released`.
     fn vote_request(&self, shard: ShardNumber, released: bool) -> KeeperVote {
         let Candidate { id, life } = self.as_candidate();
         KeeperVote { shard, instance: id.to_string(), life, released }
@@ -215,7 +228,7 @@
             event_log::emit(&Event::new(EventKind::KeeperGained).with("shard", number));
         }
         if !held {
-            // Others must not wait for votes that were of no use.
+            // Return votes that make no majority, so that other candidates can have them.
             self.release_shard(number);
         }
     }
@@ -237,7 +250,7 @@
         inner.shard(number).lease.answered(asked_at, &voter.id, &vote);
     }
 
-    /// Gives a shard up, if it is kept or votes for it were asked for.
+    /// Ends the lease on a shard and returns its votes, if there are any.
     fn release_shard(&self, number: ShardNumber) {
         let me = self.as_candidate();
         let voters = {
@@ -254,13 +267,14 @@
             let request = self.vote_request(number, true);
             let (peers, address) = (self.shared_peers(), voter.peer_address);
             tokio::spawn(async move {
-                // Without an answer the vote ends by itself.
+                // A failure is ignored: the vote then expires.
                 drop(peers.ask(address, Body::KeeperVote(request)).await);
             });
         }
     }
 
-    /// Another instance wants to keep a shard, or does not any more.
+    /// Answers a candidate that requests the vote of this instance for a shard, or returns
+    /// it.
     #[must_use]
     pub fn keeper_vote(&self, request: &KeeperVote) -> KeeperVoteReply {
         if request.shard >= SHARDS {
@@ -279,7 +293,8 @@
         }
     }
 
-    /// Operations of an account are about to begin at another instance.
+    /// Answers an instance that wants to begin operations of an account: grants them or
+    /// refuses them as the keeper, or names the instance that is the keeper.
     #[must_use]
     pub fn quota_reply(&self, request: &QuotaQuestion) -> QuotaReply {
         let (at, account) = (now(), AccountId::from(request.account.as_str()));
@@ -306,12 +321,13 @@
         }
     }
 
-    /// What an account with this limit is let begin.
+    /// The limit that is enforced: the account's limit plus the tolerance of the platform.
     fn tolerated(&self, limit: QuotaLimit) -> QuotaGrant {
         self.quota_tolerance().map_or(limit.into(), |tolerance| tolerance.applied_to(limit))
     }
 
-    /// The limit of an account by the newer one of two configurations.
+    /// The enforced limit of an account by the later configuration: that of the request or
+    /// that of this instance. `None` if the account has no limit.
     fn newest_limit(&self, account: &AccountId, request: &QuotaQuestion) -> Option<QuotaGrant> {
         let catalog = self.catalog();
         if request.configuration_version > catalog.version {
@@ -321,11 +337,13 @@
         Some(self.tolerated(catalog.accounts.as_ref()?.limit(account)?))
     }
 
-    /// An operation of an account is about to begin here.
+    /// Admits an operation of an account, from the operations granted in advance or by
+    /// asking the keeper. Waits for a keeper's answer at most for about `patience`.
     ///
     /// # Errors
     ///
-    /// When the account is at its limit, or nobody can tell. Nothing has run.
+    /// When the account is at its limit, or no keeper answers and the fraction that is
+    /// admitted without one is used up. The operation has not run.
     pub async fn admit_operation(
         &self,
         account: &AccountId,
@@ -369,7 +387,7 @@
         Err(rate_limited(limit, Duration::from_millis(reply.retry_after_ms)))
     }
 
-    /// An operation that was admitted did not run.
+    /// Returns an admitted operation that did not run.
     pub fn refund_operation(&self, account: &AccountId) {
         let at = now();
         let limited =
@@ -379,12 +397,12 @@
         }
     }
 
-    /// Asks the keeper of an account, again and again while there is none; `None` if
-    /// none answers until then.
+    /// Asks the keeper of an account, and retries until about `until` while none answers;
+    /// `None` if none answered.
     ///
-    /// After all instances were killed the keepers are found some hundred
-    /// milliseconds later than the first clients come back, who would use up their
-    /// tries meanwhile.
+    /// After all instances were killed, keepers obtain their leases some hundred
+    /// milliseconds after the first clients reconnect. Without these retries the clients
+    /// would use up theirs in that time.
     async fn find_keeper(
         &self,
         account: &AccountId,
@@ -400,7 +418,7 @@
         }
     }
 
-    /// Asks the keeper of an account; `None` if none answers.
+    /// Asks the keeper of an account once; `None` if no keeper answers.
     async fn ask_keeper(&self, account: &AccountId, request: QuotaQuestion) -> Option<QuotaReply> {
         let shard = shard_of(account);
         let mut asked = Vec::new();
@@ -441,16 +459,17 @@
     }
 }
 
-/// Pause before a keeper is looked for again.
+/// Delay before the keeper is asked again after no keeper answered.
 const KEEPER_RETRY_INTERVAL: Duration = Duration::from_millis(40);
 
-/// Instances that are assumed where it is not known how many there are.
+/// Number of instances that is assumed while the fleet is not listed.
 const ASSUMED_FLEET_SIZE: usize = 64;
 
-/// Refusals are told return times up to this much longer, so that those refused
-/// together do not come back together.
+/// Largest fraction by which the retry time of a refusal is lengthened at random, so that
+/// clients which were refused at the same time do not retry at the same time.
 const RETRY_JITTER: f64 = 0.5;
 
+/// The refusal of an operation of an account that is at its limit.
 fn rate_limited(limit: QuotaLimit, retry_after: Duration) -> Failure {
     let spread = 1.0 + rand::random_range(0.0..RETRY_JITTER);
     let text = format!("{}: {} a second", ErrorKind::RateLimited, limit.rate_per_s);
--- a/daemon/src/engine/stop.rs
+++ b/daemon/src/engine/stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop: no request in progress is cut off.
+//! Planned stop of an instance, in which requests in progress are completed.
 
 use std::time::Duration;
 
@@ -12,11 +12,13 @@
 use crate::engine::instance_control;
 use crate::engine::shared::Engine;
 
-/// Stops an engine within the time that the platform grants.
+/// Stops an engine within `grace`, the time that the platform grants between the request
+/// to stop and the kill.
 ///
-/// Clients are still served while the platform's balancer takes the instance
-/// out, then idle sessions are closed one by one, and each other one as soon
-/// as its operation is over.
+/// Clients are still served until the platform's load balancer has taken the instance out
+/// of rotation. Then idle sessions are closed one by one, and each other session as soon as
+/// its operation is complete. At the end the record of the instance is removed from the
+/// store.
 pub async fn run(engine: &Engine, directory: &dyn Directory, grace: Duration) {
     let plan = StopPlan::new(now(), grace);
     event_log::emit(&Event::new(EventKind::Stopping).with_ms("grace_ms", grace));
@@ -26,13 +28,13 @@
     let time_left = plan.ends_at().saturating_sub(now());
     if tokio::time::timeout(time_left, engine.sessions_ended()).await.is_err() {
         let event = Event::new(EventKind::ClientFailed);
-        event_log::emit(&event.with("reason", "sessions are left at the end of the stop"));
+        event_log::emit(&event.with("reason", "sessions are still open at the end of the stop"));
     }
     let time_left = plan.ends_at().saturating_sub(now());
     let withdrawn = instance_control::withdraw_record(engine, directory);
     if tokio::time::timeout(time_left, withdrawn).await.is_err() {
         let event = Event::new(EventKind::InstanceRecordFailed);
-        event_log::emit(&event.with("reason", "no time is left to remove it"));
+        event_log::emit(&event.with("reason", "no time is left to remove the record"));
     }
     event_log::emit(&Event::new(EventKind::Stopped));
 }
