--- a/daemon/tests/test_event_log.rs
+++ b/daemon/tests/test_event_log.rs
@@ -1,4 +1,4 @@
-//! The event log does not wait for whoever reads it.
+//! The event log does not block when nothing reads its output.
 
 use std::io::Write;
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 use chervilwharf_lib::event::Event;
 use chervilwharf_lib::event::EventKind;
 
-/// A pipe that nobody reads, until it is opened.
+/// A writer that blocks, like a full pipe, until it is opened.
 #[derive(Clone, Default)]
 struct StuckPipe {
     open: Arc<(Mutex<bool>, Condvar)>,
@@ -32,18 +32,17 @@
 
 #[test]
 fn test_blocked_log_output_does_not_delay_callers() {
-    // Symptom: all requests of an instance hang.
-    // Sequence: the collector of logs stops reading standard output.
-    // Cause: a request waits until its line is written.
+    // Guards against requests that hang because they wait until their log line is written
+    // while the log collector does not read standard output.
     let pipe = StuckPipe::default();
     event_log::start_with("a".into(), Box::new(pipe.clone())).unwrap();
-    // More lines than the queue holds, of kinds with budgets of their own.
+    // More lines than the queue holds; each kind has a limit of its own.
     for _ in 0..200 {
         for kind in EventKind::ALL {
             event_log::emit(&Event::new(*kind).with("text", "x"));
         }
     }
-    // Reaching this line is the proof; what did not fit was counted.
+    // The calls returned although the writer blocks, and dropped lines were counted.
     assert!(event_log::left_out() > 0);
     let (open, opened) = &*pipe.open;
     *open.lock().unwrap() = true;
--- a/daemon/tests/test_metrics.rs
+++ b/daemon/tests/test_metrics.rs
@@ -1,4 +1,4 @@
-//! Counters that operators rely on.
+//! Counters of store calls and of statements by account.
 
 mod stubs;
 
@@ -19,9 +19,8 @@
 use stubs::ReadOnly;
 use stubs::instance;
 
-/// Symptom: calls to the store are paid for, and the metric that counts them
-/// says none. Sequence: calls end, well or not. Cause: the counter was
-/// registered, and nobody counted.
+/// Guards against a metric of the calls to the store, each of which has a price, that stays
+/// at zero because the counter is registered but never incremented.
 #[tokio::test]
 async fn test_calls_to_the_store_are_counted_by_kind_and_outcome() {
     let engine = Engine::new(instance("instance"), Arc::new(NoServer));
--- a/daemon/tests/test_modules.rs
+++ b/daemon/tests/test_modules.rs
@@ -1,10 +1,11 @@
-//! How the modules of the owner path depend on each other.
+//! Dependencies between the top-level modules of the daemon, which serve databases that
+//! each have one instance as their owner.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 use std::path::Path;
 
-/// Modules that each module names in its `use` lines.
+/// The modules of the crate that each module names in its `use` lines.
 fn dependencies() -> BTreeMap<String, BTreeSet<String>> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
     let files = std::fs::read_dir(folder).unwrap().map(|entry| entry.unwrap().path());
@@ -19,20 +20,20 @@
     modules.map(read).collect()
 }
 
-/// Symptom: a second front or another kind of server cannot use a part of the
-/// owner path without all of it. Sequence: a file takes the whole context where
-/// it needs one table of it, and the context holds the types of that file.
-/// Cause: files that name each other in a circle.
+/// Guards against cyclic dependencies, which prevent a second front end or another kind of
+/// server from using a part of these modules without all of them. A cycle arises when a
+/// module takes the whole context although it needs only one table of it, while the context
+/// contains types of that module.
 #[test]
 fn test_no_module_depends_on_itself_through_others() {
     let direct = dependencies();
-    assert!(direct["write"].contains("owner"), "the `use` lines are read");
+    assert!(direct["write"].contains("owner"), "`use` lines were not read");
     for module in direct.keys() {
         let mut reached = BTreeSet::new();
-        let mut open = vec![module];
-        while let Some(next) = open.pop() {
-            let fresh = direct.get(next).into_iter().flatten();
-            open.extend(fresh.filter(|used| reached.insert(*used)));
+        let mut pending = vec![module];
+        while let Some(next) = pending.pop() {
+            let dependencies_of_next = direct.get(next).into_iter().flatten();
+            pending.extend(dependencies_of_next.filter(|used| reached.insert(*used)));
         }
         assert!(!reached.contains(module), "{module} uses itself through {reached:?}");
     }
--- a/daemon/tests/test_start.rs
+++ b/daemon/tests/test_start.rs
@@ -1,4 +1,4 @@
-//! What an instance does before it knows the other instances.
+//! Start of an instance: what it does before it knows the other instances.
 
 mod stubs;
 
@@ -24,7 +24,7 @@
     InstanceRecord { peer_address, ..instance(&format!("instance-{number:02}")) }
 }
 
-/// An engine that knows a configuration with one group, and nothing else.
+/// An engine with a configuration of one group and no other records.
 fn engine(me: InstanceRecord) -> Engine {
     let engine = Engine::new(me, Arc::new(NoServer));
     let settings = GroupSettings { max_connections: 35, sync_replicas: 0 };
@@ -34,11 +34,11 @@
     engine
 }
 
-/// Symptom: after all of 72 instances had lost power, servers were busy for a
-/// second with connections that nobody used, and refused statements meanwhile.
-/// Sequence: an instance starts and learns the configuration some milliseconds
-/// before the list of instances. Cause: it took itself for the only one, and so
-/// for a holder of the connections to every group.
+/// Guards against a flood of connections after a start. When all of 72 instances had lost
+/// power, servers were busy for a second with connections that no request used, and refused
+/// statements in that time: each instance received the configuration some milliseconds
+/// before the list of instances, took itself for the only one, and so for a holder of every
+/// group.
 #[tokio::test]
 async fn test_instance_holds_no_group_before_it_knows_the_other_instances() {
     let (me, group) = (record(40), GroupId::from("db"));
@@ -55,7 +55,7 @@
     assert!(engine.wait_until_prepared(Duration::ZERO).await);
 }
 
-/// Without a store and without others an instance serves alone.
+/// Without the store and without other instances, an instance serves all groups itself.
 #[tokio::test]
 async fn test_instance_without_peers_holds_every_group() {
     let engine = engine(record(1));
@@ -64,47 +64,46 @@
     assert!(engine.wait_until_prepared(Duration::ZERO).await);
 }
 
-/// Symptom: half of 195 instances were killed during a silence of the store; for
-/// six seconds half of all requests were refused, and each primary refused 700
-/// connections. Sequence: an instance that has just started asks another one that
-/// has just started which instances there are, and is told of that one alone.
-/// Cause: it took that for the whole fleet, itself for a holder of every group, and
-/// asked no more.
+/// Guards against an incomplete list of instances that is taken for the whole fleet. When
+/// half of 195 instances were killed while the store was unresponsive, half of all requests
+/// were refused for six seconds, and each primary refused 700 connections: a starting
+/// instance asked another one that had also just started for the instances, received that
+/// instance alone, took itself for a holder of every group, and asked no more.
 #[tokio::test]
 async fn test_instance_without_a_listed_fleet_reports_no_instances() {
-    let alone = engine(record(1));
-    alone.set_fleet_known();
-    let told = alone.directory_state(DirectoryPull::default());
-    assert!(told.instances.is_empty(), "{:?}", told.instances);
-    let asks = engine(record(2));
-    asks.apply_directory_state(told);
-    assert!(!asks.is_fleet_known());
-    let knows = engine(record(3));
-    knows.apply_instance_list((1..=72).map(record).collect());
-    asks.apply_directory_state(knows.directory_state(DirectoryPull::default()));
-    assert!(asks.is_fleet_listed());
-    assert!(asks.holders(&"db".into()).len() < 10);
+    let without_peers = engine(record(1));
+    without_peers.set_fleet_known();
+    let sent = without_peers.directory_state(DirectoryPull::default());
+    assert!(sent.instances.is_empty(), "{:?}", sent.instances);
+    let started = engine(record(2));
+    started.apply_directory_state(sent);
+    assert!(!started.is_fleet_known());
+    let listed = engine(record(3));
+    listed.apply_instance_list((1..=72).map(record).collect());
+    started.apply_directory_state(listed.directory_state(DirectoryPull::default()));
+    assert!(started.is_fleet_listed());
+    assert!(started.holders(&"db".into()).len() < 10);
 }
 
-/// An instance that lacks the records, and was told nothing by the store, asks one
-/// that watches it to tell them, and not all of them at once.
+/// An instance that lacks records, and receives none from the store, requests them from one
+/// of the instances that send it heartbeats, and not from all of them at once.
 #[tokio::test]
 async fn test_instance_without_records_requests_them_from_one_peer() {
     let started = engine(record(2));
-    let asked = || started.heartbeat_reply(&Heartbeat::default()).lacks_records;
-    assert!(!asked(), "the store comes first");
+    let requests_records = || started.heartbeat_reply(&Heartbeat::default()).lacks_records;
+    assert!(!requests_records(), "the store is asked first");
     tokio::time::sleep(PEER_FALLBACK_DELAY).await;
-    assert!(asked());
-    assert!(!asked(), "another one was asked just now");
-    let knows = engine(record(3));
-    knows.apply_instance_list((1..=72).map(record).collect());
-    knows.update_servers(|list| list.advance(Revision::new(0, 7)));
-    started.apply_directory_state(knows.directory_state(DirectoryPull::default()));
+    assert!(requests_records());
+    assert!(!requests_records(), "another instance has just been asked");
+    let listed = engine(record(3));
+    listed.apply_instance_list((1..=72).map(record).collect());
+    listed.update_servers(|list| list.advance(Revision::new(0, 7)));
+    started.apply_directory_state(listed.directory_state(DirectoryPull::default()));
     assert!(!started.take_records_request());
 }
 
-/// Symptom: instances that start over slow links take seconds. Sequence: the store
-/// answers, and its lists take a while. Cause: others sent the same over that link.
+/// Guards against starts that take seconds over a slow link because other instances send
+/// the same records over it that the store is about to return.
 #[tokio::test]
 async fn test_instance_with_a_responding_store_requests_no_records_from_peers() {
     let started = engine(record(2));
