--- a/daemon/src/engine/peers.rs
+++ b/daemon/src/engine/peers.rs
@@ -222,7 +222,7 @@
     }
 
     /// Sends a request to another instance on a new link and waits for the answer, at most
-    /// for `limit`. The new link replaces the kept one.
+    /// for `limit`. The new link replaces the kept one, unless that is in use.
     ///
     /// # Errors
     ///
--- a/daemon/src/engine/quota_control.rs
+++ b/daemon/src/engine/quota_control.rs
@@ -83,6 +83,7 @@
     recorded: Vec<InstanceRecord>,
     /// Operations that keepers granted to this instance, by account.
     allowances: HashMap<AccountId, Allowance>,
+    /// Instances that did not answer as keepers, and until when they are not asked again.
     skipped_until: HashMap<InstanceId, Moment>,
 }
 
