--- a/daemon/src/engine/configuration_control.rs
+++ b/daemon/src/engine/configuration_control.rs
@@ -17,7 +17,7 @@
 use crate::engine::directory::Revision;
 use crate::engine::event_log;
 use crate::engine::follow::Follower;
-use crate::engine::follow::OTHERS_LISTED;
+use crate::engine::follow::PEER_LISTING_TIME;
 use crate::engine::shared::Engine;
 
 /// Applies the store's configuration to an engine.
@@ -96,7 +96,7 @@
     }
 
     fn pause_after_first_list(&self) -> Duration {
-        OTHERS_LISTED
+        PEER_LISTING_TIME
     }
 
     fn replace(&mut self, listing: Listing) {
--- a/daemon/src/engine/controllers.rs
+++ b/daemon/src/engine/controllers.rs
@@ -24,14 +24,14 @@
 use crate::engine::leader_control;
 use crate::engine::peer_records::pull_directory;
 use crate::engine::peers;
+use crate::engine::primary_lease_control;
 use crate::engine::promoter::Promoter;
 use crate::engine::quota_control;
 use crate::engine::replacement::Replacer;
-use crate::engine::right_control;
 use crate::engine::server_control::ServerFollower;
 use crate::engine::shared::Engine;
 use crate::engine::shared::PEER_FALLBACK_DELAY;
-use crate::engine::store_signs;
+use crate::engine::store_liveness;
 
 /// Starts all background tasks. They run until the program ends.
 ///
@@ -54,7 +54,7 @@
         promoter: promoter.clone(),
     };
     tokio::spawn(leader_control::run(replacer));
-    tokio::spawn(right_control::learn_orders(engine.clone(), directory.clone()));
+    tokio::spawn(primary_lease_control::load_orders(engine.clone(), directory.clone()));
     tokio::spawn(instance_control::keep_record(engine.clone(), directory.clone()));
     tokio::spawn(fleet_control::send_heartbeats(engine.clone(), directory.clone()));
     tokio::spawn(quota_control::maintain_keeper_leases(engine.clone()));
@@ -70,7 +70,7 @@
 ) -> Vec<JoinHandle<()>> {
     let state = StoreState { era: engine.store_era().clone(), ..StoreState::default() };
     let liveness_checks =
-        store_signs::ask_for_ever(engine.clone(), directory.clone(), state.clone());
+        store_liveness::monitor_store(engine.clone(), directory.clone(), state.clone());
     let configuration = ConfigurationFollower::new(engine.clone());
     let servers = ServerFollower::new(engine.clone());
     let instances = InstanceFollower::new(engine.clone());
--- a/daemon/src/engine/fleet_control.rs
+++ b/daemon/src/engine/fleet_control.rs
@@ -29,7 +29,7 @@
 use crate::engine::instance_control;
 use crate::engine::peer_records::pull_directory;
 use crate::engine::peer_records::push_records;
-use crate::engine::right_control;
+use crate::engine::primary_lease_control;
 use crate::engine::shard::Shard;
 use crate::engine::shared::Engine;
 
@@ -54,7 +54,7 @@
         if at > last_round + PROCESS_PAUSE_THRESHOLD {
             let paused_for = at.saturating_sub(last_round);
             event_log::emit(&Event::new(EventKind::StoodStill).with_ms("for_ms", paused_for));
-            engine.with_fleet(|fleet| fleet.stood_still(at));
+            engine.with_fleet(|fleet| fleet.process_paused(at));
             engine.peer_contacts().forget();
         }
         last_round = at;
@@ -62,7 +62,10 @@
             let engine = engine.clone();
             tokio::spawn(async move { heartbeat(&engine, &target).await });
         }
-        tokio::spawn(right_control::renew_by_store(engine.clone(), directory.clone()));
+        tokio::spawn(primary_lease_control::renew_leases_from_store(
+            engine.clone(),
+            directory.clone(),
+        ));
         engine.recompute_assignments();
         engine.close_unused_links();
         instance_control::remove_unresponsive(&engine, &directory, at);
@@ -215,7 +218,7 @@
             };
             let position = Position::new(sample.term, sample.index);
             let shard = self.shard(&sample.group.as_str().into());
-            shard.with_group(|group| group.hear_of_position(sampled_at, position));
+            shard.with_group(|group| group.observe_reported_position(sampled_at, position));
         }
     }
 
--- a/daemon/src/engine/instance_control.rs
+++ b/daemon/src/engine/instance_control.rs
@@ -50,7 +50,7 @@
     fn apply_listing(&mut self, records: Vec<InstanceRecord>, era: Era) {
         let before = self.listed_era.replace(era);
         let update = if before.is_some_and(|before| before < era) {
-            Fleet::replace_by_copy
+            Fleet::replace_after_store_restore
         } else {
             Fleet::replace
         };
--- a/daemon/src/engine/peers.rs
+++ b/daemon/src/engine/peers.rs
@@ -23,7 +23,7 @@
 use chervilwharf_lib::engine_protos::engine_frame::Body;
 use chervilwharf_lib::event::Event;
 use chervilwharf_lib::event::EventKind;
-use chervilwharf_lib::peer_contact::SIGN_LIMIT;
+use chervilwharf_lib::peer_contact::LIVENESS_TIMEOUT;
 use displaydoc::Display;
 use futures::SinkExt;
 use futures::StreamExt;
@@ -170,7 +170,7 @@
 }
 
 /// Sends a request on the kept link, and on a new one as well if the kept link yields no
-/// answer within [`SIGN_LIMIT`]. Returns the first answer.
+/// answer within [`LIVENESS_TIMEOUT`]. Returns the first answer.
 async fn ask_on_kept_or_new_link(
     link: &SharedLink,
     address: SocketAddr,
@@ -183,7 +183,7 @@
     let body_on_kept = body.clone();
     let mut pending =
         Box::pin(async move { link.lock().await.exchange(address, body_on_kept).await });
-    if let Ok(answer) = tokio::time::timeout(SIGN_LIMIT, &mut pending).await {
+    if let Ok(answer) = tokio::time::timeout(LIVENESS_TIMEOUT, &mut pending).await {
         return answer;
     }
     let mut new_link = PeerLink::default();
@@ -294,7 +294,7 @@
     fn answer(&self, request: Body) -> Option<Body>;
 
     /// Creates the handler for the statements that another instance forwards on one link.
-    fn guest(self: Arc<Self>) -> Box<dyn ForwardedStatementHandler>;
+    fn forwarded_session(self: Arc<Self>) -> Box<dyn ForwardedStatementHandler>;
 
     /// Address of the server that a tunnel leads to; `None` if the server is not known.
     fn tunnel_target(&self, tunnel: &Tunnel) -> Option<SocketAddr>;
@@ -325,7 +325,7 @@
         return;
     }
     let mut frames = frames(stream);
-    let mut guest: Option<Box<dyn ForwardedStatementHandler>> = None;
+    let mut forwarded_session: Option<Box<dyn ForwardedStatementHandler>> = None;
     while let Ok(frame) = read_frame(&mut frames).await {
         if let Some(Body::Tunnel(tunnel)) = &frame.body {
             let target = handler.tunnel_target(tunnel);
@@ -336,8 +336,9 @@
         }
         let body = match frame.body {
             Some(Body::Statement(statement)) => {
-                let guest = guest.get_or_insert_with(|| handler.clone().guest());
-                Some(Body::StatementReply(guest.run(statement).await))
+                let forwarded_session =
+                    forwarded_session.get_or_insert_with(|| handler.clone().forwarded_session());
+                Some(Body::StatementReply(forwarded_session.run(statement).await))
             }
             Some(request) => handler.answer(request),
             None => None,
--- a/daemon/src/engine/quota_control.rs
+++ b/daemon/src/engine/quota_control.rs
@@ -24,10 +24,10 @@
 use chervilwharf_lib::fleet::InstanceRecord;
 use chervilwharf_lib::id::AccountId;
 use chervilwharf_lib::id::InstanceId;
+use chervilwharf_lib::keeper_lease::ACCOUNT_SHARDS;
 use chervilwharf_lib::keeper_lease::Candidate;
 use chervilwharf_lib::keeper_lease::KeeperLease;
-use chervilwharf_lib::keeper_lease::RENEWAL;
-use chervilwharf_lib::keeper_lease::SHARDS;
+use chervilwharf_lib::keeper_lease::RENEWAL_INTERVAL;
 use chervilwharf_lib::keeper_lease::ShardNumber;
 use chervilwharf_lib::keeper_lease::Vote;
 use chervilwharf_lib::keeper_lease::Votes;
@@ -36,9 +36,9 @@
 use chervilwharf_lib::moment::Moment;
 use chervilwharf_lib::quota::Admission;
 use chervilwharf_lib::quota::Allowance;
+use chervilwharf_lib::quota::EnforcedQuota;
 use chervilwharf_lib::quota::QuotaAnswer;
-use chervilwharf_lib::quota::QuotaBook;
-use chervilwharf_lib::quota::QuotaGrant;
+use chervilwharf_lib::quota::QuotaCounters;
 use chervilwharf_lib::quota::ask_again_after;
 use futures::future::join_all;
 
@@ -69,7 +69,7 @@
     /// This instance's lease as the keeper of the shard.
     lease: KeeperLease,
     renewed_at: Moment,
-    counters: QuotaBook,
+    counters: QuotaCounters,
     /// The presumed keeper: the instance that last answered as such, or that another one
     /// named.
     keeper: Option<InstanceRecord>,
@@ -98,7 +98,7 @@
     #[must_use]
     pub fn new(started_at: Moment) -> Self {
         let mut shards = Vec::new();
-        shards.resize_with(SHARDS as usize, AccountShard::default);
+        shards.resize_with(ACCOUNT_SHARDS as usize, AccountShard::default);
         Self {
             inner: Mutex::new(Inner {
                 votes: Votes::new(started_at),
@@ -155,7 +155,7 @@
             continue;
         }
         engine.update_keeper_voters();
-        let shards = 0..SHARDS;
+        let shards = 0..ACCOUNT_SHARDS;
         let due: Vec<_> = shards.filter(|shard| engine.should_request_votes(*shard)).collect();
         join_all(due.into_iter().map(|shard| engine.request_votes(shard))).await;
     }
@@ -182,7 +182,7 @@
         if inner.recorded == recorded {
             return;
         }
-        for number in 0..SHARDS {
+        for number in 0..ACCOUNT_SHARDS {
             inner.shard(number).voters = Arc::new(voters(number, &recorded));
         }
         inner.recorded = recorded;
@@ -201,7 +201,7 @@
         };
         let rank = u32::try_from(rank).unwrap_or(u32::MAX);
         let is_due = if shard.lease.is_held(at) {
-            shard.renewed_at + RENEWAL <= at
+            shard.renewed_at + RENEWAL_INTERVAL <= at
         } else {
             inner.votes.should_try(at, number, rank)
         };
@@ -221,7 +221,7 @@
             let shard = inner.shard(number);
             let gained = shard.lease.check(at, &voters);
             if gained {
-                shard.counters.begin_again();
+                shard.counters.restart_counts();
             }
             (gained, shard.lease.is_held(at))
         };
@@ -278,7 +278,7 @@
     /// it.
     #[must_use]
     pub fn keeper_vote(&self, request: &KeeperVote) -> KeeperVoteReply {
-        if request.shard >= SHARDS {
+        if request.shard >= ACCOUNT_SHARDS {
             return KeeperVoteReply::default();
         }
         let (at, instance) = (now(), request.instance.as_str());
@@ -323,13 +323,13 @@
     }
 
     /// The limit that is enforced: the account's limit plus the tolerance of the platform.
-    fn tolerated(&self, limit: QuotaLimit) -> QuotaGrant {
+    fn tolerated(&self, limit: QuotaLimit) -> EnforcedQuota {
         self.quota_tolerance().map_or(limit.into(), |tolerance| tolerance.applied_to(limit))
     }
 
     /// The enforced limit of an account by the later configuration: that of the request or
     /// that of this instance. `None` if the account has no limit.
-    fn newest_limit(&self, account: &AccountId, request: &QuotaQuestion) -> Option<QuotaGrant> {
+    fn newest_limit(&self, account: &AccountId, request: &QuotaQuestion) -> Option<EnforcedQuota> {
         let catalog = self.catalog();
         if request.configuration_version > catalog.version {
             let (rate_per_s, burst) = (request.rate_per_s, request.burst);
@@ -339,7 +339,7 @@
     }
 
     /// Admits an operation of an account, from the operations granted in advance or by
-    /// asking the keeper. Waits for a keeper's answer at most for about `patience`.
+    /// asking the keeper. Waits for a keeper's answer at most for about `max_wait`.
     ///
     /// # Errors
     ///
@@ -348,7 +348,7 @@
     pub async fn admit_operation(
         &self,
         account: &AccountId,
-        patience: Duration,
+        max_wait: Duration,
     ) -> Result<(), Failure> {
         let catalog = self.catalog();
         let Some(limit) = catalog.accounts.as_ref().and_then(|all| all.limit(account)) else {
@@ -370,11 +370,11 @@
         };
         let instances = self.with_fleet(|fleet| fleet.others().count() + 1);
         let asked_at = now();
-        let Some(reply) = self.find_keeper(account, request, asked_at + patience).await else {
+        let Some(reply) = self.find_keeper(account, request, asked_at + max_wait).await else {
             let mut inner = self.quota().lock();
             let at = now();
             let instances = if self.is_fleet_listed() { instances } else { ASSUMED_FLEET_SIZE };
-            let admitted = inner.allowance(at, account).admit_alone(at, limit, instances);
+            let admitted = inner.allowance(at, account).admit_without_keeper(at, limit, instances);
             return admitted.then_some(()).ok_or_else(|| Failure::new(ErrorKind::QuotaUnknown));
         };
         let at = now();
--- a/daemon/src/engine/shared.rs
+++ b/daemon/src/engine/shared.rs
@@ -18,11 +18,10 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use chervilwharf_lib::arrivals::Arrivals;
 use chervilwharf_lib::catalog::Catalog;
 use chervilwharf_lib::catalog::Route;
+use chervilwharf_lib::connection_budget::account_connection_budget;
 use chervilwharf_lib::connection_budget::budget;
-use chervilwharf_lib::connection_budget::kept_for_accounts;
 use chervilwharf_lib::engine_protos::DirectoryTaken;
 use chervilwharf_lib::engine_protos::PrimaryNewsTaken;
 use chervilwharf_lib::engine_protos::Tunnel;
@@ -32,19 +31,20 @@
 use chervilwharf_lib::group::ServerInfo;
 use chervilwharf_lib::id::GroupId;
 use chervilwharf_lib::moment::Moment;
-use chervilwharf_lib::primary_right::PrimaryRight;
+use chervilwharf_lib::primary_lease::PrimaryLease;
 use chervilwharf_lib::quota::QuotaTolerance;
+use chervilwharf_lib::received_statements::ReceivedStatements;
 use chervilwharf_lib::server_list::ServerList;
-use chervilwharf_lib::silence::SilenceLimits;
+use chervilwharf_lib::silence::StoreTimeouts;
 use chervilwharf_lib::stop_plan::StopPlan;
 use tokio::sync::Notify;
 use tokio::sync::watch;
 
-use crate::engine::caller::NewerConfiguration;
+use crate::engine::caller::LastConfigurationPull;
 use crate::engine::clock::now;
 use crate::engine::directory::Revision;
-use crate::engine::duty_control::DutyBook;
-use crate::engine::guest::GuestSession;
+use crate::engine::duty_control::DutyTable;
+use crate::engine::forwarded_session::ForwardedSession;
 use crate::engine::holders::Holders;
 use crate::engine::leader_control::LeaderWatches;
 use crate::engine::metrics::EngineMetrics;
@@ -52,9 +52,9 @@
 use crate::engine::peers::ForwardedStatementHandler;
 use crate::engine::peers::PeerHandler;
 use crate::engine::peers::Peers;
+use crate::engine::primary_lease_control::VoterLists;
 use crate::engine::quota_control::QuotaControl;
 use crate::engine::remote::StatementLinks;
-use crate::engine::right_control::VoterLists;
 use crate::engine::server_connection::Connector;
 use crate::engine::shard::Shard;
 use crate::engine::store_era::StoreEra;
@@ -86,7 +86,7 @@
     started_at: Moment,
     fleet: Mutex<Fleet>,
     peers: Arc<Peers>,
-    duties: Mutex<DutyBook>,
+    duties: Mutex<DutyTable>,
     metrics: EngineMetrics,
     holders: Holders,
     peer_contacts: Contacts,
@@ -105,7 +105,7 @@
     /// Time of the last such listing.
     store_answered_at: Mutex<Option<Moment>>,
     /// Whether this instance knows the promotion orders that existed when it started.
-    knows_orders: AtomicBool,
+    orders_known: AtomicBool,
     /// Notified when the record of this instance has to be written to the store.
     record_write_needed: Notify,
     /// Revision of the record of an earlier incarnation, if one was listed.
@@ -123,10 +123,10 @@
     sessions: watch::Sender<usize>,
     quota: QuotaControl,
     quota_tolerance: Option<QuotaTolerance>,
-    newer_configuration: NewerConfiguration,
+    last_configuration_pull: LastConfigurationPull,
     store_era: Arc<StoreEra>,
-    store_timeouts: SilenceLimits,
-    arrivals: Mutex<Arrivals>,
+    store_timeouts: StoreTimeouts,
+    received_statements: Mutex<ReceivedStatements>,
 }
 
 impl Engine {
@@ -159,17 +159,17 @@
             registered: AtomicBool::new(false),
             store_answered: Notify::new(),
             store_answered_at: Mutex::default(),
-            knows_orders: AtomicBool::new(false),
+            orders_known: AtomicBool::new(false),
             record_write_needed: Notify::new(),
             earlier_record: Mutex::default(),
             stopping: watch::Sender::new(None),
             sessions: watch::Sender::new(0),
             quota: QuotaControl::new(now()),
             quota_tolerance: None,
-            newer_configuration: NewerConfiguration::default(),
+            last_configuration_pull: LastConfigurationPull::default(),
             store_era: Arc::default(),
-            store_timeouts: SilenceLimits::within(DEFAULT_CONFIGURATION_BOUND),
-            arrivals: Mutex::new(Arrivals::new(now())),
+            store_timeouts: StoreTimeouts::within(DEFAULT_CONFIGURATION_BOUND),
+            received_statements: Mutex::new(ReceivedStatements::new(now())),
         }
     }
 
@@ -177,18 +177,18 @@
     /// `None` selects the default.
     #[must_use]
     pub fn with_configuration_bound(mut self, bound: Option<Duration>) -> Self {
-        self.store_timeouts = SilenceLimits::within(bound.unwrap_or(DEFAULT_CONFIGURATION_BOUND));
+        self.store_timeouts = StoreTimeouts::within(bound.unwrap_or(DEFAULT_CONFIGURATION_BOUND));
         self
     }
 
     /// Calls `f` with the table of statements received from other instances.
-    pub fn with_received_statements<R>(&self, f: impl FnOnce(&mut Arrivals) -> R) -> R {
-        f(&mut self.arrivals.lock().expect("never poisoned"))
+    pub fn with_received_statements<R>(&self, f: impl FnOnce(&mut ReceivedStatements) -> R) -> R {
+        f(&mut self.received_statements.lock().expect("never poisoned"))
     }
 
     /// Timeouts by which an unresponsive store is detected.
     #[must_use]
-    pub fn store_timeouts(&self) -> SilenceLimits {
+    pub fn store_timeouts(&self) -> StoreTimeouts {
         self.store_timeouts
     }
 
@@ -230,7 +230,7 @@
     }
 
     /// Calls `f` with the table of duties.
-    pub fn with_duties<R>(&self, f: impl FnOnce(&mut DutyBook) -> R) -> R {
+    pub fn with_duties<R>(&self, f: impl FnOnce(&mut DutyTable) -> R) -> R {
         f(&mut self.duties.lock().expect("never poisoned"))
     }
 
@@ -298,7 +298,7 @@
     /// Marks the promotion orders as known: this instance votes on all groups for which it
     /// creates a shard from now on.
     pub fn set_orders_known(&self) {
-        self.knows_orders.store(true, Ordering::Relaxed);
+        self.orders_known.store(true, Ordering::Relaxed);
     }
 
     /// Calls `f` with the table of the other instances.
@@ -366,7 +366,7 @@
             shard.set_budget(match catalog.accounts {
                 Some(_) => {
                     let may_be_occupied = at < self.started_at + STALE_CONNECTION_TIME;
-                    kept_for_accounts(granted, if may_be_occupied { 0.0 } else { own })
+                    account_connection_budget(granted, if may_be_occupied { 0.0 } else { own })
                 }
                 None => granted,
             });
@@ -387,14 +387,14 @@
                 Shard::new(group.clone(), home, connector, peers, self.primary_check.clone());
             let shard = shard.with_renewal(self.lease_renewal.clone());
             shard.with_group(|group| {
-                *group.right_mut() = PrimaryRight::unknown().with_start(self.started_at);
-                if self.knows_orders.load(Ordering::Relaxed) {
-                    group.right_mut().knows_orders();
+                *group.primary_lease_mut() = PrimaryLease::unknown().with_start(self.started_at);
+                if self.orders_known.load(Ordering::Relaxed) {
+                    group.primary_lease_mut().orders_known();
                 }
             });
             Arc::new(shard)
         });
-        self.forget_held();
+        self.invalidate_held();
         shard.clone()
     }
 
@@ -550,8 +550,8 @@
         }
     }
 
-    fn guest(self: Arc<Self>) -> Box<dyn ForwardedStatementHandler> {
-        Box::new(GuestSession::new(self))
+    fn forwarded_session(self: Arc<Self>) -> Box<dyn ForwardedStatementHandler> {
+        Box::new(ForwardedSession::new(self))
     }
 
     fn tunnel_target(&self, tunnel: &Tunnel) -> Option<SocketAddr> {
--- a/daemon/src/engine/shared/known_fleet.rs
+++ b/daemon/src/engine/shared/known_fleet.rs
@@ -15,7 +15,7 @@
 use chervilwharf_lib::revision::Era;
 
 use crate::engine::clock::now;
-use crate::engine::follow::OTHERS_LISTED;
+use crate::engine::follow::PEER_LISTING_TIME;
 use crate::engine::shared::Engine;
 use crate::engine::shared::PEER_FALLBACK_DELAY;
 
@@ -88,7 +88,7 @@
     #[must_use]
     pub fn expects_store_listings(&self) -> bool {
         let answered_at = *self.store_answered_at.lock().expect("never poisoned");
-        answered_at.is_some_and(|at| at + OTHERS_LISTED > now())
+        answered_at.is_some_and(|at| at + PEER_LISTING_TIME > now())
     }
 
     /// Whether this instance lacks the configuration, the servers or a listing of the
--- a/daemon/src/target.rs
+++ b/daemon/src/target.rs
@@ -113,8 +113,8 @@
 /// Reads `term N is held by OWNER` out of a refusal.
 #[must_use]
 pub fn held_term(message: &str) -> Option<(Term, &str)> {
-    let rest = message.strip_prefix("term ")?;
-    let (term, owner) = rest.split_once(" is held by ")?;
+    let idle = message.strip_prefix("term ")?;
+    let (term, owner) = idle.split_once(" is held by ")?;
     Some((term.parse().ok()?, owner))
 }
 
@@ -187,7 +187,7 @@
         follows: text_value(&values, 3).map(Into::into),
         received: Position::new(number(4)?, number(5)?),
         applied: Position::new(number(6)?, number(7)?),
-        primary_heard: number(8).map(Duration::from_millis),
+        since_primary_contact: number(8).map(Duration::from_millis),
     })
 }
 
--- a/daemon/tests/test_holding_ends.rs
+++ b/daemon/tests/test_holding_ends.rs
@@ -43,7 +43,7 @@
     assert_eq!(in_use, vec![group.clone()]);
     let voters = engine.voters(&group);
     let shard = engine.shard(&group);
-    assert!(shard.with_group(|group| group.right().has_voters(&engine.me().id, &voters)));
+    assert!(shard.with_group(|group| group.primary_lease().has_voters(&engine.me().id, &voters)));
     // Once it is over, the group is others' business.
     session.run("e".into(), Statement::Rollback).await.result.expect("rolled back");
     assert_eq!(session.state(), TransactionState::Idle);
--- a/daemon/tests/test_modules.rs
+++ b/daemon/tests/test_modules.rs
@@ -14,7 +14,7 @@
         let name = path.file_stem().unwrap().to_str().unwrap().to_owned();
         let text = std::fs::read_to_string(path).unwrap();
         let used = text.lines().filter_map(|line| line.strip_prefix("use crate::"));
-        let used = used.map(|rest| rest.split([':', ';']).next().unwrap().to_owned());
+        let used = used.map(|idle| idle.split([':', ';']).next().unwrap().to_owned());
         (name, used.collect())
     };
     modules.map(read).collect()
--- a/lib/src/verifier.rs
+++ b/lib/src/verifier.rs
@@ -31,8 +31,8 @@
 /// server key.
 #[must_use]
 pub fn parse_verifier(text: &str) -> Option<(usize, &str, &str, &str)> {
-    let rest = text.strip_prefix("SCRAM-SHA-256$")?;
-    let (iterations_and_salt, keys) = rest.split_once('$')?;
+    let idle = text.strip_prefix("SCRAM-SHA-256$")?;
+    let (iterations_and_salt, keys) = idle.split_once('$')?;
     let (iterations, salt) = iterations_and_salt.split_once(':')?;
     let (stored_key, server_key) = keys.split_once(':')?;
     let iterations = iterations.parse().ok().filter(|count| *count > 0)?;
--- a/lib/tests/test_right_exploration.rs
+++ b/lib/tests/test_lease_exploration.rs
@@ -2,10 +2,10 @@
 //! commit is acknowledged by one that was succeeded, no read that must see every
 //! commit misses one, and a planned change loses nothing.
 
-mod right_world;
+mod lease_world;
 
-use right_world::TakenOut;
-use right_world::World;
+use lease_world::TakenOut;
+use lease_world::World;
 
 /// Runs of the test; the variable `EXPLORATION_SEEDS` asks for more.
 const SEEDS: u64 = 250;
--- a/standin/src/platform/client.rs
+++ b/standin/src/platform/client.rs
@@ -120,13 +120,13 @@
         loop {
             let line = tokio::time::timeout(PATIENCE, self.lines.next_line());
             let line = line.await.expect("an answer comes").ok()??;
-            let (word, rest) = line.split_once(' ').unwrap_or((&line, ""));
+            let (word, idle) = line.split_once(' ').unwrap_or((&line, ""));
             match word {
-                "ROW" => answer.rows.push(rest.to_owned()),
-                "DONE" => answer.signature = Some(rest.to_owned()),
-                "ERROR" => answer.error = Some(rest.to_owned()),
+                "ROW" => answer.rows.push(idle.to_owned()),
+                "DONE" => answer.signature = Some(idle.to_owned()),
+                "ERROR" => answer.error = Some(idle.to_owned()),
                 "READY" => {
-                    let (state, position) = rest.split_once(' ').unwrap();
+                    let (state, position) = idle.split_once(' ').unwrap();
                     state.clone_into(&mut answer.state);
                     position.clone_into(&mut answer.position);
                     return Some(answer);
--- a/standin/src/platform/servers.rs
+++ b/standin/src/platform/servers.rs
@@ -326,12 +326,12 @@
         };
         while let Ok(Some(line)) = lines.next_line().await {
             let answer = match line.split_once(' ') {
-                Some(("START", rest)) => {
-                    session.caller = rest.split(' ').nth(1).unwrap_or_default().to_owned();
-                    Some(self.answer_start(number, rest))
+                Some(("START", idle)) => {
+                    session.caller = idle.split(' ').nth(1).unwrap_or_default().to_owned();
+                    Some(self.answer_start(number, idle))
                 }
-                Some(("QUERY", rest)) => {
-                    let (id, text) = rest.split_once(' ').unwrap();
+                Some(("QUERY", idle)) => {
+                    let (id, text) = idle.split_once(' ').unwrap();
                     self.answer_query(number, &mut session, id, text)
                 }
                 _ => return,
@@ -345,9 +345,9 @@
         }
     }
 
-    fn answer_start(&self, number: usize, rest: &str) -> String {
+    fn answer_start(&self, number: usize, idle: &str) -> String {
         let state = self.lock();
-        let mut fields = rest.split(' ');
+        let mut fields = idle.split(' ');
         let group = fields.next().unwrap();
         let id = fields.nth(1);
         let server = &state.servers[number];
@@ -447,16 +447,16 @@
         text: &str,
     ) -> Result<Vec<String>, &'static str> {
         let text = match text.strip_prefix("AFTER ") {
-            Some(rest) => {
-                let (position, rest) = rest.split_once(' ').unwrap();
+            Some(idle) => {
+                let (position, idle) = idle.split_once(' ').unwrap();
                 if !self.holds(number, position) {
                     return Err("LAGGING");
                 }
-                rest
+                idle
             }
             None => text,
         };
-        let (word, rest) = text.split_once(' ').unwrap_or((text, ""));
+        let (word, idle) = text.split_once(' ').unwrap_or((text, ""));
         let leads = self.leads(number);
         let ends = matches!(word, "COMMIT" | "ROLLBACK");
         if session.state == 'E' && !ends {
@@ -473,11 +473,11 @@
         }
         match word {
             "BEGIN" => {
-                if rest.is_empty() && !leads {
+                if idle.is_empty() && !leads {
                     return Err("READONLY");
                 }
                 session.state = 'T';
-                session.plain = rest.is_empty();
+                session.plain = idle.is_empty();
                 Ok(Vec::new())
             }
             "COMMIT" => self.commit(number, session, id, text),
@@ -488,11 +488,11 @@
             }
             "READ" => {
                 self.note(number, session, id, text);
-                Ok(vec![self.value(number, rest)])
+                Ok(vec![self.value(number, idle)])
             }
-            "WRITE" => self.write(number, session, id, text, rest),
+            "WRITE" => self.write(number, session, id, text, idle),
             "SET" => {
-                let (name, value) = rest.split_once(' ').unwrap();
+                let (name, value) = idle.split_once(' ').unwrap();
                 session.values.insert(name.to_owned(), value.to_owned());
                 Ok(Vec::new())
             }
@@ -502,14 +502,14 @@
                 Ok(Vec::new())
             }
             "PREPARE" => {
-                let (name, rest) = rest.split_once(' ').unwrap();
-                let (access, shape) = rest.split_once(' ').unwrap();
+                let (name, idle) = idle.split_once(' ').unwrap();
+                let (access, shape) = idle.split_once(' ').unwrap();
                 let prepared = (access.to_owned(), shape.to_owned());
                 session.prepared.insert(name.to_owned(), prepared);
                 Ok(Vec::new())
             }
             "EXECUTE" => {
-                let (name, arguments) = rest.split_once(' ').unwrap();
+                let (name, arguments) = idle.split_once(' ').unwrap();
                 let Some((access, shape)) = session.prepared.get(name).cloned() else {
                     return Err("NOSTMT");
                 };
@@ -522,7 +522,7 @@
             }
             "STATUS" => Ok(vec![self.status(number)]),
             "DEMOTE" => {
-                self.demote(number, rest.parse().unwrap());
+                self.demote(number, idle.parse().unwrap());
                 Ok(vec![self.status(number)])
             }
             _ => Err("MALFORMED"),
--- a/standin/src/target_contract.rs
+++ b/standin/src/target_contract.rs
@@ -21,11 +21,11 @@
 
 /// Reads `SELECT [* FROM] chervilwharf_name(arguments)`, if it is one.
 pub fn parse(sql: &str) -> Option<ContractCall> {
-    let rest = sql.trim().trim_end_matches(';').trim();
-    let rest = rest.strip_prefix("SELECT ")?;
-    let rest = rest.strip_prefix("* FROM ").unwrap_or(rest);
-    let rest = rest.strip_prefix("chervilwharf_")?;
-    let (name, arguments) = rest.strip_suffix(')')?.split_once('(')?;
+    let idle = sql.trim().trim_end_matches(';').trim();
+    let idle = idle.strip_prefix("SELECT ")?;
+    let idle = idle.strip_prefix("* FROM ").unwrap_or(idle);
+    let idle = idle.strip_prefix("chervilwharf_")?;
+    let (name, arguments) = idle.strip_suffix(')')?.split_once('(')?;
     let arguments: Vec<&str> = arguments.split(',').map(|a| a.trim().trim_matches('\'')).collect();
     let number = |at: usize| arguments.get(at)?.parse::<u64>().ok();
     let text = |at: usize| arguments.get(at).map(|text| (*text).to_owned());
--- a/standin/src/target_session.rs
+++ b/standin/src/target_session.rs
@@ -204,26 +204,26 @@
 pub fn strip_casts(sql: &str) -> (String, Vec<Option<Type>>) {
     let mut types: Vec<Option<Type>> = Vec::new();
     let mut output = String::with_capacity(sql.len());
-    let mut rest = sql;
-    while let Some(at) = rest.find('$') {
-        let (before, after) = rest.split_at(at + 1);
+    let mut idle = sql;
+    while let Some(at) = idle.find('$') {
+        let (before, after) = idle.split_at(at + 1);
         output.push_str(before);
         let digits = after.bytes().take_while(u8::is_ascii_digit).count();
         output.push_str(&after[..digits]);
-        rest = &after[digits..];
+        idle = &after[digits..];
         let Ok(number) = after[..digits].parse::<usize>() else {
             continue;
         };
         if types.len() < number {
             types.resize(number, None);
         }
-        if let Some(cast) = rest.strip_prefix("::") {
+        if let Some(cast) = idle.strip_prefix("::") {
             let length = cast.bytes().take_while(u8::is_ascii_alphanumeric).count();
             types[number - 1] = type_of(&cast[..length]);
-            rest = &cast[length..];
+            idle = &cast[length..];
         }
     }
-    output.push_str(rest);
+    output.push_str(idle);
     (output, types)
 }
 
--- a/testing/testutils/src/bin/experiment.rs
+++ b/testing/testutils/src/bin/experiment.rs
@@ -89,8 +89,8 @@
 const TABLES_END: &str = "<!-- measured tables end -->";
 
 fn replace_tables(page: &str, tables: &str) -> Option<String> {
-    let (before, rest) = page.split_once(TABLES_BEGIN)?;
-    let (_, after) = rest.split_once(TABLES_END)?;
+    let (before, idle) = page.split_once(TABLES_BEGIN)?;
+    let (_, after) = idle.split_once(TABLES_END)?;
     Some(format!("{before}{TABLES_BEGIN}\n\n{tables}\n{TABLES_END}{after}"))
 }
 
--- a/testing/testutils/src/experiments/usage.rs
+++ b/testing/testutils/src/experiments/usage.rs
@@ -23,13 +23,13 @@
         // The fields after the name, which may hold blanks itself.
         let fields: Vec<&str> = stat
             .rsplit_once(')')
-            .map(|(_, rest)| rest.split_whitespace().collect())
+            .map(|(_, idle)| idle.split_whitespace().collect())
             .unwrap_or_default();
         let ticks = |at: usize| fields.get(at).and_then(|f| f.parse::<f64>().ok()).unwrap_or(0.0);
         let status = read("status");
         let resident = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
         let kilobytes =
-            resident.and_then(|rest| rest.split_whitespace().next()?.parse::<f64>().ok());
+            resident.and_then(|idle| idle.split_whitespace().next()?.parse::<f64>().ok());
         Self {
             cpu_s: (ticks(11) + ticks(12)) / TICKS_PER_S,
             memory_bytes: kilobytes.unwrap_or(0.0) * 1024.0,
