--- a/daemon/src/engine/account_metrics.rs
+++ b/daemon/src/engine/account_metrics.rs
@@ -1,4 +1,4 @@
-//! Counters by client account.
+//! Counters by client account, for a limited number of accounts.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -10,12 +10,12 @@
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
 
-/// Accounts that have counters of their own. Those that come later share one, so that
-/// the number of accounts does not decide how large an answer with metrics is.
-const MOST_NAMED: usize = 256;
+/// Most accounts that have counters of their own: the first ones after the start. All other
+/// accounts share one label, so that the size of the metrics text is limited.
+const MAX_NAMED_ACCOUNTS: usize = 256;
 
-/// Stands for the accounts without counters of their own.
-const OTHERS: &str = "other";
+/// Label of all accounts without counters of their own.
+const OTHER_ACCOUNTS: &str = "other";
 
 /// Labels of statements by account.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -27,25 +27,26 @@
     pub outcome: &'static str,
 }
 
-/// Statements by account and outcome.
+/// Completed statements by account and outcome.
 #[derive(Clone, Debug, Default)]
 pub struct AccountMetrics {
-    /// The counters.
+    /// Number of completed statements.
     pub statements: Family<AccountLabels, Counter>,
     named: Arc<Mutex<HashSet<AccountId>>>,
 }
 
 impl AccountMetrics {
-    /// A statement of an account ended.
+    /// Counts a completed statement of an account; `failure` is `None` if it succeeded.
     pub fn ended(&self, account: &AccountId, failure: Option<ErrorKind>) {
         let outcome = failure.map_or("ok", ErrorKind::name);
-        let account = if self.is_named(account) { account } else { OTHERS };
+        let account = if self.is_named(account) { account } else { OTHER_ACCOUNTS };
         let labels = AccountLabels { account: account.to_owned(), outcome };
         self.statements.get_or_create(&labels).inc();
     }
 
     fn is_named(&self, account: &AccountId) -> bool {
         let mut named = self.named.lock().expect("never poisoned");
-        named.contains(account) || (named.len() < MOST_NAMED && named.insert(account.clone()))
+        named.contains(account)
+            || (named.len() < MAX_NAMED_ACCOUNTS && named.insert(account.clone()))
     }
 }
--- a/daemon/src/engine/controllers.rs
+++ b/daemon/src/engine/controllers.rs
@@ -1,4 +1,4 @@
-//! Starts the controllers of an engine.
+//! Starts the background tasks of an engine.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -33,7 +33,10 @@
 use crate::engine::shared::PEER_FALLBACK_DELAY;
 use crate::engine::store_liveness;
 
-/// Starts all controllers. They run until the program ends.
+/// Starts all background tasks. They run until the program ends.
+///
+/// `seeds` are addresses of other instances from which this one pulls records if the store
+/// does not answer at the start.
 pub fn start(
     engine: &Arc<Engine>,
     directory: &Arc<dyn Directory>,
@@ -43,7 +46,7 @@
 ) {
     let counted = CountedDirectory::new(directory.clone(), engine.metrics().store.clone());
     let directory: Arc<dyn Directory> = Arc::new(counted);
-    // They run until the program ends.
+    // Dropping the handles leaves the tasks running.
     let _followers = start_followers(engine, &directory);
     let replacer = Replacer {
         engine: engine.clone(),
@@ -56,23 +59,24 @@
     tokio::spawn(fleet_control::send_heartbeats(engine.clone(), directory.clone()));
     tokio::spawn(quota_control::maintain_keeper_leases(engine.clone()));
     tokio::spawn(peers::serve(engine.clone(), peer_listener));
-    tokio::spawn(ask_seeds(engine.clone(), seeds.to_vec()));
+    tokio::spawn(pull_from_seeds(engine.clone(), seeds.to_vec()));
     tokio::spawn(start_without_peers(engine.clone()));
 }
 
-/// Starts following what the store keeps.
+/// Starts the tasks that follow the records in the store, and returns their handles.
 pub fn start_followers(
     engine: &Arc<Engine>,
     directory: &Arc<dyn Directory>,
 ) -> Vec<JoinHandle<()>> {
     let state = StoreState { era: engine.store_era().clone(), ..StoreState::default() };
-    let signs = store_liveness::monitor_store(engine.clone(), directory.clone(), state.clone());
+    let liveness_checks =
+        store_liveness::monitor_store(engine.clone(), directory.clone(), state.clone());
     let configuration = ConfigurationFollower::new(engine.clone());
     let servers = ServerFollower::new(engine.clone());
     let instances = InstanceFollower::new(engine.clone());
     let duties = DutyFollower::new(engine.clone());
     vec![
-        tokio::spawn(signs),
+        tokio::spawn(liveness_checks),
         tokio::spawn(follow(directory.clone(), state.clone(), configuration)),
         tokio::spawn(follow(directory.clone(), state.clone(), servers)),
         tokio::spawn(follow(directory.clone(), state.clone(), instances)),
@@ -80,32 +84,36 @@
     ]
 }
 
-/// How long a starting instance waits to hear of others, from the store or from
-/// them: the store answers after 4 ms, or 200 ms when it is slow, and others
-/// are asked after 250 ms.
-const OTHERS_WAIT: Duration = Duration::from_secs(1);
+/// How long a starting instance waits for a list of the other instances, from the store or
+/// from a peer: the store answers within 4 ms, or 200 ms when it is slow, and peers are
+/// asked after 250 ms.
+const PEER_DISCOVERY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Without the store and without others an instance serves all by itself.
+/// Lets a starting instance serve all groups by itself if neither the store nor another
+/// instance provides a list of instances.
 async fn start_without_peers(engine: Arc<Engine>) {
-    // Once they are listed, others are asked whom the list lacks.
-    if engine.wait_for_fleet(OTHERS_WAIT).await || engine.is_fleet_listed() {
+    // If the fleet is listed but not known yet, the instance is still pulling records from
+    // its peers and marks the fleet as known itself.
+    if engine.wait_for_fleet(PEER_DISCOVERY_TIMEOUT).await || engine.is_fleet_listed() {
         return;
     }
-    event_log::emit(&Event::new(EventKind::FleetUnknown).with_ms("waited_ms", OTHERS_WAIT));
+    event_log::emit(
+        &Event::new(EventKind::FleetUnknown).with_ms("waited_ms", PEER_DISCOVERY_TIMEOUT),
+    );
     engine.set_fleet_known();
 }
 
-/// Pause between two rounds over the seeds.
-const SEED_PAUSE: Duration = Duration::from_millis(500);
+/// Time between two rounds of requests to the seeds.
+const SEED_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Learns configuration and servers from other instances while the store does
-/// not answer. An instance that restarts during an outage of the store would
-/// otherwise serve nobody until its end.
-async fn ask_seeds(engine: Arc<Engine>, seeds: Vec<SocketAddr>) {
+/// Pulls records from the seeds while the store does not answer. An instance that restarts
+/// during an outage of the store could otherwise serve no client until the outage ends.
+async fn pull_from_seeds(engine: Arc<Engine>, seeds: Vec<SocketAddr>) {
     tokio::time::sleep(PEER_FALLBACK_DELAY).await;
     while engine.lacks_records() {
-        // They are three for all instances; asked by 180 that had started together,
-        // they could answer nobody in time.
+        // All instances have the same three seeds. When 180 instances that had started
+        // together asked them, the seeds could answer none in time. So they are not asked
+        // while the store is about to return its listings.
         let asked = if engine.expects_store_listings() { &[] } else { &*seeds };
         for seed in asked {
             let record = InstanceRecord {
@@ -117,6 +125,6 @@
             };
             pull_directory(&engine, &record).await;
         }
-        tokio::time::sleep(SEED_PAUSE).await;
+        tokio::time::sleep(SEED_RETRY_INTERVAL).await;
     }
 }
--- a/daemon/src/engine/leader_control.rs
+++ b/daemon/src/engine/leader_control.rs
@@ -101,7 +101,8 @@
     loop {
         // Both a suspicion and the timeout start a check.
         let _timeout =
-            tokio::time::timeout(GROUP_CHECK_INTERVAL, replacer.engine.doubt().notified()).await;
+            tokio::time::timeout(GROUP_CHECK_INTERVAL, replacer.engine.primary_check().notified())
+                .await;
         // An instance without connections to a group cannot judge its primary, and leaves
         // that to the holders.
         for shard in replacer.engine.held_shards() {
@@ -152,7 +153,7 @@
             tokio::spawn(async move {
                 if probe::probe(&shard, &id).await == Probed::Failed {
                     replacer.engine.watches().with(shard.id(), |watch| watch.probe_failed(&id));
-                    replacer.engine.doubt().notify_one();
+                    replacer.engine.primary_check().notify_one();
                 }
             });
         }
--- a/daemon/src/engine/peers.rs
+++ b/daemon/src/engine/peers.rs
@@ -1,4 +1,10 @@
-//! Connections between instances that run the session engine.
+//! Connections between instances: requests to other instances, and the server that
+//! answers theirs.
+//!
+//! The messages are frames of a length prefix and an encoded [`EngineFrame`]. A *link* is
+//! such a connection; it carries one exchange of a request and its answer at a time. A
+//! connection can also become a *tunnel*: a byte stream to a database server through an
+//! instance that reaches the server.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -31,12 +37,12 @@
 use crate::engine::event_log;
 use crate::engine::socket;
 
-/// Longest frame: a configuration of some thousand routes.
+/// Longest frame; enough for a configuration of some thousand routes.
 const MAX_FRAME_BYTES: usize = 4 * 1024 * 1024;
 
-/// Time for an answer, connecting included: many times a round trip of 3 ms,
-/// short enough that several tries fit into the time to notice a dead primary.
-const ASK_TIMEOUT: Duration = Duration::from_millis(300);
+/// Longest time for an answer, connecting included: many times a round trip of 3 ms, and
+/// short enough that several attempts fit into the time to detect a failed primary.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
 
 type Frames = Framed<TcpStream, LengthDelimitedCodec>;
 
@@ -44,11 +50,11 @@
 #[derive(Clone, Debug)]
 #[derive(Display)]
 pub enum PeerError {
-    /// it cannot be reached: {0}
+    /// unreachable: {0}
     Unreachable(String),
-    /// it did not answer in time
-    Silent,
-    /// its answer cannot be read
+    /// no answer in time
+    TimedOut,
+    /// the answer cannot be decoded, or belongs to another request
     Unreadable,
 }
 
@@ -61,7 +67,7 @@
     PeerError::Unreachable(error.to_string())
 }
 
-/// Why an exchange on a link gave no answer.
+/// Why an exchange on a link gave no answer, by whether the request was sent.
 #[derive(Clone, Debug)]
 #[derive(Display)]
 pub enum LinkError {
@@ -77,8 +83,7 @@
     }
 }
 
-/// A connection to another instance, opened when it is needed, for one
-/// exchange at a time.
+/// A connection to another instance, opened on demand, for one exchange at a time.
 #[derive(Default)]
 pub struct PeerLink {
     frames: Option<Frames>,
@@ -86,8 +91,8 @@
 }
 
 impl PeerLink {
-    /// Whether it is connected and the other side has not closed it, as far as
-    /// can be told without asking.
+    /// Whether the link is connected and the other side has not closed it, as far as the
+    /// local socket shows it; sends nothing.
     #[must_use]
     pub fn is_open(&self) -> bool {
         let Some(frames) = &self.frames else {
@@ -98,11 +103,11 @@
         read.is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock)
     }
 
-    /// Connects, unless it is connected.
+    /// Connects the link, unless it is connected.
     ///
     /// # Errors
     ///
-    /// When no connection can be opened in time.
+    /// When the connection cannot be opened in time.
     pub async fn open(&mut self, address: SocketAddr) -> Result<(), PeerError> {
         if self.frames.is_none() {
             self.frames = Some(frames(connect(address).await?));
@@ -110,14 +115,15 @@
         Ok(())
     }
 
-    /// Asks and waits for the answer. Dropped early it closes the connection.
+    /// Sends a request and waits for the answer. Dropping the future before it completes
+    /// closes the connection.
     ///
     /// # Errors
     ///
-    /// When no connection could be opened, or no answer came.
+    /// When the connection cannot be opened, or no valid answer arrives.
     pub async fn exchange(&mut self, address: SocketAddr, body: Body) -> Result<Body, LinkError> {
-        // Taken out, so that a connection on which an answer is still to come
-        // is closed when this future is dropped.
+        // The connection is taken out of the link, so that dropping this future closes it
+        // while an answer is outstanding.
         self.open(address).await.map_err(LinkError::NotConnected)?;
         let Some(mut frames) = self.frames.take() else {
             return Err(PeerError::Unreadable.into());
@@ -142,12 +148,12 @@
     let bytes: BytesMut = match frames.next().await {
         Some(Ok(bytes)) => bytes,
         Some(Err(error)) => return Err(unreachable(&error)),
-        None => return Err(PeerError::Unreachable("closed".to_owned())),
+        None => return Err(PeerError::Unreachable("the connection was closed".to_owned())),
     };
     EngineFrame::decode(bytes).map_err(|_| PeerError::Unreadable)
 }
 
-/// Links to other instances, opened when they are needed.
+/// Links to other instances, one for each address, opened on demand.
 #[derive(Default)]
 pub struct Peers {
     links: Mutex<HashMap<SocketAddr, SharedLink>>,
@@ -159,68 +165,78 @@
     match answer {
         Ok(Ok(answer)) => Ok(answer),
         Ok(Err(LinkError::NotConnected(error) | LinkError::Failed(error))) => Err(error),
-        Err(_) => Err(PeerError::Silent),
+        Err(_) => Err(PeerError::TimedOut),
     }
 }
 
-/// Asks on the kept link, and on a new one as well if that gives no answer.
-async fn ask_twice(link: &SharedLink, address: SocketAddr, body: Body) -> Result<Body, LinkError> {
+/// Sends a request on the kept link, and on a new one as well if the kept link yields no
+/// answer within [`LIVENESS_TIMEOUT`]. Returns the first answer.
+async fn ask_on_kept_or_new_link(
+    link: &SharedLink,
+    address: SocketAddr,
+    body: Body,
+) -> Result<Body, LinkError> {
     let is_kept = link.try_lock().is_ok_and(|link| link.is_open());
     if !is_kept {
         return link.lock().await.exchange(address, body).await;
     }
-    let on_kept = body.clone();
-    let mut asking = Box::pin(async move { link.lock().await.exchange(address, on_kept).await });
-    if let Ok(answer) = tokio::time::timeout(LIVENESS_TIMEOUT, &mut asking).await {
+    let body_on_kept = body.clone();
+    let mut pending =
+        Box::pin(async move { link.lock().await.exchange(address, body_on_kept).await });
+    if let Ok(answer) = tokio::time::timeout(LIVENESS_TIMEOUT, &mut pending).await {
         return answer;
     }
-    let mut fresh = PeerLink::default();
+    let mut new_link = PeerLink::default();
     let answer = tokio::select! {
-        Ok(answer) = &mut asking => return Ok(answer),
-        answer = fresh.exchange(address, body) => answer?,
+        Ok(answer) = &mut pending => return Ok(answer),
+        answer = new_link.exchange(address, body) => answer?,
     };
-    // Closes the link that gave no answer.
-    drop(asking);
-    keep(link, fresh);
+    // Closes the connection that yielded no answer.
+    drop(pending);
+    keep(link, new_link);
     Ok(answer)
 }
 
-/// Keeps a new link in place of the one before, unless that is in use.
-fn keep(link: &SharedLink, fresh: PeerLink) {
+/// Replaces a kept link by a new one, unless the kept link is in use.
+fn keep(link: &SharedLink, new_link: PeerLink) {
     if let Ok(mut kept) = link.try_lock() {
-        *kept = fresh;
+        *kept = new_link;
     }
 }
 
 impl Peers {
-    /// Asks another instance.
+    /// Sends a request to another instance and waits for the answer.
     ///
-    /// A kept link can go silent without a reset. So that a living instance does not look
-    /// silent, the question is asked again on a new link.
+    /// A connection can stop delivering data without a reset. So that an instance which
+    /// runs does not appear unresponsive, the request is then sent again on a new link.
     ///
     /// # Errors
     ///
-    /// When no answer came in time.
+    /// When no valid answer arrives in time.
     pub async fn ask(&self, address: SocketAddr, body: Body) -> Result<Body, PeerError> {
         let link = self.link(address);
-        flatten(tokio::time::timeout(ASK_TIMEOUT, ask_twice(&link, address, body)).await)
+        flatten(
+            tokio::time::timeout(REQUEST_TIMEOUT, ask_on_kept_or_new_link(&link, address, body))
+                .await,
+        )
     }
 
-    /// Asks another instance on a new link, within `limit`.
+    /// Sends a request to another instance on a new link and waits for the answer, at most
+    /// for `limit`. The new link replaces the kept one, unless that is in use.
     ///
     /// # Errors
     ///
-    /// When no answer came in time.
+    /// When no valid answer arrives in time.
     pub async fn ask_on_new_link(
         &self,
         address: SocketAddr,
         body: Body,
         limit: Duration,
     ) -> Result<Body, PeerError> {
-        let mut fresh = PeerLink::default();
-        let exchange = fresh.exchange(address, body);
+        let mut new_link = PeerLink::default();
+        let exchange = new_link.exchange(address, body);
         let answer = flatten(tokio::time::timeout(limit, exchange).await)?;
-        keep(&self.link(address), fresh);
+        keep(&self.link(address), new_link);
         Ok(answer)
     }
 
@@ -229,11 +245,11 @@
         links.entry(address).or_default().clone()
     }
 
-    /// Opens a stream to a server through another instance that reaches it.
+    /// Opens a byte stream to a database server through another instance.
     ///
     /// # Errors
     ///
-    /// When the other instance cannot be reached, or does not reach it either.
+    /// When the other instance cannot be reached, or cannot reach the server either.
     pub async fn tunnel(
         &self,
         address: SocketAddr,
@@ -241,68 +257,69 @@
     ) -> Result<TcpStream, PeerError> {
         let mut frames = frames(connect(address).await?);
         let frame = EngineFrame { exchange_id: 1, body: Some(Body::Tunnel(tunnel)) };
-        let asking = async {
+        let pending = async {
             let sent = frames.send(Bytes::from(frame.encode_to_vec())).await;
             sent.map_err(|error| unreachable(&error))?;
             read_frame(&mut frames).await
         };
-        let reply = tokio::time::timeout(ASK_TIMEOUT, asking).await;
-        match reply.unwrap_or(Err(PeerError::Silent))?.body {
-            // The server speaks only when spoken to: nothing is buffered yet.
+        let reply = tokio::time::timeout(REQUEST_TIMEOUT, pending).await;
+        match reply.unwrap_or(Err(PeerError::TimedOut))?.body {
+            // The server sends nothing before it receives a message, so that no bytes
+            // of the tunnel are buffered in `frames`.
             Some(Body::TunnelReply(reply)) if reply.connected => Ok(frames.into_inner()),
             Some(Body::TunnelReply(_)) => {
-                Err(PeerError::Unreachable("the server, from there".to_owned()))
+                Err(PeerError::Unreachable("the other instance cannot reach the server".to_owned()))
             }
             _ => Err(PeerError::Unreadable),
         }
     }
 
-    /// Closes links to addresses that are not in use any more.
+    /// Closes the links to all addresses but these.
     pub fn keep_only(&self, addresses: &[SocketAddr]) {
         let mut links = self.links.lock().expect("never poisoned");
         links.retain(|address, _| addresses.contains(address));
     }
 }
 
-/// Serves statements of another instance, one at a time.
+/// Runs statements that another instance forwards on one link, one at a time.
 #[async_trait]
 pub trait ForwardedStatementHandler: Send {
-    /// Runs a statement.
+    /// Runs a statement and returns its reply.
     async fn run(&mut self, statement: Statement) -> StatementReply;
 }
 
-/// Answers other instances.
+/// Answers the requests of other instances.
 pub trait PeerHandler: Send + Sync {
-    /// The answer to a question; `None` if it is none.
-    fn answer(&self, question: Body) -> Option<Body>;
+    /// Returns the answer to a request; `None` if the message is not a request.
+    fn answer(&self, request: Body) -> Option<Body>;
 
-    /// Serves statements of another instance's clients on one link.
+    /// Creates the handler for the statements that another instance forwards on one link.
     fn forwarded_session(self: Arc<Self>) -> Box<dyn ForwardedStatementHandler>;
 
-    /// Address of a server for a tunnel; `None` if it is not known.
+    /// Address of the server that a tunnel leads to; `None` if the server is not known.
     fn tunnel_target(&self, tunnel: &Tunnel) -> Option<SocketAddr>;
 }
 
-/// Answers other instances for ever.
+/// Accepts connections of other instances and answers their requests; never returns.
 pub async fn serve(handler: Arc<dyn PeerHandler>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 let handler = handler.clone();
-                tokio::spawn(async move { answer_all(handler, stream).await });
+                tokio::spawn(async move { serve_connection(handler, stream).await });
             }
             Err(error) => {
                 event_log::emit(&Event::new(EventKind::PeerFailed).with("reason", error));
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Pause after the system refused to accept a connection.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after the operating system failed to accept a connection.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-async fn answer_all(handler: Arc<dyn PeerHandler>, stream: TcpStream) {
+async fn serve_connection(handler: Arc<dyn PeerHandler>, stream: TcpStream) {
     if let Err(error) = socket::configure(&stream) {
         event_log::emit(&Event::new(EventKind::PeerFailed).with("reason", error));
         return;
@@ -314,7 +331,7 @@
             let target = handler.tunnel_target(tunnel);
             let event = Event::new(EventKind::TunnelOpened).with("group", &tunnel.group);
             event_log::emit(&event.with("server", &tunnel.server).with_some("address", target));
-            carry_tunnel(frames, frame.exchange_id, target).await;
+            run_tunnel(frames, frame.exchange_id, target).await;
             return;
         }
         let body = match frame.body {
@@ -323,12 +340,12 @@
                     forwarded_session.get_or_insert_with(|| handler.clone().forwarded_session());
                 Some(Body::StatementReply(forwarded_session.run(statement).await))
             }
-            Some(question) => handler.answer(question),
+            Some(request) => handler.answer(request),
             None => None,
         };
         let Some(body) = body else {
             let event = Event::new(EventKind::PeerFailed);
-            event_log::emit(&event.with("reason", "it sent something that is no question"));
+            event_log::emit(&event.with("reason", "received a message that is not a request"));
             return;
         };
         let answer = EngineFrame { exchange_id: frame.exchange_id, body: Some(body) };
@@ -338,8 +355,8 @@
     }
 }
 
-/// Connects a stream of another instance with a server, until either closes.
-async fn carry_tunnel(mut frames: Frames, exchange_id: u64, target: Option<SocketAddr>) {
+/// Copies bytes between another instance and a server until either side closes.
+async fn run_tunnel(mut frames: Frames, exchange_id: u64, target: Option<SocketAddr>) {
     let server = match target {
         Some(target) => connect(target).await,
         None => Err(PeerError::Unreachable("not listed".to_owned())),
@@ -351,22 +368,22 @@
         return;
     };
     let mut stream = frames.into_inner();
-    // Either end closing, or failing, is the usual end of a tunnel.
+    // A tunnel usually ends when either side closes or fails, so the result is ignored.
     let _ended = tokio::io::copy_bidirectional(&mut stream, &mut server).await;
 }
 
-/// Opens a stream within the time for an answer.
+/// Opens a TCP connection within the time for an answer.
 ///
 /// # Errors
 ///
-/// When it cannot be opened in time.
+/// When the connection cannot be opened in time.
 pub async fn connect(address: SocketAddr) -> Result<TcpStream, PeerError> {
-    match tokio::time::timeout(ASK_TIMEOUT, TcpStream::connect(address)).await {
+    match tokio::time::timeout(REQUEST_TIMEOUT, TcpStream::connect(address)).await {
         Ok(Ok(stream)) => {
             socket::configure(&stream).map_err(|error| unreachable(&error))?;
             Ok(stream)
         }
         Ok(Err(error)) => Err(unreachable(&error)),
-        Err(_) => Err(PeerError::Silent),
+        Err(_) => Err(PeerError::TimedOut),
     }
 }
