--- a/standin/src/platform/client.rs
+++ b/standin/src/platform/client.rs
@@ -1,4 +1,4 @@
-//! A client of the platform's wire.
+//! A client that speaks the platform's wire protocol.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,29 +11,29 @@
 use tokio::net::tcp::OwnedReadHalf;
 use tokio::net::tcp::OwnedWriteHalf;
 
-/// Longest wait for an answer before a test fails instead of hanging.
+/// Maximum wait for a reply, so that a test fails instead of hanging.
 const PATIENCE: Duration = Duration::from_secs(20);
 
-/// Longest wait for a connection.
+/// Maximum time to open a connection.
 const CONNECT_PATIENCE: Duration = Duration::from_secs(2);
 
-/// A whole answer.
+/// The complete reply to a message.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Answer {
-    /// Its rows.
+    /// Rows of the result.
     pub rows: Vec<String>,
-    /// Signature of the server; `-` for an answer of the proxy.
+    /// Signature of the server that ran the statement; `-` if the proxy replied itself.
     pub signature: Option<String>,
-    /// Code and text of the error.
+    /// Code and text of the error, if there was one.
     pub error: Option<String>,
-    /// State of the session.
+    /// State of the session: `I` (idle), `T` (in a transaction) or `E` (failed transaction).
     pub state: String,
-    /// Position of the server's log.
+    /// Position that the reply reports of the server's log.
     pub position: String,
 }
 
 impl Answer {
-    /// The code of the error, or "DONE".
+    /// Returns the code of the error, or "DONE" if there was none.
     #[must_use]
     pub fn code(&self) -> &str {
         match &self.error {
@@ -43,7 +43,7 @@
     }
 }
 
-/// A client's session.
+/// A client connection and the session on it.
 pub struct Client {
     lines: Lines<BufReader<OwnedReadHalf>>,
     write: OwnedWriteHalf,
@@ -62,10 +62,10 @@
 
     /// Connects without beginning a session.
     pub async fn connect(address: SocketAddr, name: &str) -> Self {
-        Self::try_connect(address, name).await.expect("it can be reached")
+        Self::try_connect(address, name).await.expect("the address accepts connections")
     }
 
-    /// As [`Self::connect`]; `None` if nobody listens there.
+    /// Like [`Self::connect`], but returns `None` if the connection cannot be opened.
     pub async fn try_connect(address: SocketAddr, name: &str) -> Option<Self> {
         let connecting = tokio::time::timeout(CONNECT_PATIENCE, TcpStream::connect(address));
         let stream = connecting.await.ok()?.ok()?;
@@ -80,13 +80,13 @@
         Some(client)
     }
 
-    /// Begins a session; `None` if the connection ended.
+    /// Begins a session. Returns `None` if the connection ended.
     pub async fn start_session(&mut self, database: &str) -> Option<Answer> {
         self.try_send(&format!("START {database} me\r\n")).await?;
         self.read_answer().await
     }
 
-    /// Sends bytes as they are.
+    /// Sends text without any encoding.
     pub async fn send(&mut self, text: &str) {
         self.try_send(text).await.expect("the connection is open");
     }
@@ -95,12 +95,12 @@
         self.write.write_all(text.as_bytes()).await.ok()
     }
 
-    /// Sends a statement under a new id and waits for its answer.
+    /// Sends a statement under a new id and waits for the reply.
     pub async fn query(&mut self, text: &str) -> Answer {
         self.try_query(text).await.expect("the connection is open")
     }
 
-    /// As [`Self::query`]; `None` if the connection ended.
+    /// Like [`Self::query`], but returns `None` if the connection ended.
     pub async fn try_query(&mut self, text: &str) -> Option<Answer> {
         self.next_id += 1;
         let id = format!("{}-{}", self.name, self.next_id);
@@ -108,18 +108,18 @@
         self.read_answer().await
     }
 
-    /// The id of the last statement.
+    /// Returns the id of the last statement.
     #[must_use]
     pub fn last_id(&self) -> String {
         format!("{}-{}", self.name, self.next_id)
     }
 
-    /// A whole answer; `None` if the connection ended.
+    /// Waits for a complete reply. Returns `None` if the connection ended.
     pub async fn read_answer(&mut self) -> Option<Answer> {
         let mut answer = Answer::default();
         loop {
             let line = tokio::time::timeout(PATIENCE, self.lines.next_line());
-            let line = line.await.expect("an answer comes").ok()??;
+            let line = line.await.expect("the reply arrives in time").ok()??;
             let (word, rest) = line.split_once(' ').unwrap_or((&line, ""));
             match word {
                 "ROW" => answer.rows.push(rest.to_owned()),
--- a/standin/src/platform/mod.rs
+++ b/standin/src/platform/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for what the users' platform runs: database servers, the store,
-//! the call that promotes, and clients.
+//! Stand-ins (test doubles) for the services of the users' platform: database servers, the
+//! store, the promotion call, and clients.
 
 pub mod client;
 pub mod servers;
--- a/standin/src/platform/servers.rs
+++ b/standin/src/platform/servers.rs
@@ -1,4 +1,5 @@
-//! A group of database servers that speak the platform's wire.
+//! Stand-in for a group of database servers that speak the platform's wire protocol, with a
+//! replicated log in memory and faults that tests can inject.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,39 +16,39 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 
-/// A committed write.
+/// A committed write in a server's log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
     /// Term in which it was committed.
     pub term: u64,
-    /// Number in the log.
+    /// Index in the log, from 1.
     pub index: u64,
     /// Id of the statement that wrote it.
     pub request: String,
-    /// What it writes.
+    /// Name of the item that is written.
     pub item: String,
-    /// The new value.
+    /// New value of the item.
     pub data: String,
 }
 
-/// A statement of a client that a server ran.
+/// A client's statement that a server ran.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Run {
-    /// Number of the server.
+    /// Index of the server in its group.
     pub server: usize,
-    /// Connection it came on.
+    /// Number of the connection on which the statement arrived.
     pub connection: u64,
-    /// Who opened that connection, as the server was told.
+    /// Caller name with which the session on that connection was started.
     pub caller: String,
-    /// Its id.
+    /// Id of the statement.
     pub request: String,
-    /// Its text, a prepared name replaced by the shape.
+    /// Text of the statement, with the name of a prepared statement replaced by its shape.
     pub text: String,
     /// Session values of the connection.
     pub values: BTreeMap<String, String>,
     /// Whether it ran inside a transaction.
     pub in_transaction: bool,
-    /// When.
+    /// Time at which it ran.
     pub at: Instant,
 }
 
@@ -57,20 +58,21 @@
     log: Vec<Entry>,
     applied: usize,
     lag: Duration,
-    /// Ends all connections when it changes.
+    /// Counts crashes. All connections of the server end when it changes.
     lives: watch::Sender<u64>,
     up: bool,
-    /// Statements that contain this text run, and their answer is lost.
+    /// Statements that contain this text run, but their reply is lost.
     lose_answers_of: Option<String>,
-    /// Whether the connection ends instead of the lost answer.
+    /// Whether the connection ends when a reply is lost. Otherwise it stays open without a
+    /// reply.
     breaks: bool,
-    /// So many statements are refused as too many.
+    /// Number of statements that are still to be refused with `BUSY`.
     busy_left: usize,
     connections: usize,
     started: usize,
-    /// It says that it is about to leave.
+    /// Whether the server is listed as draining.
     leaving: bool,
-    /// The term in which it goes on as a primary after another was promoted.
+    /// Term in which a former primary still accepts writes after another server was promoted.
     leads_on_in: Option<u64>,
 }
 
@@ -81,7 +83,7 @@
     servers: Vec<Server>,
     runs: Vec<Run>,
     next_connection: u64,
-    /// Whether a primary goes on, until it is demoted, when another is promoted.
+    /// Whether a former primary still accepts writes until it is demoted.
     old_goes_on: bool,
 }
 
@@ -92,7 +94,8 @@
 }
 
 impl Group {
-    /// Starts a group; the first server leads.
+    /// Starts a group whose first server is the primary. Replicas apply writes `lag` after
+    /// they receive them.
     pub async fn start(group: &str, size: usize, lag: Duration) -> Self {
         let mut servers = Vec::new();
         let mut listeners = Vec::new();
@@ -136,68 +139,68 @@
         self.state.lock().unwrap()
     }
 
-    /// Name of the group.
+    /// Returns the name of the group.
     #[must_use]
     pub fn name(&self) -> String {
         self.lock().group.clone()
     }
 
-    /// Number of its servers.
+    /// Returns the number of servers.
     #[must_use]
     pub fn size(&self) -> usize {
         self.lock().servers.len()
     }
 
-    /// Id of a server.
+    /// Returns the id of a server.
     #[must_use]
     pub fn id(&self, number: usize) -> String {
         self.lock().servers[number].id.clone()
     }
 
-    /// Address of a server, as the platform lists it.
+    /// Returns the address of a server, as the platform lists it.
     #[must_use]
     pub fn address(&self, number: usize) -> SocketAddr {
         self.lock().servers[number].address
     }
 
-    /// Number of the primary.
+    /// Returns the index of the primary of the current term.
     #[must_use]
     pub fn leader(&self) -> usize {
         self.lock().leader
     }
 
-    /// All statements of clients that ran.
+    /// Returns all client statements that servers of the group ran.
     #[must_use]
     pub fn runs(&self) -> Vec<Run> {
         self.lock().runs.clone()
     }
 
-    /// What a server received.
+    /// Returns the log entries that a server received.
     #[must_use]
     pub fn log(&self, number: usize) -> Vec<Entry> {
         self.lock().servers[number].log.clone()
     }
 
-    /// Connections open at a server now.
+    /// Returns the number of open connections of a server.
     #[must_use]
     pub fn connections(&self, number: usize) -> usize {
         self.lock().servers[number].connections
     }
 
-    /// Connections opened at a server so far.
+    /// Returns the number of connections that a server has accepted so far.
     #[must_use]
     pub fn started(&self, number: usize) -> usize {
         self.lock().servers[number].started
     }
 
-    /// Ends all connections of a server and opens no more.
+    /// Ends all connections of a server, which accepts none until it is restarted.
     pub fn crash(&self, number: usize) {
         let mut state = self.lock();
         state.servers[number].up = false;
         state.servers[number].lives.send_modify(|life| *life += 1);
     }
 
-    /// A crashed server is back, with what the primary has.
+    /// Restarts a crashed server as a replica with the log of the primary.
     pub fn restart(&self, number: usize) {
         let mut state = self.lock();
         let log = state.servers[state.leader].log.clone();
@@ -208,62 +211,67 @@
         server.log = log;
     }
 
-    /// A server says that it is about to leave, or that it stays.
+    /// Sets whether the store lists a server as draining when it lists the group after a
+    /// promotion.
     pub fn set_leaving(&self, number: usize, leaving: bool) {
         self.lock().servers[number].leaving = leaving;
     }
 
-    /// Whether a server is about to leave.
+    /// Whether a server is listed as draining.
     #[must_use]
     pub fn is_leaving(&self, number: usize) -> bool {
         self.lock().servers[number].leaving
     }
 
-    /// The platform lists another address for a server, which leads to it.
+    /// Sets the address that the platform lists for a server, such as that of a proxy in front
+    /// of it.
     pub fn set_address(&self, number: usize, address: SocketAddr) {
         self.lock().servers[number].address = address;
     }
 
-    /// Statements that contain this text run from now on without an answer.
+    /// From now on the server runs statements that contain this text but sends no reply;
+    /// `None` ends the fault.
     pub fn lose_answers_of(&self, number: usize, prefix: Option<&str>) {
         self.lock().servers[number].lose_answers_of = prefix.map(str::to_owned);
     }
 
-    /// As [`Self::lose_answers_of`], and the connection ends at once.
+    /// Like [`Self::lose_answers_of`], but the server also closes the connection at once.
     pub fn break_answers_of(&self, number: usize, text: Option<&str>) {
         self.lose_answers_of(number, text);
         self.lock().servers[number].breaks = text.is_some();
     }
 
-    /// The next statements are refused as too many.
+    /// The server refuses the next `count` statements that need a slot with `BUSY`.
     pub fn refuse_as_busy(&self, number: usize, count: usize) {
         self.lock().servers[number].busy_left = count;
     }
 
-    /// A server applies what it received only after this time.
+    /// Sets the replication lag: a replica applies an entry only this long after it received it.
     pub fn set_lag(&self, number: usize, lag: Duration) {
         self.lock().servers[number].lag = lag;
     }
 
-    /// From now on a primary goes on, until it is demoted, when another one is
-    /// promoted.
+    /// From now on a former primary still accepts writes after another server is promoted,
+    /// until it is demoted.
     pub fn let_old_primaries_go_on(&self) {
         self.lock().old_goes_on = true;
     }
 
-    /// Whether a primary goes on when another one is promoted.
+    /// Whether a former primary still accepts writes until it is demoted.
     #[must_use]
     pub fn lets_old_primaries_go_on(&self) -> bool {
         self.lock().old_goes_on
     }
 
-    /// Whether a server takes itself for the primary.
+    /// Whether a server acts as a primary: it is the current primary, or a former one that was
+    /// not demoted.
     #[must_use]
     pub fn claims_lead(&self, number: usize) -> bool {
         self.lock().leads(number)
     }
 
-    /// Makes a server the primary of the next term.
+    /// Makes a server the primary of the next term. Returns `false` if no running server has
+    /// this id.
     pub fn promote(&self, id: &str) -> bool {
         let mut state = self.lock();
         let Some(number) = state.servers.iter().position(|s| s.id == id && s.up) else {
@@ -338,7 +346,7 @@
             };
             match answer {
                 Some(answer) => write.write_all(answer.as_bytes()).await.unwrap_or(()),
-                // A lost answer: nothing more comes on this connection.
+                // The reply is lost: the server sends nothing more on this connection.
                 None if self.lock().servers[number].breaks => return,
                 None => std::future::pending().await,
             }
@@ -607,7 +615,7 @@
         Ok(Vec::new())
     }
 
-    /// Appends what a session wrote, and ships it to the replicas.
+    /// Appends the writes of a session to the log and sends them to the replicas.
     fn keep(&mut self, number: usize, session: &mut Session) {
         let next = self.servers[number].log.last().map_or(0, |entry| entry.index) + 1;
         for (index, (request, item, data)) in (next..).zip(session.writes.drain(..)) {
@@ -627,8 +635,8 @@
     }
 }
 
-/// Lets replicas apply what they received, each after its lag, until the
-/// group is dropped.
+/// Applies received entries at replicas, each after the lag of its server. Runs until the task
+/// is dropped.
 pub async fn apply_for_ever(group: Group) {
     let mut received: Vec<Vec<Instant>> = vec![Vec::new(); group.size()];
     loop {
--- a/standin/src/platform/store.rs
+++ b/standin/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store and its call that promotes.
+//! Stand-in for the platform's store and its promotion call, with faults that tests can inject.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -26,61 +26,61 @@
 
 use crate::platform::servers::Group;
 
-/// What the store does with calls.
+/// How the store handles requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mode {
-    /// Calls are answered.
+    /// Handles all requests.
     #[default]
     Up,
-    /// Every call is refused; nothing is done.
+    /// Refuses every request and executes none.
     Down,
-    /// Writes are done and not answered.
+    /// Executes writes but sends no response to them.
     AnswersLost,
-    /// Calls are taken and never answered, not even later.
+    /// Accepts requests and never responds to them, not even after the mode changes.
     Silent,
 }
 
-/// What the store keeps, and how it came about.
+/// Objects in the store, and the changes that led to them.
 #[derive(Clone, Default)]
 struct History {
     revision: u64,
     kept: BTreeMap<(String, String), Value>,
     events: Vec<(u64, String, Value)>,
-    /// Events up to this revision are forgotten.
+    /// Revision up to which changes are discarded; watches from before it fail.
     forgotten: u64,
 }
 
-/// A copy of what the store kept at a moment.
+/// A backup of the store.
 pub struct StoreCopy(History);
 
-/// What a store lost when it came back from a copy, and others write again.
+/// Changes by the operator and the servers that a restore from a backup lost.
 pub struct LostWrites {
     written: Vec<(String, String, Value)>,
     removed: Vec<(String, String)>,
 }
 
-/// Kinds that the operator and the servers write.
+/// Kinds that the operator and the servers write, and write again after a restore.
 const KINDS_WRITTEN_AGAIN: [&str; 2] = ["config", "servers"];
 
 #[derive(Default)]
 struct Objects {
     history: History,
-    /// Counts returns from a copy; a store that does not tell it has none.
+    /// Number of restores from a backup; `None` if responses do not report it.
     era: Option<u64>,
     mode: Mode,
-    /// Highest token seen, by group.
+    /// Highest fencing token received for each group.
     tokens: HashMap<String, u64>,
     promotions: Vec<(String, String, u64)>,
-    /// Kinds that were watched, and from which revision.
+    /// Watches so far: the kind, and the revision from which it was watched.
     watches: Vec<(String, u64)>,
-    /// Calls that create an object, by kind.
+    /// Number of requests to create an object, by kind.
     creations: HashMap<String, usize>,
 }
 
-/// The store.
+/// A running store.
 #[derive(Clone)]
 pub struct Store {
-    /// Where it listens.
+    /// Address on which the store listens.
     pub address: SocketAddr,
     objects: Arc<Mutex<Objects>>,
     changes: watch::Sender<u64>,
@@ -89,8 +89,8 @@
 }
 
 impl Store {
-    /// Starts an empty store. A server that is to lead does so after
-    /// `promote_time`.
+    /// Starts an empty store. A promoted server becomes the primary `promote_time` after the
+    /// promotion call.
     pub async fn start(promote_time: Duration) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let store = Self {
@@ -113,31 +113,32 @@
         self.objects.lock().unwrap()
     }
 
-    /// Sets what it does with calls from now on.
+    /// Sets how the store handles requests from now on.
     pub fn set_mode(&self, mode: Mode) {
         self.lock().mode = mode;
     }
 
-    /// Forgets all changes so far.
+    /// Discards all changes so far, so that watches from earlier revisions fail.
     pub fn forget_history(&self) {
         let history = &mut self.lock().history;
         history.forgotten = history.revision;
         history.events.clear();
     }
 
-    /// Tells in all answers from now on how often it came back from a copy.
+    /// Reports this era, the number of restores, in all responses from now on. Each restore
+    /// increments it.
     pub fn tell_era(&self, era: u64) {
         self.lock().era = Some(era);
     }
 
-    /// Copies what it keeps.
+    /// Takes a backup.
     #[must_use]
     pub fn copy(&self) -> StoreCopy {
         StoreCopy(self.lock().history.clone())
     }
 
-    /// Comes back from a copy. Returns what the operator and the servers wrote
-    /// since it was taken.
+    /// Restores the store from a backup. Returns the changes that the operator and the servers
+    /// made after the backup was taken.
     #[must_use]
     pub fn restore(&self, copy: &StoreCopy) -> LostWrites {
         let lost = {
@@ -151,7 +152,7 @@
         lost
     }
 
-    /// The operator and the servers write again what was lost.
+    /// Repeats lost changes, as the operator and the servers do after a restore.
     pub fn write_again(&self, lost: &LostWrites) {
         for (kind, name, spec) in &lost.written {
             self.put(kind, name, spec);
@@ -161,32 +162,33 @@
         }
     }
 
-    /// Its revision.
+    /// Returns the current revision.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.lock().history.revision
     }
 
-    /// Changes of other kinds bring its revision up to this one.
+    /// Changes objects of another kind until the store has this revision.
     pub fn advance_to(&self, revision: u64) {
         while self.revision() < revision {
             self.put("others", "counter", &json!({ "at": self.revision() }));
         }
     }
 
-    /// Orders to promote that were accepted: group, server, token.
+    /// Returns the accepted promotion orders: group, server and fencing token of each.
     #[must_use]
     pub fn promotions(&self) -> Vec<(String, String, u64)> {
         self.lock().promotions.clone()
     }
 
-    /// Calls so far that were to create an object of a kind, refused ones too.
+    /// Returns the number of requests so far to create an object of a kind, including refused
+    /// ones.
     #[must_use]
     pub fn creations(&self, kind: &str) -> usize {
         self.lock().creations.get(kind).copied().unwrap_or_default()
     }
 
-    /// Calls so far that watched a kind from this revision on, or from a later one.
+    /// Returns the number of watches so far of a kind from this revision or a later one.
     #[must_use]
     pub fn watches(&self, kind: &str, revision: u64) -> usize {
         let objects = self.lock();
@@ -194,7 +196,7 @@
         of_kind.filter(|(_, after)| *after >= revision).count()
     }
 
-    /// Names of all objects of a kind.
+    /// Returns the names of all objects of a kind.
     #[must_use]
     pub fn names(&self, kind: &str) -> Vec<String> {
         let objects = self.lock();
@@ -202,7 +204,7 @@
         of_kind.map(|(_, name)| name.clone()).collect()
     }
 
-    /// Lists the servers of a group.
+    /// Adds a group and publishes its servers.
     pub fn add_group(&self, group: &Group) {
         self.groups.lock().unwrap().push(group.clone());
         for number in 0..group.size() {
@@ -210,7 +212,7 @@
         }
     }
 
-    /// Writes a server's entry as the server would.
+    /// Writes the object of a server, as the server itself does.
     pub fn publish_server(&self, group: &Group, number: usize, state: &str) {
         let role = if group.claims_lead(number) { "primary" } else { "replica" };
         let spec = json!({
@@ -221,18 +223,18 @@
         self.put("servers", &group.id(number), &spec);
     }
 
-    /// A server is not listed any more.
+    /// Removes the object of a server.
     pub fn remove_server(&self, group: &Group, number: usize) {
         self.delete("servers", &group.id(number));
     }
 
-    /// Writes an object as the operator would.
+    /// Creates or replaces an object, as the operator does.
     pub fn put(&self, kind: &str, name: &str, spec: &Value) {
         self.lock().history.put(kind, name, spec);
         self.announce();
     }
 
-    /// Keeps anything as an object, as a careless writer could.
+    /// Stores any JSON value as an object, as a faulty writer might.
     pub fn put_as_it_is(&self, kind: &str, name: &str, object: &Value) {
         {
             let history = &mut self.lock().history;
@@ -254,7 +256,8 @@
         self.changes.send_replace(self.revision());
     }
 
-    /// The answer to a call that is refused. A silent store does not even say that.
+    /// Returns the response to a request that the mode refuses. In the mode `Silent` it never
+    /// returns.
     async fn refusal(&self) -> Option<Response> {
         let mode = self.lock().mode;
         if mode == Mode::Silent {
@@ -263,7 +266,7 @@
         (mode == Mode::Down).then(|| self.lock().stamped(StatusCode::SERVICE_UNAVAILABLE))
     }
 
-    /// Changes an object, if it is at this revision.
+    /// Changes an object if it has this revision, and returns the response.
     fn change_at(
         &self,
         kind: &str,
@@ -276,7 +279,7 @@
         objects.stamped(response)
     }
 
-    /// The answer to a write, unless it is lost.
+    /// Returns the response to a write, or never returns if the mode loses it.
     async fn answer(&self, response: Response) -> Response {
         let lost = self.lock().mode == Mode::AnswersLost;
         if lost {
@@ -301,7 +304,7 @@
 }
 
 impl Objects {
-    /// An answer, with the era of the state that it shows.
+    /// Adds the era to a response, if the store reports it.
     fn stamped(&self, answer: impl IntoResponse) -> Response {
         let mut response = answer.into_response();
         if let Some(era) = self.era {
@@ -335,8 +338,8 @@
         true
     }
 
-    /// Changes an object that is at this revision. The answer holds the object
-    /// that `change` returns, or the one that is at another revision.
+    /// Changes an object if it has this revision. The response holds the object that `change`
+    /// returns, or the present one if its revision differs.
     fn change_at(
         &mut self,
         kind: &str,
@@ -400,7 +403,7 @@
                 return objects.stamped(Json(body));
             }
         }
-        // Either wakes the loop.
+        // A change or the end of the wait continues the loop.
         let _timeout = tokio::time::timeout_at(until, changes.changed()).await;
     }
 }
@@ -469,7 +472,7 @@
     store.answer(response).await
 }
 
-/// How late the list tells of a change of primary where the old one goes on.
+/// Delay until the listing shows a new primary if the former one still accepts writes.
 const LATE_NEWS: Duration = Duration::from_millis(300);
 
 async fn promote(
