--- a/standin/src/platform/client.rs
+++ b/standin/src/platform/client.rs
@@ -12,10 +12,10 @@
 use tokio::net::tcp::OwnedWriteHalf;
 
 /// Maximum wait for a reply, so that a test fails instead of hanging.
-const PATIENCE: Duration = Duration::from_secs(20);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Maximum time to open a connection.
-const CONNECT_PATIENCE: Duration = Duration::from_secs(2);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The complete reply to a message.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -67,7 +67,7 @@
 
     /// Like [`Self::connect`], but returns `None` if the connection cannot be opened.
     pub async fn try_connect(address: SocketAddr, name: &str) -> Option<Self> {
-        let connecting = tokio::time::timeout(CONNECT_PATIENCE, TcpStream::connect(address));
+        let connecting = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
         let stream = connecting.await.ok()?.ok()?;
         let (read, write) = stream.into_split();
         let lines = BufReader::new(read).lines();
@@ -118,7 +118,7 @@
     pub async fn read_answer(&mut self) -> Option<Answer> {
         let mut answer = Answer::default();
         loop {
-            let line = tokio::time::timeout(PATIENCE, self.lines.next_line());
+            let line = tokio::time::timeout(ANSWER_TIMEOUT, self.lines.next_line());
             let line = line.await.expect("the reply arrives in time").ok()??;
             let (word, rest) = line.split_once(' ').unwrap_or((&line, ""));
             match word {
--- a/standin/src/platform/servers.rs
+++ b/standin/src/platform/servers.rs
@@ -59,21 +59,21 @@
     applied: usize,
     lag: Duration,
     /// Counts crashes. All connections of the server end when it changes.
-    lives: watch::Sender<u64>,
+    crash_count: watch::Sender<u64>,
     up: bool,
     /// Statements that contain this text run, but their reply is lost.
     lose_answers_of: Option<String>,
     /// Whether the connection ends when a reply is lost. Otherwise it stays open without a
     /// reply.
-    breaks: bool,
+    disconnects_on_lost_answer: bool,
     /// Number of statements that are still to be refused with `BUSY`.
     busy_left: usize,
     connections: usize,
-    started: usize,
+    accepted_connections: usize,
     /// Whether the server is listed as draining.
-    leaving: bool,
+    draining: bool,
     /// Term in which a former primary still accepts writes after another server was promoted.
-    leads_on_in: Option<u64>,
+    former_primary_term: Option<u64>,
 }
 
 struct State {
@@ -84,7 +84,7 @@
     runs: Vec<Run>,
     next_connection: u64,
     /// Whether a former primary still accepts writes until it is demoted.
-    old_goes_on: bool,
+    old_primary_stays_writable: bool,
 }
 
 /// A group of servers.
@@ -107,15 +107,15 @@
                 log: Vec::new(),
                 applied: 0,
                 lag,
-                lives: watch::Sender::new(0),
+                crash_count: watch::Sender::new(0),
                 up: true,
                 lose_answers_of: None,
-                breaks: false,
+                disconnects_on_lost_answer: false,
                 busy_left: 0,
                 connections: 0,
-                started: 0,
-                leaving: false,
-                leads_on_in: None,
+                accepted_connections: 0,
+                draining: false,
+                former_primary_term: None,
             });
             listeners.push(listener);
         }
@@ -126,7 +126,7 @@
             servers,
             runs: Vec::new(),
             next_connection: 0,
-            old_goes_on: false,
+            old_primary_stays_writable: false,
         };
         let group = Self { state: Arc::new(Mutex::new(state)) };
         for (number, listener) in listeners.into_iter().enumerate() {
@@ -189,15 +189,15 @@
 
     /// Returns the number of connections that a server has accepted so far.
     #[must_use]
-    pub fn started(&self, number: usize) -> usize {
-        self.lock().servers[number].started
+    pub fn accepted_connections(&self, number: usize) -> usize {
+        self.lock().servers[number].accepted_connections
     }
 
     /// Ends all connections of a server, which accepts none until it is restarted.
     pub fn crash(&self, number: usize) {
         let mut state = self.lock();
         state.servers[number].up = false;
-        state.servers[number].lives.send_modify(|life| *life += 1);
+        state.servers[number].crash_count.send_modify(|count| *count += 1);
     }
 
     /// Restarts a crashed server as a replica with the log of the primary.
@@ -206,21 +206,21 @@
         let log = state.servers[state.leader].log.clone();
         let server = &mut state.servers[number];
         server.up = true;
-        server.leads_on_in = None;
+        server.former_primary_term = None;
         server.applied = server.applied.min(log.len());
         server.log = log;
     }
 
     /// Sets whether the store lists a server as draining when it lists the group after a
     /// promotion.
-    pub fn set_leaving(&self, number: usize, leaving: bool) {
-        self.lock().servers[number].leaving = leaving;
+    pub fn set_draining(&self, number: usize, draining: bool) {
+        self.lock().servers[number].draining = draining;
     }
 
     /// Whether a server is listed as draining.
     #[must_use]
-    pub fn is_leaving(&self, number: usize) -> bool {
-        self.lock().servers[number].leaving
+    pub fn is_draining(&self, number: usize) -> bool {
+        self.lock().servers[number].draining
     }
 
     /// Sets the address that the platform lists for a server, such as that of a proxy in front
@@ -236,9 +236,9 @@
     }
 
     /// Like [`Self::lose_answers_of`], but the server also closes the connection at once.
-    pub fn break_answers_of(&self, number: usize, text: Option<&str>) {
+    pub fn disconnect_on_answers_of(&self, number: usize, text: Option<&str>) {
         self.lose_answers_of(number, text);
-        self.lock().servers[number].breaks = text.is_some();
+        self.lock().servers[number].disconnects_on_lost_answer = text.is_some();
     }
 
     /// The server refuses the next `count` statements that need a slot with `BUSY`.
@@ -253,20 +253,20 @@
 
     /// From now on a former primary still accepts writes after another server is promoted,
     /// until it is demoted.
-    pub fn let_old_primaries_go_on(&self) {
-        self.lock().old_goes_on = true;
+    pub fn keep_old_primaries_writable(&self) {
+        self.lock().old_primary_stays_writable = true;
     }
 
     /// Whether a former primary still accepts writes until it is demoted.
     #[must_use]
-    pub fn lets_old_primaries_go_on(&self) -> bool {
-        self.lock().old_goes_on
+    pub fn keeps_old_primaries_writable(&self) -> bool {
+        self.lock().old_primary_stays_writable
     }
 
     /// Whether a server acts as a primary: it is the current primary, or a former one that was
     /// not demoted.
     #[must_use]
-    pub fn claims_lead(&self, number: usize) -> bool {
+    pub fn acts_as_primary(&self, number: usize) -> bool {
         self.lock().leads(number)
     }
 
@@ -281,14 +281,15 @@
             return true;
         }
         let old = state.leader;
-        if state.old_goes_on && state.servers[old].up {
-            state.servers[old].leads_on_in = Some(state.term);
+        if state.old_primary_stays_writable && state.servers[old].up {
+            state.servers[old].former_primary_term = Some(state.term);
         }
         state.term += 1;
         state.leader = number;
-        state.servers[number].leads_on_in = None;
+        state.servers[number].former_primary_term = None;
         let log = state.servers[number].log.clone();
-        let following = state.servers.iter_mut().filter(|server| server.leads_on_in.is_none());
+        let following =
+            state.servers.iter_mut().filter(|server| server.former_primary_term.is_none());
         for server in following {
             let common = server.log.iter().zip(&log).take_while(|(a, b)| a == b).count();
             server.log.truncate(common);
@@ -311,20 +312,20 @@
     }
 
     async fn serve(self, number: usize, stream: TcpStream) {
-        let mut life = {
+        let mut crashes = {
             let mut state = self.lock();
             state.servers[number].connections += 1;
-            state.servers[number].started += 1;
-            state.servers[number].lives.subscribe()
+            state.servers[number].accepted_connections += 1;
+            state.servers[number].crash_count.subscribe()
         };
         tokio::select! {
-            () = self.converse(number, stream) => {}
-            _ = life.changed() => {}
+            () = self.serve_session(number, stream) => {}
+            _ = crashes.changed() => {}
         }
         self.lock().servers[number].connections -= 1;
     }
 
-    async fn converse(&self, number: usize, stream: TcpStream) {
+    async fn serve_session(&self, number: usize, stream: TcpStream) {
         let (read, mut write) = stream.into_split();
         let mut lines = BufReader::new(read).lines();
         let mut session = {
@@ -347,7 +348,7 @@
             match answer {
                 Some(answer) => write.write_all(answer.as_bytes()).await.unwrap_or(()),
                 // The reply is lost: the server sends nothing more on this connection.
-                None if self.lock().servers[number].breaks => return,
+                None if self.lock().servers[number].disconnects_on_lost_answer => return,
                 None => std::future::pending().await,
             }
         }
@@ -399,7 +400,7 @@
     connection: u64,
     caller: String,
     state: char,
-    plain: bool,
+    is_read_write: bool,
     writes: Vec<(String, String, String)>,
     values: BTreeMap<String, String>,
     prepared: BTreeMap<String, (String, String)>,
@@ -411,7 +412,7 @@
             connection,
             caller: String::new(),
             state: 'I',
-            plain: false,
+            is_read_write: false,
             writes: Vec::new(),
             values: BTreeMap::new(),
             prepared: BTreeMap::new(),
@@ -421,18 +422,18 @@
 
 impl State {
     fn leads(&self, number: usize) -> bool {
-        self.leader == number || self.servers[number].leads_on_in.is_some()
+        self.leader == number || self.servers[number].former_primary_term.is_some()
     }
 
     fn term_of(&self, number: usize) -> u64 {
-        self.servers[number].leads_on_in.unwrap_or(self.term)
+        self.servers[number].former_primary_term.unwrap_or(self.term)
     }
 
     fn demote(&mut self, number: usize, term: u64) {
         let log = self.servers[self.leader].log.clone();
         let server = &mut self.servers[number];
-        if server.leads_on_in.is_some_and(|old| old < term) {
-            server.leads_on_in = None;
+        if server.former_primary_term.is_some_and(|old| old < term) {
+            server.former_primary_term = None;
             let common = server.log.iter().zip(&log).take_while(|(a, b)| a == b).count();
             server.applied = server.applied.min(common);
             server.log = log;
@@ -457,7 +458,7 @@
         let text = match text.strip_prefix("AFTER ") {
             Some(rest) => {
                 let (position, rest) = rest.split_once(' ').unwrap();
-                if !self.holds(number, position) {
+                if !self.has_applied(number, position) {
                     return Err("LAGGING");
                 }
                 rest
@@ -466,16 +467,16 @@
         };
         let (word, rest) = text.split_once(' ').unwrap_or((text, ""));
         let leads = self.leads(number);
-        let ends = matches!(word, "COMMIT" | "ROLLBACK");
-        if session.state == 'E' && !ends {
+        let ends_transaction = matches!(word, "COMMIT" | "ROLLBACK");
+        if session.state == 'E' && !ends_transaction {
             return Err("MALFORMED");
         }
-        if session.state == 'T' && session.plain && !leads && !ends {
+        if session.state == 'T' && session.is_read_write && !leads && !ends_transaction {
             session.state = 'E';
             return Err("READONLY");
         }
-        let occupies = matches!(word, "READ" | "WRITE" | "EXECUTE" | "COMMIT" | "STATUS");
-        if occupies && self.servers[number].busy_left > 0 {
+        let needs_slot = matches!(word, "READ" | "WRITE" | "EXECUTE" | "COMMIT" | "STATUS");
+        if needs_slot && self.servers[number].busy_left > 0 {
             self.servers[number].busy_left -= 1;
             return Err("BUSY");
         }
@@ -485,7 +486,7 @@
                     return Err("READONLY");
                 }
                 session.state = 'T';
-                session.plain = rest.is_empty();
+                session.is_read_write = rest.is_empty();
                 Ok(Vec::new())
             }
             "COMMIT" => self.commit(number, session, id, text),
@@ -495,7 +496,7 @@
                 Ok(Vec::new())
             }
             "READ" => {
-                self.note(number, session, id, text);
+                self.record_run(number, session, id, text);
                 Ok(vec![self.value(number, rest)])
             }
             "WRITE" => self.write(number, session, id, text, rest),
@@ -525,7 +526,7 @@
                 if access == "WRITE" {
                     return self.write(number, session, id, &text, arguments);
                 }
-                self.note(number, session, id, &text);
+                self.record_run(number, session, id, &text);
                 Ok(vec![self.value(number, arguments)])
             }
             "STATUS" => Ok(vec![self.status(number)]),
@@ -549,7 +550,7 @@
         format!("{role} {term} {received} 0 {lag_ms} 0 {connections}")
     }
 
-    fn holds(&self, number: usize, position: &str) -> bool {
+    fn has_applied(&self, number: usize, position: &str) -> bool {
         let server = &self.servers[number];
         let applied = &server.log[..server.applied];
         let same = |entry: &Entry| format!("{}.{}", entry.term, entry.index) == position;
@@ -563,7 +564,7 @@
         found.map_or("none".to_owned(), |entry| entry.data.clone())
     }
 
-    fn note(&mut self, server: usize, session: &Session, id: &str, text: &str) {
+    fn record_run(&mut self, server: usize, session: &Session, id: &str, text: &str) {
         self.runs.push(Run {
             server,
             connection: session.connection,
@@ -587,12 +588,12 @@
         if !self.leads(number) {
             return Err("READONLY");
         }
-        self.note(number, session, id, text);
+        self.record_run(number, session, id, text);
         let (item, data) = arguments.split_once(' ').unwrap();
         let write = (id.to_owned(), item.to_owned(), data.to_owned());
         session.writes.push(write);
         if session.state == 'I' {
-            self.keep(number, session);
+            self.append_writes(number, session);
         }
         Ok(Vec::new())
     }
@@ -610,22 +611,22 @@
             session.writes.clear();
             return Err(if failed { "ABORTED" } else { "READONLY" });
         }
-        self.note(number, session, id, text);
-        self.keep(number, session);
+        self.record_run(number, session, id, text);
+        self.append_writes(number, session);
         Ok(Vec::new())
     }
 
     /// Appends the writes of a session to the log and sends them to the replicas.
-    fn keep(&mut self, number: usize, session: &mut Session) {
+    fn append_writes(&mut self, number: usize, session: &mut Session) {
         let next = self.servers[number].log.last().map_or(0, |entry| entry.index) + 1;
         for (index, (request, item, data)) in (next..).zip(session.writes.drain(..)) {
             let entry = Entry { term: self.term_of(number), index, request, item, data };
-            if self.servers[number].leads_on_in.is_some() {
+            if self.servers[number].former_primary_term.is_some() {
                 self.servers[number].log.push(entry);
                 continue;
             }
             for (other, server) in self.servers.iter_mut().enumerate() {
-                let follows = server.up && server.leads_on_in.is_none();
+                let follows = server.up && server.former_primary_term.is_none();
                 if other == number || follows {
                     server.log.push(entry.clone());
                 }
@@ -637,7 +638,7 @@
 
 /// Applies received entries at replicas, each after the lag of its server. Runs until the task
 /// is dropped.
-pub async fn apply_for_ever(group: Group) {
+pub async fn run_replication(group: Group) {
     let mut received: Vec<Vec<Instant>> = vec![Vec::new(); group.size()];
     loop {
         {
@@ -648,7 +649,7 @@
                 times.truncate(server.log.len());
                 times.resize(server.log.len(), Instant::now());
                 let due = times.iter().take_while(|at| at.elapsed() >= server.lag).count();
-                if number != leader && server.leads_on_in.is_none() {
+                if number != leader && server.former_primary_term.is_none() {
                     server.applied = server.applied.max(due.min(server.log.len()));
                 }
             }
--- a/standin/src/platform/store.rs
+++ b/standin/src/platform/store.rs
@@ -44,26 +44,26 @@
 #[derive(Clone, Default)]
 struct History {
     revision: u64,
-    kept: BTreeMap<(String, String), Value>,
+    objects: BTreeMap<(String, String), Value>,
     events: Vec<(u64, String, Value)>,
     /// Revision up to which changes are discarded; watches from before it fail.
-    forgotten: u64,
+    discarded_until: u64,
 }
 
 /// A backup of the store.
-pub struct StoreCopy(History);
+pub struct StoreBackup(History);
 
 /// Changes by the operator and the servers that a restore from a backup lost.
-pub struct LostWrites {
+pub struct LostChanges {
     written: Vec<(String, String, Value)>,
     removed: Vec<(String, String)>,
 }
 
 /// Kinds that the operator and the servers write, and write again after a restore.
-const KINDS_WRITTEN_AGAIN: [&str; 2] = ["config", "servers"];
+const REPEATED_KINDS: [&str; 2] = ["config", "servers"];
 
 #[derive(Default)]
-struct Objects {
+struct StoreState {
     history: History,
     /// Number of restores from a backup; `None` if responses do not report it.
     era: Option<u64>,
@@ -82,7 +82,7 @@
 pub struct Store {
     /// Address on which the store listens.
     pub address: SocketAddr,
-    objects: Arc<Mutex<Objects>>,
+    state: Arc<Mutex<StoreState>>,
     changes: watch::Sender<u64>,
     groups: Arc<Mutex<Vec<Group>>>,
     promote_time: Duration,
@@ -95,7 +95,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let store = Self {
             address: listener.local_addr().unwrap(),
-            objects: Arc::default(),
+            state: Arc::default(),
             changes: watch::Sender::new(0),
             groups: Arc::default(),
             promote_time,
@@ -109,8 +109,8 @@
         store
     }
 
-    fn lock(&self) -> MutexGuard<'_, Objects> {
-        self.objects.lock().unwrap()
+    fn lock(&self) -> MutexGuard<'_, StoreState> {
+        self.state.lock().unwrap()
     }
 
     /// Sets how the store handles requests from now on.
@@ -119,41 +119,41 @@
     }
 
     /// Discards all changes so far, so that watches from earlier revisions fail.
-    pub fn forget_history(&self) {
+    pub fn discard_history(&self) {
         let history = &mut self.lock().history;
-        history.forgotten = history.revision;
+        history.discarded_until = history.revision;
         history.events.clear();
     }
 
     /// Reports this era, the number of restores, in all responses from now on. Each restore
     /// increments it.
-    pub fn tell_era(&self, era: u64) {
+    pub fn set_reported_era(&self, era: u64) {
         self.lock().era = Some(era);
     }
 
     /// Takes a backup.
     #[must_use]
-    pub fn copy(&self) -> StoreCopy {
-        StoreCopy(self.lock().history.clone())
+    pub fn copy(&self) -> StoreBackup {
+        StoreBackup(self.lock().history.clone())
     }
 
     /// Restores the store from a backup. Returns the changes that the operator and the servers
     /// made after the backup was taken.
     #[must_use]
-    pub fn restore(&self, copy: &StoreCopy) -> LostWrites {
+    pub fn restore(&self, backup: &StoreBackup) -> LostChanges {
         let lost = {
-            let mut objects = self.lock();
-            let lost = LostWrites::between(&copy.0, &objects.history);
-            objects.history = copy.0.clone();
-            objects.era = objects.era.map(|era| era + 1);
+            let mut state = self.lock();
+            let lost = LostChanges::between(&backup.0, &state.history);
+            state.history = backup.0.clone();
+            state.era = state.era.map(|era| era + 1);
             lost
         };
-        self.announce();
+        self.notify_watchers();
         lost
     }
 
     /// Repeats lost changes, as the operator and the servers do after a restore.
-    pub fn write_again(&self, lost: &LostWrites) {
+    pub fn repeat_lost_writes(&self, lost: &LostChanges) {
         for (kind, name, spec) in &lost.written {
             self.put(kind, name, spec);
         }
@@ -191,16 +191,16 @@
     /// Returns the number of watches so far of a kind from this revision or a later one.
     #[must_use]
     pub fn watches(&self, kind: &str, revision: u64) -> usize {
-        let objects = self.lock();
-        let of_kind = objects.watches.iter().filter(|(k, _)| k == kind);
+        let state = self.lock();
+        let of_kind = state.watches.iter().filter(|(k, _)| k == kind);
         of_kind.filter(|(_, after)| *after >= revision).count()
     }
 
     /// Returns the names of all objects of a kind.
     #[must_use]
     pub fn names(&self, kind: &str) -> Vec<String> {
-        let objects = self.lock();
-        let of_kind = objects.history.kept.keys().filter(|(k, _)| k == kind);
+        let state = self.lock();
+        let of_kind = state.history.objects.keys().filter(|(k, _)| k == kind);
         of_kind.map(|(_, name)| name.clone()).collect()
     }
 
@@ -214,7 +214,7 @@
 
     /// Writes the object of a server, as the server itself does.
     pub fn publish_server(&self, group: &Group, number: usize, state: &str) {
-        let role = if group.claims_lead(number) { "primary" } else { "replica" };
+        let role = if group.acts_as_primary(number) { "primary" } else { "replica" };
         let spec = json!({
             "service": group.name(), "address": group.address(number).to_string(),
             "zone": "a", "version": "v1", "slots": 3, "state": state, "cold_left_ms": 0,
@@ -231,39 +231,39 @@
     /// Creates or replaces an object, as the operator does.
     pub fn put(&self, kind: &str, name: &str, spec: &Value) {
         self.lock().history.put(kind, name, spec);
-        self.announce();
+        self.notify_watchers();
     }
 
     /// Stores any JSON value as an object, as a faulty writer might.
-    pub fn put_as_it_is(&self, kind: &str, name: &str, object: &Value) {
+    pub fn put_raw(&self, kind: &str, name: &str, object: &Value) {
         {
             let history = &mut self.lock().history;
             history.revision += 1;
-            history.kept.insert((kind.to_owned(), name.to_owned()), object.clone());
+            history.objects.insert((kind.to_owned(), name.to_owned()), object.clone());
             let event = json!({ "removed": false, "object": object });
             history.events.push((history.revision, kind.to_owned(), event));
         }
-        self.announce();
+        self.notify_watchers();
     }
 
     /// Removes an object.
     pub fn delete(&self, kind: &str, name: &str) {
         self.lock().history.delete(kind, name);
-        self.announce();
+        self.notify_watchers();
     }
 
-    fn announce(&self) {
+    fn notify_watchers(&self) {
         self.changes.send_replace(self.revision());
     }
 
     /// Returns the response to a request that the mode refuses. In the mode `Silent` it never
     /// returns.
-    async fn refusal(&self) -> Option<Response> {
+    async fn refuse_if_unavailable(&self) -> Option<Response> {
         let mode = self.lock().mode;
         if mode == Mode::Silent {
             std::future::pending::<()>().await;
         }
-        (mode == Mode::Down).then(|| self.lock().stamped(StatusCode::SERVICE_UNAVAILABLE))
+        (mode == Mode::Down).then(|| self.lock().with_era_header(StatusCode::SERVICE_UNAVAILABLE))
     }
 
     /// Changes an object if it has this revision, and returns the response.
@@ -274,13 +274,13 @@
         revision: Option<u64>,
         change: impl FnOnce(&mut History, Value) -> Value,
     ) -> Response {
-        let mut objects = self.lock();
-        let response = objects.history.change_at(kind, name, revision, change);
-        objects.stamped(response)
+        let mut state = self.lock();
+        let response = state.history.change_at(kind, name, revision, change);
+        state.with_era_header(response)
     }
 
     /// Returns the response to a write, or never returns if the mode loses it.
-    async fn answer(&self, response: Response) -> Response {
+    async fn respond(&self, response: Response) -> Response {
         let lost = self.lock().mode == Mode::AnswersLost;
         if lost {
             std::future::pending::<()>().await;
@@ -289,23 +289,22 @@
     }
 }
 
-impl LostWrites {
-    fn between(copy: &History, lost: &History) -> Self {
-        let written_again =
-            |(kind, _): &&(String, String)| KINDS_WRITTEN_AGAIN.contains(&kind.as_str());
-        let written = lost.kept.iter().filter(|(key, _)| written_again(key));
-        let written = written.filter(|(key, object)| copy.kept.get(*key) != Some(object));
+impl LostChanges {
+    fn between(backup: &History, lost: &History) -> Self {
+        let is_repeated = |(kind, _): &&(String, String)| REPEATED_KINDS.contains(&kind.as_str());
+        let written = lost.objects.iter().filter(|(key, _)| is_repeated(key));
+        let written = written.filter(|(key, object)| backup.objects.get(*key) != Some(object));
         let written = written
             .map(|((kind, name), object)| (kind.clone(), name.clone(), object["spec"].clone()));
-        let removed = copy.kept.keys().filter(written_again);
-        let removed = removed.filter(|key| !lost.kept.contains_key(*key));
+        let removed = backup.objects.keys().filter(is_repeated);
+        let removed = removed.filter(|key| !lost.objects.contains_key(*key));
         Self { written: written.collect(), removed: removed.cloned().collect() }
     }
 }
 
-impl Objects {
+impl StoreState {
     /// Adds the era to a response, if the store reports it.
-    fn stamped(&self, answer: impl IntoResponse) -> Response {
+    fn with_era_header(&self, answer: impl IntoResponse) -> Response {
         let mut response = answer.into_response();
         if let Some(era) = self.era {
             response.headers_mut().insert("store-era", era.into());
@@ -322,14 +321,14 @@
             "deleting": false,
         });
         let object = json!({ "meta": meta, "spec": spec, "status": null });
-        self.kept.insert((kind.to_owned(), name.to_owned()), object.clone());
+        self.objects.insert((kind.to_owned(), name.to_owned()), object.clone());
         let event = json!({ "removed": false, "object": object });
         self.events.push((self.revision, kind.to_owned(), event));
         object
     }
 
     fn delete(&mut self, kind: &str, name: &str) -> bool {
-        let Some(object) = self.kept.remove(&(kind.to_owned(), name.to_owned())) else {
+        let Some(object) = self.objects.remove(&(kind.to_owned(), name.to_owned())) else {
             return false;
         };
         self.revision += 1;
@@ -357,7 +356,7 @@
     }
 
     fn get(&self, kind: &str, name: &str) -> Option<Value> {
-        self.kept.get(&(kind.to_owned(), name.to_owned())).cloned()
+        self.objects.get(&(kind.to_owned(), name.to_owned())).cloned()
     }
 }
 
@@ -366,19 +365,19 @@
     Path(kind): Path<String>,
     Query(query): Query<HashMap<String, String>>,
 ) -> Response {
-    if let Some(refusal) = store.refusal().await {
+    if let Some(refusal) = store.refuse_if_unavailable().await {
         return refusal;
     }
     if let Some(after) = query.get("watch") {
         let wait = query.get("wait_ms").map_or(0, |wait| wait.parse().unwrap());
         return watch_changes(&store, &kind, after.parse().unwrap(), wait).await;
     }
-    let objects = store.lock();
-    let of_kind = objects.history.kept.iter().filter(|((k, _), _)| *k == kind);
+    let state = store.lock();
+    let of_kind = state.history.objects.iter().filter(|((k, _), _)| *k == kind);
     let items: Vec<_> = of_kind.map(|(_, object)| object.clone()).collect();
-    let revision = objects.history.revision;
+    let revision = state.history.revision;
     let body = json!({ "items": items, "has_more": false, "store_revision": revision });
-    objects.stamped(Json(body))
+    state.with_era_header(Json(body))
 }
 
 async fn watch_changes(store: &Store, kind: &str, after: u64, wait_ms: u64) -> Response {
@@ -387,20 +386,20 @@
     let until = tokio::time::Instant::now() + Duration::from_millis(wait_ms);
     loop {
         {
-            let objects = store.lock();
-            if objects.mode == Mode::Down {
-                return objects.stamped(StatusCode::SERVICE_UNAVAILABLE);
+            let state = store.lock();
+            if state.mode == Mode::Down {
+                return state.with_era_header(StatusCode::SERVICE_UNAVAILABLE);
             }
-            let history = &objects.history;
-            if after < history.forgotten || after > history.revision {
-                return objects.stamped(StatusCode::GONE);
+            let history = &state.history;
+            if after < history.discarded_until || after > history.revision {
+                return state.with_era_header(StatusCode::GONE);
             }
             let newer = history.events.iter().filter(|(at, k, _)| *at > after && k == kind);
             let events: Vec<_> = newer.map(|(_, _, event)| event.clone()).collect();
             if !events.is_empty() || tokio::time::Instant::now() >= until {
                 let revision = history.revision;
                 let body = json!({ "events": events, "store_revision": revision });
-                return objects.stamped(Json(body));
+                return state.with_era_header(Json(body));
             }
         }
         // A change or the end of the wait continues the loop.
@@ -409,13 +408,13 @@
 }
 
 async fn read(State(store): State<Store>, Path((kind, name)): Path<(String, String)>) -> Response {
-    if let Some(refusal) = store.refusal().await {
+    if let Some(refusal) = store.refuse_if_unavailable().await {
         return refusal;
     }
-    let objects = store.lock();
-    match objects.history.get(&kind, &name) {
-        Some(object) => objects.stamped(Json(object)),
-        None => objects.stamped(StatusCode::NOT_FOUND),
+    let state = store.lock();
+    match state.history.get(&kind, &name) {
+        Some(object) => state.with_era_header(Json(object)),
+        None => state.with_era_header(StatusCode::NOT_FOUND),
     }
 }
 
@@ -424,21 +423,21 @@
     Path(kind): Path<String>,
     Json(body): Json<Value>,
 ) -> Response {
-    if let Some(refusal) = store.refusal().await {
+    if let Some(refusal) = store.refuse_if_unavailable().await {
         return refusal;
     }
     let name = body["meta"]["name"].as_str().unwrap().to_owned();
     let response = {
-        let mut objects = store.lock();
-        *objects.creations.entry(kind.clone()).or_default() += 1;
-        let response = match objects.history.get(&kind, &name) {
+        let mut state = store.lock();
+        *state.creations.entry(kind.clone()).or_default() += 1;
+        let response = match state.history.get(&kind, &name) {
             Some(object) => (StatusCode::CONFLICT, Json(object)).into_response(),
-            None => Json(objects.history.put(&kind, &name, &body["spec"])).into_response(),
+            None => Json(state.history.put(&kind, &name, &body["spec"])).into_response(),
         };
-        objects.stamped(response)
+        state.with_era_header(response)
     };
-    store.announce();
-    store.answer(response).await
+    store.notify_watchers();
+    store.respond(response).await
 }
 
 async fn replace(
@@ -446,13 +445,13 @@
     Path((kind, name)): Path<(String, String)>,
     Json(body): Json<Value>,
 ) -> Response {
-    if let Some(refusal) = store.refusal().await {
+    if let Some(refusal) = store.refuse_if_unavailable().await {
         return refusal;
     }
     let put = |history: &mut History, _| history.put(&kind, &name, &body["spec"]);
     let response = store.change_at(&kind, &name, body["meta"]["rev"].as_u64(), put);
-    store.announce();
-    store.answer(response).await
+    store.notify_watchers();
+    store.respond(response).await
 }
 
 async fn remove(
@@ -460,7 +459,7 @@
     Path((kind, name)): Path<(String, String)>,
     Query(query): Query<HashMap<String, String>>,
 ) -> Response {
-    if let Some(refusal) = store.refusal().await {
+    if let Some(refusal) = store.refuse_if_unavailable().await {
         return refusal;
     }
     let delete = |history: &mut History, object| {
@@ -468,12 +467,12 @@
         object
     };
     let response = store.change_at(&kind, &name, query["rev"].parse().ok(), delete);
-    store.announce();
-    store.answer(response).await
+    store.notify_watchers();
+    store.respond(response).await
 }
 
 /// Delay until the listing shows a new primary if the former one still accepts writes.
-const LATE_NEWS: Duration = Duration::from_millis(300);
+const LISTING_DELAY: Duration = Duration::from_millis(300);
 
 async fn promote(
     State(store): State<Store>,
@@ -483,13 +482,13 @@
     let token: u64 = headers["fence-token"].to_str().unwrap().parse().unwrap();
     let (name, id) = (body["service"].as_str().unwrap(), body["id"].as_str().unwrap());
     {
-        let mut objects = store.lock();
-        let seen = objects.tokens.entry(name.to_owned()).or_default();
+        let mut state = store.lock();
+        let seen = state.tokens.entry(name.to_owned()).or_default();
         if token < *seen {
             return StatusCode::CONFLICT;
         }
         *seen = token;
-        objects.promotions.push((name.to_owned(), id.to_owned(), token));
+        state.promotions.push((name.to_owned(), id.to_owned(), token));
     }
     let groups = store.groups.lock().unwrap().clone();
     let Some(group) = groups.into_iter().find(|group| group.name() == name) else {
@@ -499,11 +498,11 @@
     tokio::spawn(async move {
         tokio::time::sleep(store.promote_time).await;
         if group.promote(&id) {
-            if group.lets_old_primaries_go_on() {
-                tokio::time::sleep(LATE_NEWS).await;
+            if group.keeps_old_primaries_writable() {
+                tokio::time::sleep(LISTING_DELAY).await;
             }
             for number in 0..group.size() {
-                let state = if group.is_leaving(number) { "draining" } else { "ready" };
+                let state = if group.is_draining(number) { "draining" } else { "ready" };
                 store.publish_server(&group, number, state);
             }
         }
