--- a/standin/src/platform/servers.rs
+++ b/standin/src/platform/servers.rs
@@ -61,7 +61,7 @@
     /// Counts crashes. All connections of the server end when it changes.
     crash_count: watch::Sender<u64>,
     up: bool,
-    /// Statements that contain this text run, but their reply is lost.
+    /// Text of the statements that the server runs without sending a reply.
     lose_answers_of: Option<String>,
     /// Whether the connection ends when a reply is lost. Otherwise it stays open without a
     /// reply.
@@ -200,7 +200,7 @@
         state.servers[number].crash_count.send_modify(|count| *count += 1);
     }
 
-    /// Restarts a crashed server as a replica with the log of the primary.
+    /// Restarts a crashed server with the log of the primary.
     pub fn restart(&self, number: usize) {
         let mut state = self.lock();
         let log = state.servers[state.leader].log.clone();
