--- a/standin/src/platform/servers.rs
+++ b/standin/src/platform/servers.rs
@@ -1,4 +1,5 @@
-//! A group of database servers that speak the platform's wire.
+//! Stand-in for a group of database servers that speak the platform's wire protocol, with a
+//! replicated log in memory and faults that tests can inject.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,39 +16,39 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 
-/// A committed write.
+/// A committed write in a server's log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
     /// Term in which it was committed.
     pub term: u64,
-    /// Number in the log.
+    /// Index in the log, from 1.
     pub index: u64,
     /// Id of the statement that wrote it.
     pub request: String,
-    /// What it writes.
+    /// Name of the item that is written.
     pub item: String,
-    /// The new value.
+    /// New value of the item.
     pub data: String,
 }
 
-/// A statement of a client that a server ran.
+/// A client's statement that a server ran.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Run {
-    /// Number of the server.
+    /// Index of the server in its group.
     pub server: usize,
-    /// Connection it came on.
+    /// Number of the connection on which the statement arrived.
     pub connection: u64,
-    /// Who opened that connection, as the server was told.
+    /// Caller name with which the session on that connection was started.
     pub caller: String,
-    /// Its id.
+    /// Id of the statement.
     pub request: String,
-    /// Its text, a prepared name replaced by the shape.
+    /// Text of the statement, with the name of a prepared statement replaced by its shape.
     pub text: String,
     /// Session values of the connection.
     pub values: BTreeMap<String, String>,
     /// Whether it ran inside a transaction.
     pub in_transaction: bool,
-    /// When.
+    /// Time at which it ran.
     pub at: Instant,
 }
 
@@ -57,20 +58,21 @@
     log: Vec<Entry>,
     applied: usize,
     lag: Duration,
-    /// Ends all connections when it changes.
-    lives: watch::Sender<u64>,
+    /// Counts crashes. All connections of the server end when it changes.
+    crash_count: watch::Sender<u64>,
     up: bool,
-    /// Statements that contain this text run, and their answer is lost.
+    /// Text of the statements that the server runs without sending a reply.
     lose_answers_of: Option<String>,
-    /// Whether the connection ends instead of the lost answer.
-    breaks: bool,
-    /// So many statements are refused as too many.
+    /// Whether the connection ends when a reply is lost. Otherwise it stays open without a
+    /// reply.
+    disconnects_on_lost_answer: bool,
+    /// Number of statements that are still to be refused with `BUSY`.
     busy_left: usize,
     connections: usize,
-    started: usize,
-    /// It says that it is about to leave.
-    leaving: bool,
-    /// The term in which it goes on as a primary after another was promoted.
+    accepted_connections: usize,
+    /// Whether the server is listed as draining.
+    draining: bool,
+    /// Term in which a former primary still accepts writes after another server was promoted.
     former_primary_term: Option<u64>,
 }
 
@@ -81,7 +83,7 @@
     servers: Vec<Server>,
     runs: Vec<Run>,
     next_connection: u64,
-    /// Whether a primary goes on, until it is demoted, when another is promoted.
+    /// Whether a former primary still accepts writes until it is demoted.
     old_primary_stays_writable: bool,
 }
 
@@ -92,7 +94,8 @@
 }
 
 impl Group {
-    /// Starts a group; the first server leads.
+    /// Starts a group whose first server is the primary. Replicas apply writes `lag` after
+    /// they receive them.
     pub async fn start(group: &str, size: usize, lag: Duration) -> Self {
         let mut servers = Vec::new();
         let mut listeners = Vec::new();
@@ -104,14 +107,14 @@
                 log: Vec::new(),
                 applied: 0,
                 lag,
-                lives: watch::Sender::new(0),
+                crash_count: watch::Sender::new(0),
                 up: true,
                 lose_answers_of: None,
-                breaks: false,
+                disconnects_on_lost_answer: false,
                 busy_left: 0,
                 connections: 0,
-                started: 0,
-                leaving: false,
+                accepted_connections: 0,
+                draining: false,
                 former_primary_term: None,
             });
             listeners.push(listener);
@@ -136,68 +139,68 @@
         self.state.lock().unwrap()
     }
 
-    /// Name of the group.
+    /// Returns the name of the group.
     #[must_use]
     pub fn name(&self) -> String {
         self.lock().group.clone()
     }
 
-    /// Number of its servers.
+    /// Returns the number of servers.
     #[must_use]
     pub fn size(&self) -> usize {
         self.lock().servers.len()
     }
 
-    /// Id of a server.
+    /// Returns the id of a server.
     #[must_use]
     pub fn id(&self, number: usize) -> String {
         self.lock().servers[number].id.clone()
     }
 
-    /// Address of a server, as the platform lists it.
+    /// Returns the address of a server, as the platform lists it.
     #[must_use]
     pub fn address(&self, number: usize) -> SocketAddr {
         self.lock().servers[number].address
     }
 
-    /// Number of the primary.
+    /// Returns the index of the primary of the current term.
     #[must_use]
     pub fn leader(&self) -> usize {
         self.lock().leader
     }
 
-    /// All statements of clients that ran.
+    /// Returns all client statements that servers of the group ran.
     #[must_use]
     pub fn runs(&self) -> Vec<Run> {
         self.lock().runs.clone()
     }
 
-    /// What a server received.
+    /// Returns the log entries that a server received.
     #[must_use]
     pub fn log(&self, number: usize) -> Vec<Entry> {
         self.lock().servers[number].log.clone()
     }
 
-    /// Connections open at a server now.
+    /// Returns the number of open connections of a server.
     #[must_use]
     pub fn connections(&self, number: usize) -> usize {
         self.lock().servers[number].connections
     }
 
-    /// Connections opened at a server so far.
+    /// Returns the number of connections that a server has accepted so far.
     #[must_use]
-    pub fn started(&self, number: usize) -> usize {
-        self.lock().servers[number].started
+    pub fn accepted_connections(&self, number: usize) -> usize {
+        self.lock().servers[number].accepted_connections
     }
 
-    /// Ends all connections of a server and opens no more.
+    /// Ends all connections of a server, which accepts none until it is restarted.
     pub fn crash(&self, number: usize) {
         let mut state = self.lock();
         state.servers[number].up = false;
-        state.servers[number].lives.send_modify(|life| *life += 1);
+        state.servers[number].crash_count.send_modify(|count| *count += 1);
     }
 
-    /// A crashed server is back, with what the primary has.
+    /// Restarts a crashed server with the log of the primary.
     pub fn restart(&self, number: usize) {
         let mut state = self.lock();
         let log = state.servers[state.leader].log.clone();
@@ -208,62 +211,67 @@
         server.log = log;
     }
 
-    /// A server says that it is about to leave, or that it stays.
-    pub fn set_draining(&self, number: usize, leaving: bool) {
-        self.lock().servers[number].leaving = leaving;
+    /// Sets whether the store lists a server as draining when it lists the group after a
+    /// promotion.
+    pub fn set_draining(&self, number: usize, draining: bool) {
+        self.lock().servers[number].draining = draining;
     }
 
-    /// Whether a server is about to leave.
+    /// Whether a server is listed as draining.
     #[must_use]
     pub fn is_draining(&self, number: usize) -> bool {
-        self.lock().servers[number].leaving
+        self.lock().servers[number].draining
     }
 
-    /// The platform lists another address for a server, which leads to it.
+    /// Sets the address that the platform lists for a server, such as that of a proxy in front
+    /// of it.
     pub fn set_address(&self, number: usize, address: SocketAddr) {
         self.lock().servers[number].address = address;
     }
 
-    /// Statements that contain this text run from now on without an answer.
+    /// From now on the server runs statements that contain this text but sends no reply;
+    /// `None` ends the fault.
     pub fn lose_answers_of(&self, number: usize, prefix: Option<&str>) {
         self.lock().servers[number].lose_answers_of = prefix.map(str::to_owned);
     }
 
-    /// As [`Self::lose_answers_of`], and the connection ends at once.
+    /// Like [`Self::lose_answers_of`], but the server also closes the connection at once.
     pub fn disconnect_on_answers_of(&self, number: usize, text: Option<&str>) {
         self.lose_answers_of(number, text);
-        self.lock().servers[number].breaks = text.is_some();
+        self.lock().servers[number].disconnects_on_lost_answer = text.is_some();
     }
 
-    /// The next statements are refused as too many.
+    /// The server refuses the next `count` statements that need a slot with `BUSY`.
     pub fn refuse_as_busy(&self, number: usize, count: usize) {
         self.lock().servers[number].busy_left = count;
     }
 
-    /// A server applies what it received only after this time.
+    /// Sets the replication lag: a replica applies an entry only this long after it received it.
     pub fn set_lag(&self, number: usize, lag: Duration) {
         self.lock().servers[number].lag = lag;
     }
 
-    /// From now on a primary goes on, until it is demoted, when another one is
-    /// promoted.
+    /// From now on a former primary still accepts writes after another server is promoted,
+    /// until it is demoted.
     pub fn keep_old_primaries_writable(&self) {
         self.lock().old_primary_stays_writable = true;
     }
 
-    /// Whether a primary goes on when another one is promoted.
+    /// Whether a former primary still accepts writes until it is demoted.
     #[must_use]
     pub fn keeps_old_primaries_writable(&self) -> bool {
         self.lock().old_primary_stays_writable
     }
 
-    /// Whether a server takes itself for the primary.
+    /// Whether a server acts as a primary: it is the current primary, or a former one that was
+    /// not demoted.
     #[must_use]
     pub fn acts_as_primary(&self, number: usize) -> bool {
         self.lock().leads(number)
     }
 
-    /// Makes a server the primary of the next term.
+    /// Makes a server the primary of the next term. Returns `false` if no running server has
+    /// this id.
     pub fn promote(&self, id: &str) -> bool {
         let mut state = self.lock();
         let Some(number) = state.servers.iter().position(|s| s.id == id && s.up) else {
@@ -304,15 +312,15 @@
     }
 
     async fn serve(self, number: usize, stream: TcpStream) {
-        let mut life = {
+        let mut crashes = {
             let mut state = self.lock();
             state.servers[number].connections += 1;
-            state.servers[number].started += 1;
-            state.servers[number].lives.subscribe()
+            state.servers[number].accepted_connections += 1;
+            state.servers[number].crash_count.subscribe()
         };
         tokio::select! {
             () = self.serve_session(number, stream) => {}
-            _ = life.changed() => {}
+            _ = crashes.changed() => {}
         }
         self.lock().servers[number].connections -= 1;
     }
@@ -339,8 +347,8 @@
             };
             match answer {
                 Some(answer) => write.write_all(answer.as_bytes()).await.unwrap_or(()),
-                // A lost answer: nothing more comes on this connection.
-                None if self.lock().servers[number].breaks => return,
+                // The reply is lost: the server sends nothing more on this connection.
+                None if self.lock().servers[number].disconnects_on_lost_answer => return,
                 None => std::future::pending().await,
             }
         }
@@ -392,7 +400,7 @@
     connection: u64,
     caller: String,
     state: char,
-    plain: bool,
+    is_read_write: bool,
     writes: Vec<(String, String, String)>,
     values: BTreeMap<String, String>,
     prepared: BTreeMap<String, (String, String)>,
@@ -404,7 +412,7 @@
             connection,
             caller: String::new(),
             state: 'I',
-            plain: false,
+            is_read_write: false,
             writes: Vec::new(),
             values: BTreeMap::new(),
             prepared: BTreeMap::new(),
@@ -450,7 +458,7 @@
         let text = match text.strip_prefix("AFTER ") {
             Some(rest) => {
                 let (position, rest) = rest.split_once(' ').unwrap();
-                if !self.holds(number, position) {
+                if !self.has_applied(number, position) {
                     return Err("LAGGING");
                 }
                 rest
@@ -459,11 +467,11 @@
         };
         let (word, rest) = text.split_once(' ').unwrap_or((text, ""));
         let leads = self.leads(number);
-        let ends = matches!(word, "COMMIT" | "ROLLBACK");
-        if session.state == 'E' && !ends {
+        let ends_transaction = matches!(word, "COMMIT" | "ROLLBACK");
+        if session.state == 'E' && !ends_transaction {
             return Err("MALFORMED");
         }
-        if session.state == 'T' && session.plain && !leads && !ends {
+        if session.state == 'T' && session.is_read_write && !leads && !ends_transaction {
             session.state = 'E';
             return Err("READONLY");
         }
@@ -478,7 +486,7 @@
                     return Err("READONLY");
                 }
                 session.state = 'T';
-                session.plain = rest.is_empty();
+                session.is_read_write = rest.is_empty();
                 Ok(Vec::new())
             }
             "COMMIT" => self.commit(number, session, id, text),
@@ -488,7 +496,7 @@
                 Ok(Vec::new())
             }
             "READ" => {
-                self.note(number, session, id, text);
+                self.record_run(number, session, id, text);
                 Ok(vec![self.value(number, rest)])
             }
             "WRITE" => self.write(number, session, id, text, rest),
@@ -518,7 +526,7 @@
                 if access == "WRITE" {
                     return self.write(number, session, id, &text, arguments);
                 }
-                self.note(number, session, id, &text);
+                self.record_run(number, session, id, &text);
                 Ok(vec![self.value(number, arguments)])
             }
             "STATUS" => Ok(vec![self.status(number)]),
@@ -542,7 +550,7 @@
         format!("{role} {term} {received} 0 {lag_ms} 0 {connections}")
     }
 
-    fn holds(&self, number: usize, position: &str) -> bool {
+    fn has_applied(&self, number: usize, position: &str) -> bool {
         let server = &self.servers[number];
         let applied = &server.log[..server.applied];
         let same = |entry: &Entry| format!("{}.{}", entry.term, entry.index) == position;
@@ -556,7 +564,7 @@
         found.map_or("none".to_owned(), |entry| entry.data.clone())
     }
 
-    fn note(&mut self, server: usize, session: &Session, id: &str, text: &str) {
+    fn record_run(&mut self, server: usize, session: &Session, id: &str, text: &str) {
         self.runs.push(Run {
             server,
             connection: session.connection,
@@ -580,12 +588,12 @@
         if !self.leads(number) {
             return Err("READONLY");
         }
-        self.note(number, session, id, text);
+        self.record_run(number, session, id, text);
         let (item, data) = arguments.split_once(' ').unwrap();
         let write = (id.to_owned(), item.to_owned(), data.to_owned());
         session.writes.push(write);
         if session.state == 'I' {
-            self.keep(number, session);
+            self.append_writes(number, session);
         }
         Ok(Vec::new())
     }
@@ -603,13 +611,13 @@
             session.writes.clear();
             return Err(if failed { "ABORTED" } else { "READONLY" });
         }
-        self.note(number, session, id, text);
-        self.keep(number, session);
+        self.record_run(number, session, id, text);
+        self.append_writes(number, session);
         Ok(Vec::new())
     }
 
-    /// Appends what a session wrote, and ships it to the replicas.
-    fn keep(&mut self, number: usize, session: &mut Session) {
+    /// Appends the writes of a session to the log and sends them to the replicas.
+    fn append_writes(&mut self, number: usize, session: &mut Session) {
         let next = self.servers[number].log.last().map_or(0, |entry| entry.index) + 1;
         for (index, (request, item, data)) in (next..).zip(session.writes.drain(..)) {
             let entry = Entry { term: self.term_of(number), index, request, item, data };
@@ -628,8 +636,8 @@
     }
 }
 
-/// Lets replicas apply what they received, each after its lag, until the
-/// group is dropped.
+/// Applies received entries at replicas, each after the lag of its server. Runs until the task
+/// is dropped.
 pub async fn run_replication(group: Group) {
     let mut received: Vec<Vec<Instant>> = vec![Vec::new(); group.size()];
     loop {
--- a/standin/src/platform/store.rs
+++ b/standin/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store and its call that promotes.
+//! Stand-in for the platform's store and its promotion call, with faults that tests can inject.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -26,76 +26,76 @@
 
 use crate::platform::servers::Group;
 
-/// What the store does with calls.
+/// How the store handles requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mode {
-    /// Calls are answered.
+    /// Handles all requests.
     #[default]
     Up,
-    /// Every call is refused; nothing is done.
+    /// Refuses every request and executes none.
     Down,
-    /// Writes are done and not answered.
+    /// Executes writes but sends no response to them.
     AnswersLost,
-    /// Calls are taken and never answered, not even later.
+    /// Accepts requests and never responds to them, not even after the mode changes.
     Silent,
 }
 
-/// What the store keeps, and how it came about.
+/// Objects in the store, and the changes that led to them.
 #[derive(Clone, Default)]
 struct History {
     revision: u64,
-    kept: BTreeMap<(String, String), Value>,
+    objects: BTreeMap<(String, String), Value>,
     events: Vec<(u64, String, Value)>,
-    /// Events up to this revision are forgotten.
-    forgotten: u64,
+    /// Revision up to which changes are discarded; watches from before it fail.
+    discarded_until: u64,
 }
 
-/// A copy of what the store kept at a moment.
+/// A backup of the store.
 pub struct StoreBackup(History);
 
-/// What a store lost when it came back from a copy, and others write again.
+/// Changes by the operator and the servers that a restore from a backup lost.
 pub struct LostChanges {
     written: Vec<(String, String, Value)>,
     removed: Vec<(String, String)>,
 }
 
-/// Kinds that the operator and the servers write.
+/// Kinds that the operator and the servers write, and write again after a restore.
 const REPEATED_KINDS: [&str; 2] = ["config", "servers"];
 
 #[derive(Default)]
-struct Objects {
+struct StoreState {
     history: History,
-    /// Counts returns from a copy; a store that does not tell it has none.
+    /// Number of restores from a backup; `None` if responses do not report it.
     era: Option<u64>,
     mode: Mode,
-    /// Highest token seen, by group.
+    /// Highest fencing token received for each group.
     tokens: HashMap<String, u64>,
     promotions: Vec<(String, String, u64)>,
-    /// Kinds that were watched, and from which revision.
+    /// Watches so far: the kind, and the revision from which it was watched.
     watches: Vec<(String, u64)>,
-    /// Calls that create an object, by kind.
+    /// Number of requests to create an object, by kind.
     creations: HashMap<String, usize>,
 }
 
-/// The store.
+/// A running store.
 #[derive(Clone)]
 pub struct Store {
-    /// Where it listens.
+    /// Address on which the store listens.
     pub address: SocketAddr,
-    objects: Arc<Mutex<Objects>>,
+    state: Arc<Mutex<StoreState>>,
     changes: watch::Sender<u64>,
     groups: Arc<Mutex<Vec<Group>>>,
     promote_time: Duration,
 }
 
 impl Store {
-    /// Starts an empty store. A server that is to lead does so after
-    /// `promote_time`.
+    /// Starts an empty store. A promoted server becomes the primary `promote_time` after the
+    /// promotion call.
     pub async fn start(promote_time: Duration) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let store = Self {
             address: listener.local_addr().unwrap(),
-            objects: Arc::default(),
+            state: Arc::default(),
             changes: watch::Sender::new(0),
             groups: Arc::default(),
             promote_time,
@@ -109,49 +109,50 @@
         store
     }
 
-    fn lock(&self) -> MutexGuard<'_, Objects> {
-        self.objects.lock().unwrap()
+    fn lock(&self) -> MutexGuard<'_, StoreState> {
+        self.state.lock().unwrap()
     }
 
-    /// Sets what it does with calls from now on.
+    /// Sets how the store handles requests from now on.
     pub fn set_mode(&self, mode: Mode) {
         self.lock().mode = mode;
     }
 
-    /// Forgets all changes so far.
+    /// Discards all changes so far, so that watches from earlier revisions fail.
     pub fn discard_history(&self) {
         let history = &mut self.lock().history;
-        history.forgotten = history.revision;
+        history.discarded_until = history.revision;
         history.events.clear();
     }
 
-    /// Tells in all answers from now on how often it came back from a copy.
+    /// Reports this era, the number of restores, in all responses from now on. Each restore
+    /// increments it.
     pub fn set_reported_era(&self, era: u64) {
         self.lock().era = Some(era);
     }
 
-    /// Copies what it keeps.
+    /// Takes a backup.
     #[must_use]
     pub fn copy(&self) -> StoreBackup {
         StoreBackup(self.lock().history.clone())
     }
 
-    /// Comes back from a copy. Returns what the operator and the servers wrote
-    /// since it was taken.
+    /// Restores the store from a backup. Returns the changes that the operator and the servers
+    /// made after the backup was taken.
     #[must_use]
-    pub fn restore(&self, copy: &StoreBackup) -> LostChanges {
+    pub fn restore(&self, backup: &StoreBackup) -> LostChanges {
         let lost = {
-            let mut objects = self.lock();
-            let lost = LostChanges::between(&copy.0, &objects.history);
-            objects.history = copy.0.clone();
-            objects.era = objects.era.map(|era| era + 1);
+            let mut state = self.lock();
+            let lost = LostChanges::between(&backup.0, &state.history);
+            state.history = backup.0.clone();
+            state.era = state.era.map(|era| era + 1);
             lost
         };
-        self.announce();
+        self.notify_watchers();
         lost
     }
 
-    /// The operator and the servers write again what was lost.
+    /// Repeats lost changes, as the operator and the servers do after a restore.
     pub fn repeat_lost_writes(&self, lost: &LostChanges) {
         for (kind, name, spec) in &lost.written {
             self.put(kind, name, spec);
@@ -161,48 +162,49 @@
         }
     }
 
-    /// Its revision.
+    /// Returns the current revision.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.lock().history.revision
     }
 
-    /// Changes of other kinds bring its revision up to this one.
+    /// Changes objects of another kind until the store has this revision.
     pub fn advance_to(&self, revision: u64) {
         while self.revision() < revision {
             self.put("others", "counter", &json!({ "at": self.revision() }));
         }
     }
 
-    /// Orders to promote that were accepted: group, server, token.
+    /// Returns the accepted promotion orders: group, server and fencing token of each.
     #[must_use]
     pub fn promotions(&self) -> Vec<(String, String, u64)> {
         self.lock().promotions.clone()
     }
 
-    /// Calls so far that were to create an object of a kind, refused ones too.
+    /// Returns the number of requests so far to create an object of a kind, including refused
+    /// ones.
     #[must_use]
     pub fn creations(&self, kind: &str) -> usize {
         self.lock().creations.get(kind).copied().unwrap_or_default()
     }
 
-    /// Calls so far that watched a kind from this revision on, or from a later one.
+    /// Returns the number of watches so far of a kind from this revision or a later one.
     #[must_use]
     pub fn watches(&self, kind: &str, revision: u64) -> usize {
-        let objects = self.lock();
-        let of_kind = objects.watches.iter().filter(|(k, _)| k == kind);
+        let state = self.lock();
+        let of_kind = state.watches.iter().filter(|(k, _)| k == kind);
         of_kind.filter(|(_, after)| *after >= revision).count()
     }
 
-    /// Names of all objects of a kind.
+    /// Returns the names of all objects of a kind.
     #[must_use]
     pub fn names(&self, kind: &str) -> Vec<String> {
-        let objects = self.lock();
-        let of_kind = objects.history.kept.keys().filter(|(k, _)| k == kind);
+        let state = self.lock();
+        let of_kind = state.history.objects.keys().filter(|(k, _)| k == kind);
         of_kind.map(|(_, name)| name.clone()).collect()
     }
 
-    /// Lists the servers of a group.
+    /// Adds a group and publishes its servers.
     pub fn add_group(&self, group: &Group) {
         self.groups.lock().unwrap().push(group.clone());
         for number in 0..group.size() {
@@ -210,7 +212,7 @@
         }
     }
 
-    /// Writes a server's entry as the server would.
+    /// Writes the object of a server, as the server itself does.
     pub fn publish_server(&self, group: &Group, number: usize, state: &str) {
         let role = if group.acts_as_primary(number) { "primary" } else { "replica" };
         let spec = json!({
@@ -221,41 +223,42 @@
         self.put("servers", &group.id(number), &spec);
     }
 
-    /// A server is not listed any more.
+    /// Removes the object of a server.
     pub fn remove_server(&self, group: &Group, number: usize) {
         self.delete("servers", &group.id(number));
     }
 
-    /// Writes an object as the operator would.
+    /// Creates or replaces an object, as the operator does.
     pub fn put(&self, kind: &str, name: &str, spec: &Value) {
         self.lock().history.put(kind, name, spec);
-        self.announce();
+        self.notify_watchers();
     }
 
-    /// Keeps anything as an object, as a careless writer could.
+    /// Stores any JSON value as an object, as a faulty writer might.
     pub fn put_raw(&self, kind: &str, name: &str, object: &Value) {
         {
             let history = &mut self.lock().history;
             history.revision += 1;
-            history.kept.insert((kind.to_owned(), name.to_owned()), object.clone());
+            history.objects.insert((kind.to_owned(), name.to_owned()), object.clone());
             let event = json!({ "removed": false, "object": object });
             history.events.push((history.revision, kind.to_owned(), event));
         }
-        self.announce();
+        self.notify_watchers();
     }
 
     /// Removes an object.
     pub fn delete(&self, kind: &str, name: &str) {
         self.lock().history.delete(kind, name);
-        self.announce();
+        self.notify_watchers();
     }
 
-    fn announce(&self) {
+    fn notify_watchers(&self) {
         self.changes.send_replace(self.revision());
     }
 
-    /// The answer to a call that is refused. A silent store does not even say that.
-    async fn refusal(&self) -> Option<Response> {
+    /// Returns the response to a request that the mode refuses. In the mode `Silent` it never
+    /// returns.
+    async fn refuse_if_unavailable(&self) -> Option<Response> {
         let mode = self.lock().mode;
         if mode == Mode::Silent {
             std::future::pending::<()>().await;
@@ -263,7 +266,7 @@
         (mode == Mode::Down).then(|| self.lock().with_era_header(StatusCode::SERVICE_UNAVAILABLE))
     }
 
-    /// Changes an object, if it is at this revision.
+    /// Changes an object if it has this revision, and returns the response.
     fn change_at(
         &self,
         kind: &str,
@@ -271,13 +274,13 @@
         revision: Option<u64>,
         change: impl FnOnce(&mut History, Value) -> Value,
     ) -> Response {
-        let mut objects = self.lock();
-        let response = objects.history.change_at(kind, name, revision, change);
-        objects.with_era_header(response)
+        let mut state = self.lock();
+        let response = state.history.change_at(kind, name, revision, change);
+        state.with_era_header(response)
     }
 
-    /// The answer to a write, unless it is lost.
-    async fn answer(&self, response: Response) -> Response {
+    /// Returns the response to a write, or never returns if the mode loses it.
+    async fn respond(&self, response: Response) -> Response {
         let lost = self.lock().mode == Mode::AnswersLost;
         if lost {
             std::future::pending::<()>().await;
@@ -287,20 +290,20 @@
 }
 
 impl LostChanges {
-    fn between(copy: &History, lost: &History) -> Self {
-        let written_again = |(kind, _): &&(String, String)| REPEATED_KINDS.contains(&kind.as_str());
-        let written = lost.kept.iter().filter(|(key, _)| written_again(key));
-        let written = written.filter(|(key, object)| copy.kept.get(*key) != Some(object));
+    fn between(backup: &History, lost: &History) -> Self {
+        let is_repeated = |(kind, _): &&(String, String)| REPEATED_KINDS.contains(&kind.as_str());
+        let written = lost.objects.iter().filter(|(key, _)| is_repeated(key));
+        let written = written.filter(|(key, object)| backup.objects.get(*key) != Some(object));
         let written = written
             .map(|((kind, name), object)| (kind.clone(), name.clone(), object["spec"].clone()));
-        let removed = copy.kept.keys().filter(written_again);
-        let removed = removed.filter(|key| !lost.kept.contains_key(*key));
+        let removed = backup.objects.keys().filter(is_repeated);
+        let removed = removed.filter(|key| !lost.objects.contains_key(*key));
         Self { written: written.collect(), removed: removed.cloned().collect() }
     }
 }
 
-impl Objects {
-    /// An answer, with the era of the state that it shows.
+impl StoreState {
+    /// Adds the era to a response, if the store reports it.
     fn with_era_header(&self, answer: impl IntoResponse) -> Response {
         let mut response = answer.into_response();
         if let Some(era) = self.era {
@@ -318,14 +321,14 @@
             "deleting": false,
         });
         let object = json!({ "meta": meta, "spec": spec, "status": null });
-        self.kept.insert((kind.to_owned(), name.to_owned()), object.clone());
+        self.objects.insert((kind.to_owned(), name.to_owned()), object.clone());
         let event = json!({ "removed": false, "object": object });
         self.events.push((self.revision, kind.to_owned(), event));
         object
     }
 
     fn delete(&mut self, kind: &str, name: &str) -> bool {
-        let Some(object) = self.kept.remove(&(kind.to_owned(), name.to_owned())) else {
+        let Some(object) = self.objects.remove(&(kind.to_owned(), name.to_owned())) else {
             return false;
         };
         self.revision += 1;
@@ -334,8 +337,8 @@
         true
     }
 
-    /// Changes an object that is at this revision. The answer holds the object
-    /// that `change` returns, or the one that is at another revision.
+    /// Changes an object if it has this revision. The response holds the object that `change`
+    /// returns, or the present one if its revision differs.
     fn change_at(
         &mut self,
         kind: &str,
@@ -353,7 +356,7 @@
     }
 
     fn get(&self, kind: &str, name: &str) -> Option<Value> {
-        self.kept.get(&(kind.to_owned(), name.to_owned())).cloned()
+        self.objects.get(&(kind.to_owned(), name.to_owned())).cloned()
     }
 }
 
@@ -362,19 +365,19 @@
     Path(kind): Path<String>,
     Query(query): Query<HashMap<String, String>>,
 ) -> Response {
-    if let Some(refusal) = store.refusal().await {
+    if let Some(refusal) = store.refuse_if_unavailable().await {
         return refusal;
     }
     if let Some(after) = query.get("watch") {
         let wait = query.get("wait_ms").map_or(0, |wait| wait.parse().unwrap());
         return watch_changes(&store, &kind, after.parse().unwrap(), wait).await;
     }
-    let objects = store.lock();
-    let of_kind = objects.history.kept.iter().filter(|((k, _), _)| *k == kind);
+    let state = store.lock();
+    let of_kind = state.history.objects.iter().filter(|((k, _), _)| *k == kind);
     let items: Vec<_> = of_kind.map(|(_, object)| object.clone()).collect();
-    let revision = objects.history.revision;
+    let revision = state.history.revision;
     let body = json!({ "items": items, "has_more": false, "store_revision": revision });
-    objects.with_era_header(Json(body))
+    state.with_era_header(Json(body))
 }
 
 async fn watch_changes(store: &Store, kind: &str, after: u64, wait_ms: u64) -> Response {
@@ -383,35 +386,35 @@
     let until = tokio::time::Instant::now() + Duration::from_millis(wait_ms);
     loop {
         {
-            let objects = store.lock();
-            if objects.mode == Mode::Down {
-                return objects.with_era_header(StatusCode::SERVICE_UNAVAILABLE);
+            let state = store.lock();
+            if state.mode == Mode::Down {
+                return state.with_era_header(StatusCode::SERVICE_UNAVAILABLE);
             }
-            let history = &objects.history;
-            if after < history.forgotten || after > history.revision {
-                return objects.with_era_header(StatusCode::GONE);
+            let history = &state.history;
+            if after < history.discarded_until || after > history.revision {
+                return state.with_era_header(StatusCode::GONE);
             }
             let newer = history.events.iter().filter(|(at, k, _)| *at > after && k == kind);
             let events: Vec<_> = newer.map(|(_, _, event)| event.clone()).collect();
             if !events.is_empty() || tokio::time::Instant::now() >= until {
                 let revision = history.revision;
                 let body = json!({ "events": events, "store_revision": revision });
-                return objects.with_era_header(Json(body));
+                return state.with_era_header(Json(body));
             }
         }
-        // Either wakes the loop.
+        // A change or the end of the wait continues the loop.
         let _timeout = tokio::time::timeout_at(until, changes.changed()).await;
     }
 }
 
 async fn read(State(store): State<Store>, Path((kind, name)): Path<(String, String)>) -> Response {
-    if let Some(refusal) = store.refusal().await {
+    if let Some(refusal) = store.refuse_if_unavailable().await {
         return refusal;
     }
-    let objects = store.lock();
-    match objects.history.get(&kind, &name) {
-        Some(object) => objects.with_era_header(Json(object)),
-        None => objects.with_era_header(StatusCode::NOT_FOUND),
+    let state = store.lock();
+    match state.history.get(&kind, &name) {
+        Some(object) => state.with_era_header(Json(object)),
+        None => state.with_era_header(StatusCode::NOT_FOUND),
     }
 }
 
@@ -420,21 +423,21 @@
     Path(kind): Path<String>,
     Json(body): Json<Value>,
 ) -> Response {
-    if let Some(refusal) = store.refusal().await {
+    if let Some(refusal) = store.refuse_if_unavailable().await {
         return refusal;
     }
     let name = body["meta"]["name"].as_str().unwrap().to_owned();
     let response = {
-        let mut objects = store.lock();
-        *objects.creations.entry(kind.clone()).or_default() += 1;
-        let response = match objects.history.get(&kind, &name) {
+        let mut state = store.lock();
+        *state.creations.entry(kind.clone()).or_default() += 1;
+        let response = match state.history.get(&kind, &name) {
             Some(object) => (StatusCode::CONFLICT, Json(object)).into_response(),
-            None => Json(objects.history.put(&kind, &name, &body["spec"])).into_response(),
+            None => Json(state.history.put(&kind, &name, &body["spec"])).into_response(),
         };
-        objects.with_era_header(response)
+        state.with_era_header(response)
     };
-    store.announce();
-    store.answer(response).await
+    store.notify_watchers();
+    store.respond(response).await
 }
 
 async fn replace(
@@ -442,13 +445,13 @@
     Path((kind, name)): Path<(String, String)>,
     Json(body): Json<Value>,
 ) -> Response {
-    if let Some(refusal) = store.refusal().await {
+    if let Some(refusal) = store.refuse_if_unavailable().await {
         return refusal;
     }
     let put = |history: &mut History, _| history.put(&kind, &name, &body["spec"]);
     let response = store.change_at(&kind, &name, body["meta"]["rev"].as_u64(), put);
-    store.announce();
-    store.answer(response).await
+    store.notify_watchers();
+    store.respond(response).await
 }
 
 async fn remove(
@@ -456,7 +459,7 @@
     Path((kind, name)): Path<(String, String)>,
     Query(query): Query<HashMap<String, String>>,
 ) -> Response {
-    if let Some(refusal) = store.refusal().await {
+    if let Some(refusal) = store.refuse_if_unavailable().await {
         return refusal;
     }
     let delete = |history: &mut History, object| {
@@ -464,11 +467,11 @@
         object
     };
     let response = store.change_at(&kind, &name, query["rev"].parse().ok(), delete);
-    store.announce();
-    store.answer(response).await
+    store.notify_watchers();
+    store.respond(response).await
 }
 
-/// How late the list tells of a change of primary where the old one goes on.
+/// Delay until the listing shows a new primary if the former one still accepts writes.
 const LISTING_DELAY: Duration = Duration::from_millis(300);
 
 async fn promote(
@@ -479,13 +482,13 @@
     let token: u64 = headers["fence-token"].to_str().unwrap().parse().unwrap();
     let (name, id) = (body["service"].as_str().unwrap(), body["id"].as_str().unwrap());
     {
-        let mut objects = store.lock();
-        let seen = objects.tokens.entry(name.to_owned()).or_default();
+        let mut state = store.lock();
+        let seen = state.tokens.entry(name.to_owned()).or_default();
         if token < *seen {
             return StatusCode::CONFLICT;
         }
         *seen = token;
-        objects.promotions.push((name.to_owned(), id.to_owned(), token));
+        state.promotions.push((name.to_owned(), id.to_owned(), token));
     }
     let groups = store.groups.lock().unwrap().clone();
     let Some(group) = groups.into_iter().find(|group| group.name() == name) else {
