--- a/soak/src/deployment.rs
+++ b/soak/src/deployment.rs
@@ -291,7 +291,7 @@
     pub fn forget_store_connections(&self) {
         self.silences.fetch_add(1, Ordering::SeqCst);
         for instance in &self.instances {
-            instance.store_proxy.forget_open_connections();
+            instance.store_proxy.blackhole_open_connections();
         }
     }
 
--- a/soak/src/fault.rs
+++ b/soak/src/fault.rs
@@ -88,17 +88,17 @@
             Self::StopInstance(number) => deployment.stop(number),
             Self::CutFromStore(number) => instances[number].store_proxy.set(Behaviour::cut()),
             Self::ForgetStoreConnections(number) => {
-                instances[number].store_proxy.forget_open_connections();
+                instances[number].store_proxy.blackhole_open_connections();
             }
             Self::CrashServer(number) => deployment.group.crash(number),
             Self::SilenceServer(number) => deployment.server(number).set(Behaviour::silent()),
             Self::MuteServer(number) => {
-                let mute = Behaviour { down: Flow::Swallow, ..Behaviour::default() };
+                let mute = Behaviour { down: Flow::Discard, ..Behaviour::default() };
                 deployment.server(number).set(mute);
             }
             Self::DelayServer(number) => deployment.server(number).set(Behaviour::delayed(DELAY)),
             Self::ForgetServerConnections(number) => {
-                deployment.server(number).forget_open_connections();
+                deployment.server(number).blackhole_open_connections();
             }
             Self::LoseCommitAnswers(number) => {
                 deployment.group.lose_answers_of(number, Some("COMMIT"));
--- a/testing/testutils/tests/test_path.rs
+++ b/testing/testutils/tests/test_path.rs
@@ -213,7 +213,7 @@
     client.batch_execute("CREATE TABLE t (id INTEGER)").await.unwrap();
     client.batch_execute("BEGIN").await.unwrap();
     client.batch_execute("INSERT INTO t VALUES (1)").await.unwrap();
-    cluster.instances[owner].peer_proxy.forget_open_connections();
+    cluster.instances[owner].peer_proxy.blackhole_open_connections();
     // The heartbeats notice, and the owner rolls back with the old link; or
     // another instance succeeds it first, whose term fences the transaction.
     wait_for("the owner holds no transaction", async || {
