--- a/cli/src/apply.rs
+++ b/cli/src/apply.rs
@@ -14,7 +14,7 @@
 
 use crate::client::Client;
 use crate::command::ApplyCommand;
-use crate::command::Ending;
+use crate::command::ExitStatus;
 use crate::command::Output;
 use crate::configuration;
 
@@ -22,13 +22,13 @@
 const HISTORY_LENGTH: usize = 20;
 
 /// Tries to write before giving up on the store.
-const WRITE_TRIES: usize = 20;
+const MAX_WRITE_ATTEMPTS: usize = 20;
 
 /// Pause between two tries.
-const WRITE_PAUSE: Duration = Duration::from_millis(300);
+const WRITE_RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Pace of looking how far a version has come.
-const PROGRESS_PAUSE: Duration = Duration::from_millis(50);
+const PROGRESS_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Runs the command.
 ///
@@ -39,14 +39,14 @@
     output: &Output,
     client: &Client,
     command: &ApplyCommand,
-) -> Result<Ending, String> {
+) -> Result<ExitStatus, String> {
     let text = configuration::read(&command.file)?;
     let checked = config_check::check(&text);
     for finding in &checked.findings {
         eprintln!("{}:{finding}", command.file.display());
     }
     if checked.config.is_none() {
-        return Ok(Ending::BadInput);
+        return Ok(ExitStatus::BadInput);
     }
     let author = command.author.clone().or_else(|| std::env::var("USER").ok());
     let mut next = StoredConfiguration {
@@ -57,10 +57,10 @@
         history: Vec::new(),
     };
     let version = match write(client, command.base, &mut next).await? {
-        Written::Done(version) => version,
-        Written::Conflict(version, other) => {
+        WriteOutcome::Accepted(version) => version,
+        WriteOutcome::Conflict(version, other) => {
             report_conflict(output, command.base, version, &other, &next.text);
-            return Ok(Ending::Conflict);
+            return Ok(ExitStatus::Conflict);
         }
     };
     if output.json {
@@ -69,14 +69,14 @@
         output.line(format_args!("version {version} is accepted"));
     }
     if command.wait {
-        let limit = Duration::from_secs(command.wait_limit_s);
-        return wait_in_force(output, client, version, limit).await;
+        let timeout = Duration::from_secs(command.wait_limit_s);
+        return wait_in_force(output, client, version, timeout).await;
     }
-    Ok(Ending::Done)
+    Ok(ExitStatus::Done)
 }
 
-enum Written {
-    Done(u64),
+enum WriteOutcome {
+    Accepted(u64),
     Conflict(u64, Box<StoredConfiguration>),
 }
 
@@ -89,49 +89,49 @@
     client: &Client,
     base: u64,
     next: &mut StoredConfiguration,
-) -> Result<Written, String> {
-    let mut last = String::from("the store does not answer");
-    for _ in 0..WRITE_TRIES {
+) -> Result<WriteOutcome, String> {
+    let mut last_error = String::from("the store does not answer");
+    for _ in 0..MAX_WRITE_ATTEMPTS {
         let current = match client.configuration().await {
             Ok(current) => current,
             Err(error) => {
-                last = error;
-                tokio::time::sleep(WRITE_PAUSE).await;
+                last_error = error;
+                tokio::time::sleep(WRITE_RETRY_INTERVAL).await;
                 continue;
             }
         };
         if let Some((version, stored)) = current {
             if stored.update_id == next.update_id {
-                return Ok(Written::Done(version));
+                return Ok(WriteOutcome::Accepted(version));
             }
             // Our update may have been taken and replaced by the next one.
-            if let Some(ours) = find_ours(&stored, next) {
-                return Ok(Written::Done(ours));
+            if let Some(own_version) = find_own_version(&stored, next) {
+                return Ok(WriteOutcome::Accepted(own_version));
             }
             if version != base {
-                return Ok(Written::Conflict(version, Box::new(stored)));
+                return Ok(WriteOutcome::Conflict(version, Box::new(stored)));
             }
             next.history = history_after(version, &stored);
         }
         let value = serde_json::to_string(next).map_err(|error| error.to_string())?;
         match client.platform.put(CONFIGURATION_KEY, &value, base).await {
-            Ok(version) => return Ok(Written::Done(version)),
+            Ok(version) => return Ok(WriteOutcome::Accepted(version)),
             Err(PlatformError::Conflict(_)) => {}
             Err(PlatformError::Unavailable(error)) => {
-                last = error;
-                tokio::time::sleep(WRITE_PAUSE).await;
+                last_error = error;
+                tokio::time::sleep(WRITE_RETRY_INTERVAL).await;
             }
         }
     }
-    Err(format!("{last}; whether the text was accepted is not known, see `history`"))
+    Err(format!("{last_error}; whether the text was accepted is not known, see `history`"))
 }
 
-fn find_ours(stored: &StoredConfiguration, next: &StoredConfiguration) -> Option<u64> {
-    let ours = stored
+fn find_own_version(stored: &StoredConfiguration, next: &StoredConfiguration) -> Option<u64> {
+    let own_update = stored
         .history
         .iter()
         .find(|update| update.at_ms == next.at_ms && update.author == next.author);
-    ours.map(|update| update.version)
+    own_update.map(|update| update.version)
 }
 
 fn history_after(version: u64, stored: &StoredConfiguration) -> Vec<PastUpdate> {
@@ -164,35 +164,35 @@
     output: &Output,
     client: &Client,
     version: u64,
-    limit: Duration,
-) -> Result<Ending, String> {
-    let began = Instant::now();
-    let mut reported = usize::MAX;
+    timeout: Duration,
+) -> Result<ExitStatus, String> {
+    let started_at = Instant::now();
+    let mut reported_count = usize::MAX;
     loop {
-        let (mut behind, mut silent, mut done) = (Vec::new(), Vec::new(), 0);
+        let (mut outdated, mut unreachable, mut in_force) = (Vec::new(), Vec::new(), 0);
         let instances = client.instances().await.unwrap_or_default();
         for instance in &instances {
-            match client.ask(instance, "status", &[]).await {
+            match client.query_instance(instance, "status", &[]).await {
                 Ok(status) if status["configuration_version"].as_u64() >= Some(version) => {
-                    done += 1;
+                    in_force += 1;
                 }
-                Ok(_) => behind.push(instance.id.to_string()),
-                Err(_) => silent.push(instance.id.to_string()),
+                Ok(_) => outdated.push(instance.id.to_string()),
+                Err(_) => unreachable.push(instance.id.to_string()),
             }
         }
-        if done != reported && !output.json {
-            output.line(format_args!("in force on {done} of {} instances", instances.len()));
-            reported = done;
+        if in_force != reported_count && !output.json {
+            output.line(format_args!("in force on {in_force} of {} instances", instances.len()));
+            reported_count = in_force;
         }
-        if behind.is_empty() && done > 0 {
-            if !silent.is_empty() {
-                eprintln!("not answering, and so not waited for: {}", silent.join(", "));
+        if outdated.is_empty() && in_force > 0 {
+            if !unreachable.is_empty() {
+                eprintln!("not answering, and so not waited for: {}", unreachable.join(", "));
             }
-            return Ok(Ending::Done);
+            return Ok(ExitStatus::Done);
         }
-        if began.elapsed() >= limit {
-            return Err(format!("version {version} is not in force on {}", behind.join(", ")));
+        if started_at.elapsed() >= timeout {
+            return Err(format!("version {version} is not in force on {}", outdated.join(", ")));
         }
-        tokio::time::sleep(PROGRESS_PAUSE).await;
+        tokio::time::sleep(PROGRESS_POLL_INTERVAL).await;
     }
 }
--- a/cli/src/burn.rs
+++ b/cli/src/burn.rs
@@ -15,11 +15,11 @@
 
 use crate::client::Client;
 use crate::command::BurnCommand;
-use crate::command::Ending;
+use crate::command::ExitStatus;
 use crate::command::Output;
 
 /// Size of the plot.
-const PLOT_SIZE: (u32, u32) = (900, 480);
+const PLOT_SIZE_PX: (u32, u32) = (900, 480);
 
 /// Runs the command.
 ///
@@ -30,17 +30,17 @@
     output: &Output,
     client: &Client,
     command: &BurnCommand,
-) -> Result<Ending, String> {
+) -> Result<ExitStatus, String> {
     let (_, stored) = client.configuration().await?.ok_or("the store holds no configuration")?;
     let config = config_check::check(&stored.text).config.ok_or("the stored text is not valid")?;
-    let (counts, silent) = gather(client).await?;
+    let (counts, unreachable) = collect_counts(client).await?;
     let now = since_epoch();
-    let none = BurnCounts::default();
+    let no_requests = BurnCounts::default();
     let reports: Vec<_> = config
         .services
         .iter()
         .map(|(name, service)| {
-            let counts = counts.get(name).unwrap_or(&none);
+            let counts = counts.get(name).unwrap_or(&no_requests);
             burn::report(name, service.objective, counts, now)
         })
         .collect();
@@ -48,25 +48,25 @@
         draw(path, &reports).map_err(|error| format!("{}: {error}", path.display()))?;
     }
     if output.json {
-        output.line(json!({ "services": reports, "not_answering": silent }));
+        output.line(json!({ "services": reports, "not_answering": unreachable }));
     } else {
         print(output, &reports);
-        if !silent.is_empty() {
-            eprintln!("not answering, and so not counted: {}", silent.join(", "));
+        if !unreachable.is_empty() {
+            eprintln!("not answering, and so not counted: {}", unreachable.join(", "));
         }
     }
-    Ok(Ending::Done)
+    Ok(ExitStatus::Done)
 }
 
-type Gathered = (BTreeMap<Arc<str>, BurnCounts>, Vec<String>);
+type CollectedCounts = (BTreeMap<Arc<str>, BurnCounts>, Vec<String>);
 
-async fn gather(client: &Client) -> Result<Gathered, String> {
+async fn collect_counts(client: &Client) -> Result<CollectedCounts, String> {
     let mut sum: BTreeMap<Arc<str>, BurnCounts> = BTreeMap::new();
-    let mut silent = Vec::new();
+    let mut unreachable = Vec::new();
     let instances = client.instances().await?;
     for instance in &instances {
-        let Ok(counts) = client.ask(instance, "burn", &[]).await else {
-            silent.push(instance.id.to_string());
+        let Ok(counts) = client.query_instance(instance, "burn", &[]).await else {
+            unreachable.push(instance.id.to_string());
             continue;
         };
         let counts: BTreeMap<Arc<str>, BurnCounts> = serde_json::from_value(counts)
@@ -75,10 +75,10 @@
             sum.entry(service).or_default().merge(&counts);
         }
     }
-    if silent.len() == instances.len() {
+    if unreachable.len() == instances.len() {
         return Err("no instance answers".into());
     }
-    Ok((sum, silent))
+    Ok((sum, unreachable))
 }
 
 fn alert_name(alert: Alert) -> &'static str {
@@ -113,7 +113,7 @@
 
 /// Draws a bar for each window of each service, on a scale of burn rates.
 fn draw(path: &Path, reports: &[ServiceBurn]) -> Result<(), Box<dyn std::error::Error>> {
-    let root = SVGBackend::new(path, PLOT_SIZE).into_drawing_area();
+    let root = SVGBackend::new(path, PLOT_SIZE_PX).into_drawing_area();
     root.fill(&WHITE)?;
     let rates = reports.iter().flat_map(|report| &report.windows).map(|window| window.burn_rate);
     let highest = rates.fold(1.0, f64::max) * 1.1;
@@ -129,17 +129,19 @@
         .configure_mesh()
         .disable_x_mesh()
         .x_labels(bars.max(1))
-        .x_label_formatter(&|at| {
-            let named = (at % windows == windows / 2).then(|| reports.get(at / windows)).flatten();
-            named.map(|report| report.service.to_string()).unwrap_or_default()
+        .x_label_formatter(&|index| {
+            let labelled_report =
+                (index % windows == windows / 2).then(|| reports.get(index / windows)).flatten();
+            labelled_report.map(|report| report.service.to_string()).unwrap_or_default()
         })
         .y_desc("burn rate (1 uses up the budget exactly)")
         .draw()?;
     let colours = [RED, BLUE, GREEN];
-    for (service, report) in reports.iter().enumerate() {
-        for (at, window) in report.windows.iter().enumerate() {
-            let x = service * windows + at;
-            let bar = Rectangle::new([(x, 0.0), (x + 1, window.burn_rate)], colours[at].filled());
+    for (service_index, report) in reports.iter().enumerate() {
+        for (index, window) in report.windows.iter().enumerate() {
+            let x = service_index * windows + index;
+            let bar =
+                Rectangle::new([(x, 0.0), (x + 1, window.burn_rate)], colours[index].filled());
             chart.draw_series(std::iter::once(bar))?;
         }
     }
--- a/cli/src/client.rs
+++ b/cli/src/client.rs
@@ -70,7 +70,7 @@
     /// # Errors
     ///
     /// When it does not answer.
-    pub async fn ask(
+    pub async fn query_instance(
         &self,
         instance: &ListedInstance,
         path: &str,
--- a/cli/src/command.rs
+++ b/cli/src/command.rs
@@ -184,7 +184,7 @@
 
 /// How a command ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum ExitStatus {
     /// Done.
     Done,
     /// It could not be done.
@@ -199,15 +199,15 @@
     Conflict,
 }
 
-impl From<Ending> for ExitCode {
-    fn from(ending: Ending) -> Self {
+impl From<ExitStatus> for ExitCode {
+    fn from(ending: ExitStatus) -> Self {
         Self::from(match ending {
-            Ending::Done => 0,
-            Ending::Failed => 1,
-            Ending::BadInput => 2,
-            Ending::DidNotRun => 3,
-            Ending::InFlight => 4,
-            Ending::Conflict => 5,
+            ExitStatus::Done => 0,
+            ExitStatus::Failed => 1,
+            ExitStatus::BadInput => 2,
+            ExitStatus::DidNotRun => 3,
+            ExitStatus::InFlight => 4,
+            ExitStatus::Conflict => 5,
         })
     }
 }
@@ -234,12 +234,12 @@
         Ok(ending) => ending.into(),
         Err(message) => {
             eprintln!("chervilwharf: {message}");
-            Ending::Failed.into()
+            ExitStatus::Failed.into()
         }
     }
 }
 
-async fn run(arguments: Arguments) -> Result<Ending, String> {
+async fn run(arguments: Arguments) -> Result<ExitStatus, String> {
     let output = Output { json: arguments.json };
     let store = arguments.store.or_else(|| std::env::var("CHERVILWHARF_STORE").ok());
     let client = || {
@@ -265,7 +265,7 @@
     }
 }
 
-fn make_verifier(output: &Output) -> Result<Ending, String> {
+fn make_verifier(output: &Output) -> Result<ExitStatus, String> {
     let mut password = String::new();
     std::io::stdin().read_line(&mut password).map_err(|error| error.to_string())?;
     let password = password.trim_end_matches(['\r', '\n']);
@@ -274,5 +274,5 @@
     }
     let salt = uuid::Uuid::new_v4();
     output.line(verifier::make_verifier(password, salt.as_bytes()));
-    Ok(Ending::Done)
+    Ok(ExitStatus::Done)
 }
--- a/cli/src/configuration.rs
+++ b/cli/src/configuration.rs
@@ -8,7 +8,7 @@
 use similar::TextDiff;
 
 use crate::client::Client;
-use crate::command::Ending;
+use crate::command::ExitStatus;
 use crate::command::Output;
 
 /// Reads a text file.
@@ -26,7 +26,7 @@
 /// # Errors
 ///
 /// When the file cannot be read.
-pub fn check(output: &Output, file: &Path) -> Result<Ending, String> {
+pub fn check(output: &Output, file: &Path) -> Result<ExitStatus, String> {
     let text = read(file)?;
     let checked = config_check::check(&text);
     if output.json {
@@ -49,12 +49,12 @@
         }
     }
     if checked.config.is_none() {
-        return Ok(Ending::BadInput);
+        return Ok(ExitStatus::BadInput);
     }
     if !output.json {
         output.line(format_args!("{}: good", file.display()));
     }
-    Ok(Ending::Done)
+    Ok(ExitStatus::Done)
 }
 
 /// Prints the text in the store.
@@ -62,7 +62,7 @@
 /// # Errors
 ///
 /// When the store does not answer or holds none.
-pub async fn show(output: &Output, client: &Client) -> Result<Ending, String> {
+pub async fn show(output: &Output, client: &Client) -> Result<ExitStatus, String> {
     let (version, stored) = client.configuration().await?.ok_or("the store holds none")?;
     if output.json {
         output.line(json!({ "version": version, "author": stored.author, "text": stored.text }));
@@ -70,7 +70,7 @@
         eprintln!("version {version} by {}", stored.author);
         output.line(stored.text.trim_end());
     }
-    Ok(Ending::Done)
+    Ok(ExitStatus::Done)
 }
 
 /// Prints what a file would change.
@@ -78,7 +78,7 @@
 /// # Errors
 ///
 /// When the file or the store cannot be read.
-pub async fn diff(output: &Output, client: &Client, file: &Path) -> Result<Ending, String> {
+pub async fn diff(output: &Output, client: &Client, file: &Path) -> Result<ExitStatus, String> {
     let text = read(file)?;
     let stored = client.configuration().await?;
     let (version, old) = stored.map_or((0, String::new()), |(v, stored)| (v, stored.text));
@@ -88,7 +88,7 @@
         &format!("version {version}"),
         &file.display().to_string(),
     ));
-    Ok(Ending::Done)
+    Ok(ExitStatus::Done)
 }
 
 /// A unified diff of two texts.
@@ -103,14 +103,14 @@
 /// # Errors
 ///
 /// When the store does not answer or holds none.
-pub async fn history(output: &Output, client: &Client) -> Result<Ending, String> {
+pub async fn history(output: &Output, client: &Client) -> Result<ExitStatus, String> {
     let (version, stored) = client.configuration().await?.ok_or("the store holds none")?;
     let now = json!({ "version": version, "author": stored.author, "at_ms": stored.at_ms });
     let past = stored.history.iter().map(|update| json!(update));
     let all: Vec<_> = std::iter::once(now).chain(past).collect();
     if output.json {
         output.line(json!(all));
-        return Ok(Ending::Done);
+        return Ok(ExitStatus::Done);
     }
     output.line("version  at_ms          author");
     for update in &all {
@@ -121,5 +121,5 @@
             update["author"].as_str().unwrap_or("")
         ));
     }
-    Ok(Ending::Done)
+    Ok(ExitStatus::Done)
 }
--- a/cli/src/explain.rs
+++ b/cli/src/explain.rs
@@ -7,7 +7,7 @@
 use chervilwharf_lib::story::StoryLine;
 use serde_json::json;
 
-use crate::command::Ending;
+use crate::command::ExitStatus;
 use crate::command::ExplainCommand;
 use crate::command::Output;
 
@@ -16,7 +16,7 @@
 /// # Errors
 ///
 /// When a file cannot be read, with its name.
-pub fn run(output: &Output, command: &ExplainCommand) -> Result<Ending, String> {
+pub fn run(output: &Output, command: &ExplainCommand) -> Result<ExitStatus, String> {
     let mut log = Vec::new();
     for file in &command.files {
         log.extend(read_log(file)?);
@@ -40,7 +40,7 @@
             output.line(format_args!("missing: {missing}"));
         }
     }
-    Ok(if story.lines.is_empty() { Ending::Failed } else { Ending::Done })
+    Ok(if story.lines.is_empty() { ExitStatus::Failed } else { ExitStatus::Done })
 }
 
 /// Reads the lines of a log; others are passed over.
--- a/cli/src/loss.rs
+++ b/cli/src/loss.rs
@@ -10,20 +10,20 @@
 use plotters::prelude::*;
 use serde_json::json;
 
-use crate::command::Ending;
+use crate::command::ExitStatus;
 use crate::command::LossCommand;
 use crate::command::Output;
 use crate::explain::read_log;
 
 /// Size of the plot in pixels.
-const PLOT_SIZE: (u32, u32) = (960, 420);
+const PLOT_SIZE_PX: (u32, u32) = (960, 420);
 
 /// Runs the command.
 ///
 /// # Errors
 ///
 /// When a file cannot be read, or the plot cannot be written, with its name.
-pub fn run(output: &Output, command: &LossCommand) -> Result<Ending, String> {
+pub fn run(output: &Output, command: &LossCommand) -> Result<ExitStatus, String> {
     let mut log = Vec::new();
     for file in &command.files {
         log.extend(read_log(file)?);
@@ -41,14 +41,19 @@
         let drawn = draw(path, &report.windows);
         drawn.map_err(|error| format!("{} cannot be drawn: {error}", path.display()))?;
     }
-    Ok(Ending::Done)
+    Ok(ExitStatus::Done)
 }
 
 fn print(output: &Output, report: &LossReport) {
     output.line("   count  ending   reason             seconds        p50 / p90 ms  cause");
     for row in &report.rows {
         output.line(to_text(row));
-        output.line(format_args!("{:>20}{}; {}", "", named(&row.groups), named(&row.instances)));
+        output.line(format_args!(
+            "{:>20}{}; {}",
+            "",
+            format_counts(&row.groups),
+            format_counts(&row.instances)
+        ));
     }
     if report.lines_left_out > 0 {
         output.line(format_args!(
@@ -67,15 +72,15 @@
     format!("{count:>8}  {ending:<8} {reason:<18} {seconds:<14} {took:<13} {cause}")
 }
 
-fn named(counts: &[(String, usize)]) -> String {
-    let named: Vec<_> = counts.iter().map(|(name, count)| format!("{name} {count}")).collect();
-    named.join(", ")
+fn format_counts(counts: &[(String, usize)]) -> String {
+    let formatted: Vec<_> = counts.iter().map(|(name, count)| format!("{name} {count}")).collect();
+    formatted.join(", ")
 }
 
 /// Draws refused, unknown and late requests over time.
 #[allow(clippy::cast_precision_loss, reason = "seconds and counts of a run")]
 fn draw(path: &Path, windows: &[LossWindow]) -> Result<(), Box<dyn std::error::Error>> {
-    let root = SVGBackend::new(path, PLOT_SIZE).into_drawing_area();
+    let root = SVGBackend::new(path, PLOT_SIZE_PX).into_drawing_area();
     root.fill(&WHITE)?;
     let last_ms = windows.last().map_or(0, |window| window.from_ms) + WINDOW_MS;
     let counts = windows.iter().map(|window| window.refused + window.unknown + window.late);
@@ -93,13 +98,13 @@
     for window in windows {
         let (from_s, to_s) =
             (window.from_ms as f64 / 1e3, (window.from_ms + WINDOW_MS) as f64 / 1e3);
-        let mut below = 0.0;
+        let mut bottom = 0.0;
         let parts = [(window.refused, RED), (window.unknown, BLUE), (window.late, GREEN)];
         for (count, colour) in parts {
-            let above = below + count as f64;
-            let bar = Rectangle::new([(from_s, below), (to_s, above)], colour.filled());
+            let top = bottom + count as f64;
+            let bar = Rectangle::new([(from_s, bottom), (to_s, top)], colour.filled());
             chart.draw_series(std::iter::once(bar))?;
-            below = above;
+            bottom = top;
         }
     }
     root.present()?;
--- a/cli/src/request.rs
+++ b/cli/src/request.rs
@@ -4,7 +4,7 @@
 use serde_json::json;
 
 use crate::client::Client;
-use crate::command::Ending;
+use crate::command::ExitStatus;
 use crate::command::Output;
 use crate::command::RequestCommand;
 
@@ -17,16 +17,16 @@
     output: &Output,
     client: &Client,
     command: &RequestCommand,
-) -> Result<Ending, String> {
+) -> Result<ExitStatus, String> {
     let query =
         [("database", &*command.database), ("account", &*command.account), ("id", &*command.id)];
     let mut reason = String::from("the store lists no instance");
     for instance in client.instances().await? {
-        match client.ask(&instance, "request", &query).await {
-            Ok(answer) => match ending(&answer) {
-                Some(ending) => {
+        match client.query_instance(&instance, "request", &query).await {
+            Ok(answer) => match exit_status(&answer) {
+                Some(exit_status) => {
                     print(output, command, &answer);
-                    return Ok(ending);
+                    return Ok(exit_status);
                 }
                 None => answer["reason"].as_str().unwrap_or("unknown").clone_into(&mut reason),
             },
@@ -36,11 +36,11 @@
     Err(format!("nobody can say now, ask again: {reason}"))
 }
 
-fn ending(answer: &Value) -> Option<Ending> {
+fn exit_status(answer: &Value) -> Option<ExitStatus> {
     match answer["state"].as_str()? {
-        "ran_once" => Some(Ending::Done),
-        "did_not_run" => Some(Ending::DidNotRun),
-        "in_flight" => Some(Ending::InFlight),
+        "ran_once" => Some(ExitStatus::Done),
+        "did_not_run" => Some(ExitStatus::DidNotRun),
+        "in_flight" => Some(ExitStatus::InFlight),
         _ => None,
     }
 }
--- a/cli/src/status.rs
+++ b/cli/src/status.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 
 use crate::client::Client;
-use crate::command::Ending;
+use crate::command::ExitStatus;
 use crate::command::Output;
 
 /// Runs the command.
@@ -14,12 +14,12 @@
 /// # Errors
 ///
 /// When the store does not answer.
-pub async fn run(output: &Output, client: &Client) -> Result<Ending, String> {
+pub async fn run(output: &Output, client: &Client) -> Result<ExitStatus, String> {
     let mut instances = Vec::new();
     let mut databases: BTreeMap<String, Value> = BTreeMap::new();
     let mut all_answer = true;
     for listed in client.instances().await? {
-        let status = client.ask(&listed, "status", &[]).await;
+        let status = client.query_instance(&listed, "status", &[]).await;
         all_answer &= status.is_ok();
         let status = status.unwrap_or(Value::Null);
         collect_databases(&mut databases, &listed.id, &status);
@@ -37,27 +37,27 @@
     } else {
         print(output, &instances, &databases);
     }
-    Ok(if all_answer && all_served { Ending::Done } else { Ending::Failed })
+    Ok(if all_answer && all_served { ExitStatus::Done } else { ExitStatus::Failed })
 }
 
 /// Keeps for each database what the owner with the highest term says.
 fn collect_databases(databases: &mut BTreeMap<String, Value>, instance: &str, status: &Value) {
-    let Some(known) = status["databases"].as_object() else {
+    let Some(reported) = status["databases"].as_object() else {
         return;
     };
-    for (name, database) in known {
+    for (name, database) in reported {
         let entry = databases.entry(name.clone()).or_insert_with(|| json!({ "owner": null }));
-        let own = &database["serving_here"];
-        let newer = own["term"].as_u64() > entry["term"].as_u64();
-        if !own.is_null() && newer {
-            let mut own = own.clone();
-            own["owner"] = json!(instance);
-            *entry = own;
+        let served = &database["serving_here"];
+        let newer = served["term"].as_u64() > entry["term"].as_u64();
+        if !served.is_null() && newer {
+            let mut served = served.clone();
+            served["owner"] = json!(instance);
+            *entry = served;
         }
     }
 }
 
-fn text(value: &Value) -> String {
+fn to_text(value: &Value) -> String {
     match value {
         Value::Null => "-".into(),
         Value::String(text) => text.clone(),
@@ -70,20 +70,20 @@
     for instance in instances {
         output.line(format_args!(
             "{:<17} {:<17} {:<8} {:<8} {}",
-            text(&instance["instance"]),
-            text(&instance["failure_domain"]),
-            text(&instance["answers"]),
-            text(&instance["leaving"]),
-            text(&instance["configuration_version"])
+            to_text(&instance["instance"]),
+            to_text(&instance["failure_domain"]),
+            to_text(&instance["answers"]),
+            to_text(&instance["leaving"]),
+            to_text(&instance["configuration_version"])
         ));
     }
     for (name, database) in databases {
         output.line("");
         output.line(format_args!(
             "database {name}: owner {} term {} open transactions {}",
-            text(&database["owner"]),
-            text(&database["term"]),
-            text(&database["open_transactions"])
+            to_text(&database["owner"]),
+            to_text(&database["term"]),
+            to_text(&database["open_transactions"])
         ));
         let Some(servers) = database["servers"].as_array() else {
             output.line("  nobody serves it");
@@ -94,11 +94,11 @@
             let role = if server["primary"] == json!(true) { "primary" } else { "replica" };
             output.line(format_args!(
                 "  {:<17} {role:<8} {:<14} {:<8} {:<12} {}",
-                text(&server["server"]),
-                text(&server["applied"]),
-                text(&server["waiting"]),
-                text(&server["connections"]),
-                text(&server["usable"])
+                to_text(&server["server"]),
+                to_text(&server["applied"]),
+                to_text(&server["waiting"]),
+                to_text(&server["connections"]),
+                to_text(&server["usable"])
             ));
         }
     }
--- a/demo/src/main.rs
+++ b/demo/src/main.rs
@@ -27,7 +27,7 @@
 const PNW: &str = include_str!("../../examples/pnw.json");
 
 /// Longest wait until all databases are served.
-const READY_LIMIT: Duration = Duration::from_secs(20);
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
 #[tokio::main]
 async fn main() -> Result<(), Box<dyn Error>> {
@@ -39,8 +39,8 @@
     };
     let deployment = Deployment::start(text).await?;
     wait_until_served(&deployment).await?;
-    sample(&deployment).await?;
-    explain(&deployment);
+    run_sample(&deployment).await?;
+    print_addresses(&deployment);
     if !arguments.once {
         tokio::signal::ctrl_c().await?;
     }
@@ -48,14 +48,14 @@
 }
 
 async fn wait_until_served(deployment: &Deployment) -> Result<(), Box<dyn Error>> {
-    let deadline = tokio::time::Instant::now() + READY_LIMIT;
-    let wanted = deployment.config.databases.len();
+    let deadline = tokio::time::Instant::now() + READY_TIMEOUT;
+    let database_count = deployment.config.databases.len();
     loop {
         let owned = deployment.daemons.iter().map(|daemon| {
             let owned = daemon.context().databases.instance.owned();
             owned.iter().filter(|(_, term)| *term > 0).count()
         });
-        if owned.sum::<usize>() == wanted {
+        if owned.sum::<usize>() == database_count {
             return Ok(());
         }
         if tokio::time::Instant::now() >= deadline {
@@ -84,8 +84,8 @@
     Ok(client)
 }
 
-async fn sample(deployment: &Deployment) -> Result<(), Box<dyn Error>> {
-    let account = first_writer(deployment);
+async fn run_sample(deployment: &Deployment) -> Result<(), Box<dyn Error>> {
+    let account = choose_sample_account(deployment);
     let database = deployment.config.databases.keys().next().ok_or("no database")?;
     println!("sample as account {account} on database {database}");
     let writer = connect(deployment, 0, &account, database).await?;
@@ -113,22 +113,23 @@
 }
 
 /// The account whose service has the highest priority.
-fn first_writer(deployment: &Deployment) -> String {
+fn choose_sample_account(deployment: &Deployment) -> String {
     let config = &deployment.config;
     let priority = |services: &Vec<std::sync::Arc<str>>| {
         services.first().and_then(|id| config.services.get(id)).map_or(255, |s| s.priority)
     };
-    let own_writes = |services: &Vec<std::sync::Arc<str>>| {
+    let defaults_to_own_writes = |services: &Vec<std::sync::Arc<str>>| {
         let service = services.first().and_then(|id| config.services.get(id));
         service
             .is_some_and(|s| s.freshness == chervilwharf_lib::config::DefaultFreshness::OwnWrites)
     };
-    let accounts = config.accounts.iter().filter(|(_, account)| own_writes(&account.services));
+    let accounts =
+        config.accounts.iter().filter(|(_, account)| defaults_to_own_writes(&account.services));
     let best = accounts.min_by_key(|(_, account)| priority(&account.services));
     best.map(|(name, _)| name.to_string()).unwrap_or_default()
 }
 
-fn explain(deployment: &Deployment) {
+fn print_addresses(deployment: &Deployment) {
     println!("store {}", deployment.store.url());
     for daemon in &deployment.daemons {
         println!(
--- a/standin/src/fault_proxy.rs
+++ b/standin/src/fault_proxy.rs
@@ -85,7 +85,7 @@
     upstream: Mutex<Option<SocketAddr>>,
     behaviour: watch::Sender<Behaviour>,
     /// Connections with a lower number are silent for good.
-    silent_below: AtomicU64,
+    blackholed_below: AtomicU64,
     next_connection: AtomicU64,
     trigger: Mutex<Option<Trigger>>,
     bytes: AtomicU64,
@@ -114,7 +114,7 @@
         let core = Arc::new(ProxyCore {
             upstream: Mutex::new(None),
             behaviour: watch::Sender::new(Behaviour::default()),
-            silent_below: AtomicU64::new(0),
+            blackholed_below: AtomicU64::new(0),
             next_connection: AtomicU64::new(1),
             trigger: Mutex::new(None),
             bytes: AtomicU64::new(0),
@@ -137,7 +137,7 @@
     /// work: something in between lost track of them.
     pub fn blackhole_open_connections(&self) {
         let next = self.core.next_connection.load(Ordering::SeqCst);
-        self.core.silent_below.store(next, Ordering::SeqCst);
+        self.core.blackholed_below.store(next, Ordering::SeqCst);
     }
 
     /// Runs `action` once when `bytes` pass in `direction`. They pass only
@@ -193,8 +193,8 @@
     let _ = server.set_nodelay(true);
     let (client_read, client_write) = client.into_split();
     let (server_read, server_write) = server.into_split();
-    let up = pump(core.clone(), number, Direction::Up, client_read, server_write);
-    let down = pump(core.clone(), number, Direction::Down, server_read, client_write);
+    let up = forward_bytes(core.clone(), number, Direction::Up, client_read, server_write);
+    let down = forward_bytes(core.clone(), number, Direction::Down, server_read, client_write);
     let mut behaviour = core.behaviour.subscribe();
     let cut = behaviour.wait_for(|behaviour| behaviour.cut);
     tokio::select! {
@@ -204,7 +204,7 @@
     }
 }
 
-async fn pump(
+async fn forward_bytes(
     core: Arc<ProxyCore>,
     number: u64,
     direction: Direction,
@@ -221,20 +221,20 @@
             break;
         }
         let chunk = buffer[..count].to_vec();
-        let after = fire_trigger(&core, direction, &chunk);
+        let action_after_passing = fire_trigger(&core, direction, &chunk);
         let behaviour = *core.behaviour.borrow();
         let flow = match direction {
             Direction::Up => behaviour.up,
             Direction::Down => behaviour.down,
         };
-        let forgotten = number < core.silent_below.load(Ordering::SeqCst);
-        if flow == Flow::Pass && !forgotten {
+        let is_blackholed = number < core.blackholed_below.load(Ordering::SeqCst);
+        if flow == Flow::Pass && !is_blackholed {
             core.bytes.fetch_add(count as u64, Ordering::Relaxed);
             if sender.send((Instant::now() + behaviour.delay, chunk)).is_err() {
                 break;
             }
         }
-        if let Some(action) = after {
+        if let Some(action) = action_after_passing {
             tokio::time::sleep(Duration::from_millis(2)).await;
             action();
         }
--- a/standin/src/store.rs
+++ b/standin/src/store.rs
@@ -29,10 +29,10 @@
 use tokio::sync::watch;
 
 /// Largest value, as the brief says.
-const VALUE_LIMIT_BYTES: usize = 1_000_000;
+const MAX_VALUE_BYTES: usize = 1_000_000;
 
 /// Longest wait of a watch.
-const WATCH_LIMIT: Duration = Duration::from_secs(30);
+const MAX_WATCH_WAIT: Duration = Duration::from_secs(30);
 
 /// What is wrong with the store.
 #[derive(Clone, Debug, Default)]
@@ -93,7 +93,7 @@
         });
         let objects = Router::new()
             .route("/objects/{*key}", get(get_object).put(put_object))
-            .layer(middleware::from_fn_with_state(core.clone(), misbehave));
+            .layer(middleware::from_fn_with_state(core.clone(), apply_faults));
         let routes = objects
             .route("/faults", post(set_faults))
             .route("/calls", get(count_calls))
@@ -166,7 +166,11 @@
     }
 }
 
-async fn misbehave(State(core): State<Arc<StoreCore>>, request: Request, next: Next) -> Response {
+async fn apply_faults(
+    State(core): State<Arc<StoreCore>>,
+    request: Request,
+    next: Next,
+) -> Response {
     let faults = core.faults.lock().expect("never poisoned").clone();
     tokio::time::sleep(Duration::from_millis(faults.delay_ms)).await;
     if faults.down {
@@ -185,7 +189,7 @@
 }
 
 #[derive(Deserialize)]
-struct Watch {
+struct WatchQuery {
     after: Option<u64>,
     wait_ms: Option<u64>,
 }
@@ -193,9 +197,9 @@
 async fn get_object(
     State(core): State<Arc<StoreCore>>,
     Path(key): Path<String>,
-    Query(watch): Query<Watch>,
+    Query(watch): Query<WatchQuery>,
 ) -> Response {
-    let wait = Duration::from_millis(watch.wait_ms.unwrap_or(0)).min(WATCH_LIMIT);
+    let wait = Duration::from_millis(watch.wait_ms.unwrap_or(0)).min(MAX_WATCH_WAIT);
     let deadline = tokio::time::Instant::now() + wait;
     let mut changed = core.changed.subscribe();
     loop {
@@ -223,13 +227,14 @@
     headers: HeaderMap,
     value: String,
 ) -> Response {
-    if value.len() > VALUE_LIMIT_BYTES {
+    if value.len() > MAX_VALUE_BYTES {
         return StatusCode::PAYLOAD_TOO_LARGE.into_response();
     }
-    let wanted = headers.get("if-match").and_then(|v| v.to_str().ok()?.parse::<u64>().ok());
+    let expected_version =
+        headers.get("if-match").and_then(|v| v.to_str().ok()?.parse::<u64>().ok());
     let mut objects = core.objects.lock().expect("never poisoned");
     let current = objects.by_key.get(&key).map_or(0, |object| object.version);
-    if wanted.is_some_and(|wanted| wanted != current) {
+    if expected_version.is_some_and(|expected_version| expected_version != current) {
         let value = objects.by_key.get(&key).map(|object| object.value.clone());
         let body = json!({"version": current, "value": value});
         return (StatusCode::PRECONDITION_FAILED, Json(body)).into_response();
--- a/standin/src/target.rs
+++ b/standin/src/target.rs
@@ -81,9 +81,9 @@
     pub data: DataFile,
     /// Serialises transactions that write.
     pub write_lock: Arc<tokio::sync::Mutex<()>>,
-    pub grown: Notify,
+    pub entry_appended: Notify,
     /// Whom it follows, or its term, has changed.
-    pub turned: Notify,
+    pub upstream_changed: Notify,
     pub slots: Semaphore,
     pub connection_count: AtomicUsize,
     lag_ms: AtomicU64,
@@ -117,13 +117,13 @@
 const APPLY_INTERVAL: Duration = Duration::from_millis(1);
 
 /// Longest wait of a replica for news from its primary; also its heartbeat.
-const PULL_WAIT: Duration = Duration::from_millis(50);
+const MAX_PULL_WAIT: Duration = Duration::from_millis(50);
 
 /// A pull without an answer for this long has failed.
 const PULL_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Entries in one answer to a pull.
-const PULL_LIMIT: usize = 2000;
+const MAX_PULLED_ENTRIES: usize = 2000;
 
 impl Target {
     /// Starts a server on the current runtime.
@@ -143,8 +143,8 @@
             options,
             log: Mutex::new(log),
             write_lock: Arc::default(),
-            grown: Notify::new(),
-            turned: Notify::new(),
+            entry_appended: Notify::new(),
+            upstream_changed: Notify::new(),
             connection_count: AtomicUsize::new(0),
             lag_ms: AtomicU64::new(0),
             statements: AtomicU64::new(0),
@@ -194,14 +194,14 @@
 }
 
 #[derive(Serialize, Deserialize)]
-struct Pull {
+struct PullRequest {
     login: Option<String>,
     term: u64,
     ends: Vec<Position>,
 }
 
 #[derive(Serialize, Deserialize)]
-struct Pulled {
+struct PullResponse {
     term: u64,
     is_primary: bool,
     /// Entries both logs share.
@@ -209,29 +209,37 @@
     entries: Vec<LogEntry>,
 }
 
-async fn serve_pull(State(core): State<Arc<TargetCore>>, Json(pull): Json<Pull>) -> Json<Pulled> {
-    let grown = core.grown.notified();
-    let first = answer_pull(&core, &pull);
-    if !first.entries.is_empty() || !first.is_primary {
-        return Json(first);
+async fn serve_pull(
+    State(core): State<Arc<TargetCore>>,
+    Json(pull): Json<PullRequest>,
+) -> Json<PullResponse> {
+    let entry_appended = core.entry_appended.notified();
+    let response = pull_response(&core, &pull);
+    if !response.entries.is_empty() || !response.is_primary {
+        return Json(response);
     }
     // Nothing new: wait for the next commit, so that a replica learns of it
     // without asking again and again.
-    let _ = tokio::time::timeout(PULL_WAIT, grown).await;
-    Json(answer_pull(&core, &pull))
+    let _ = tokio::time::timeout(MAX_PULL_WAIT, entry_appended).await;
+    Json(pull_response(&core, &pull))
 }
 
-fn answer_pull(core: &TargetCore, pull: &Pull) -> Pulled {
+fn pull_response(core: &TargetCore, pull: &PullRequest) -> PullResponse {
     let log = core.log();
-    let is_ours = core.options.login == pull.login;
-    let is_primary = is_ours && log.is_primary && log.term == pull.term;
+    let login_matches = core.options.login == pull.login;
+    let is_primary = login_matches && log.is_primary && log.term == pull.term;
     let common = log.common_length(&pull.ends);
     let entries = if is_primary {
-        log.entries.iter().skip(common).take(PULL_LIMIT).map(|(entry, _)| entry.clone()).collect()
+        log.entries
+            .iter()
+            .skip(common)
+            .take(MAX_PULLED_ENTRIES)
+            .map(|(entry, _)| entry.clone())
+            .collect()
     } else {
         Vec::new()
     };
-    Pulled { term: log.term, is_primary, common, entries }
+    PullResponse { term: log.term, is_primary, common, entries }
 }
 
 async fn follow_upstream(core: Arc<TargetCore>) {
@@ -242,43 +250,49 @@
         .build()
         .expect("the client has no unusual settings");
     loop {
-        let turned = core.turned.notified();
-        let job = {
+        let upstream_changed = core.upstream_changed.notified();
+        let next_pull = {
             let log = core.log();
             let login = core.options.login.clone();
-            let pull = Pull { login, term: log.term, ends: log.term_ends() };
+            let pull = PullRequest { login, term: log.term, ends: log.term_ends() };
             log.upstream.clone().map(|upstream| (upstream, pull))
         };
-        let Some((upstream, pull)) = job else {
+        let Some((upstream, pull)) = next_pull else {
             tokio::time::sleep(APPLY_INTERVAL).await;
             continue;
         };
         let url = format!("http://{}/pull", upstream.address);
         let pulling = async {
             let response = client.post(url).json(&pull).send().await.ok()?;
-            response.json::<Pulled>().await.ok()
+            response.json::<PullResponse>().await.ok()
         };
         // A server told to follow another one does not wait for the old one.
-        let answer = tokio::select! {
-            answer = pulling => answer,
-            () = turned => continue,
+        let response = tokio::select! {
+            response = pulling => response,
+            () = upstream_changed => continue,
         };
-        let followed = answer.is_some_and(|pulled| take_pulled(&core, &upstream.id, &pull, pulled));
-        if !followed {
+        let appended =
+            response.is_some_and(|pulled| append_pulled(&core, &upstream.id, &pull, pulled));
+        if !appended {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     }
 }
 
 /// Appends what the primary sent, unless a newer term came in between.
-fn take_pulled(core: &TargetCore, upstream: &str, pull: &Pull, pulled: Pulled) -> bool {
+fn append_pulled(
+    core: &TargetCore,
+    upstream: &str,
+    pull: &PullRequest,
+    pulled: PullResponse,
+) -> bool {
     let mut log = core.log();
     let still_follows = log.upstream.as_ref().is_some_and(|now| now.id == upstream);
     if !still_follows || log.term != pull.term || pulled.term != log.term || !pulled.is_primary {
         return false;
     }
     let now = Instant::now();
-    log.heard_at = Some(now);
+    log.primary_contact_at = Some(now);
     if log.truncate(pulled.common) {
         core.data.reset();
     }
--- a/standin/src/target_log.rs
+++ b/standin/src/target_log.rs
@@ -82,7 +82,7 @@
     /// How many of them are applied.
     pub applied: usize,
     /// When the primary was last heard.
-    pub heard_at: Option<Instant>,
+    pub primary_contact_at: Option<Instant>,
     /// Grows when applied entries were cut off and the data was rebuilt.
     pub generation: u64,
     file: Option<File>,
@@ -102,7 +102,7 @@
             upstream: None,
             entries: Vec::new(),
             applied: 0,
-            heard_at: None,
+            primary_contact_at: None,
             generation: 0,
             file: None,
         };
@@ -136,7 +136,7 @@
         Ok(())
     }
 
-    fn keep(&mut self, record: &Record) {
+    fn persist(&mut self, record: &Record) {
         if let Some(file) = &mut self.file {
             let mut line = serde_json::to_vec(record).expect("a record is plain data");
             line.push(b'\n');
@@ -162,16 +162,16 @@
         if term > self.term {
             self.is_primary = false;
             self.upstream = None;
-            self.heard_at = None;
+            self.primary_contact_at = None;
         }
         self.term = term;
         owner.clone_into(&mut self.owner);
-        self.keep(&Record::Term(term, owner.to_owned()));
+        self.persist(&Record::Term(term, owner.to_owned()));
     }
 
     /// Appends an entry.
     pub fn append(&mut self, entry: LogEntry, now: Instant) {
-        self.keep(&Record::Append(entry.clone()));
+        self.persist(&Record::Append(entry.clone()));
         self.entries.push((entry, now));
     }
 
@@ -190,7 +190,7 @@
             return false;
         }
         self.entries.truncate(length);
-        self.keep(&Record::Truncate(length as u64));
+        self.persist(&Record::Truncate(length as u64));
         if self.applied <= length {
             return false;
         }
--- a/standin/src/target_session.rs
+++ b/standin/src/target_session.rs
@@ -128,22 +128,22 @@
     connection.pragma_update(None, "synchronous", "OFF")?;
     connection.busy_timeout(Duration::from_secs(5))?;
     connection.set_prepared_statement_cache_capacity(64);
-    let next = Arc::new(AtomicU64::new(0));
-    let counter = next.clone();
+    let next_position = Arc::new(AtomicU64::new(0));
+    let counter = next_position.clone();
     connection.create_scalar_function(
         "chervilwharf_next_position",
         0,
         FunctionFlags::SQLITE_UTF8,
         move |_| Ok(i64::try_from(counter.load(Ordering::SeqCst)).unwrap_or(i64::MAX)),
     )?;
-    Ok((connection, next))
+    Ok((connection, next_position))
 }
 
 /// Applies one entry of the log.
 pub fn apply_entry(data: &DataFile, entry: &LogEntry) {
     let guard = data.apply_connection.lock().expect("no code panics with it");
-    let (connection, next) = &*guard;
-    next.store(entry.position.index, Ordering::SeqCst);
+    let (connection, next_position) = &*guard;
+    next_position.store(entry.position.index, Ordering::SeqCst);
     let result = apply_statements(connection, &entry.statements);
     if let Err(error) = result {
         panic!("entry {} was committed by the primary but fails here: {error}", entry.position);
@@ -253,7 +253,7 @@
 pub struct Session {
     core: Arc<TargetCore>,
     connection: Connection,
-    next: Arc<AtomicU64>,
+    next_position: Arc<AtomicU64>,
     generation: u64,
     term: Option<u64>,
     transaction: Transaction,
@@ -263,8 +263,15 @@
     /// A session on the current data.
     pub fn new(core: Arc<TargetCore>) -> Result<Self, SqlError> {
         let generation = core.data.generation.load(Ordering::SeqCst);
-        let (connection, next) = open(&core.data.path()).map_err(|e| sqlite_error(&e))?;
-        Ok(Self { core, connection, next, generation, term: None, transaction: Transaction::None })
+        let (connection, next_position) = open(&core.data.path()).map_err(|e| sqlite_error(&e))?;
+        Ok(Self {
+            core,
+            connection,
+            next_position,
+            generation,
+            term: None,
+            transaction: Transaction::None,
+        })
     }
 
     fn reopen_if_rebuilt(&mut self) -> Result<(), SqlError> {
@@ -272,9 +279,10 @@
         if generation == self.generation {
             return Ok(());
         }
-        let (connection, next) = open(&self.core.data.path()).map_err(|e| sqlite_error(&e))?;
+        let (connection, next_position) =
+            open(&self.core.data.path()).map_err(|e| sqlite_error(&e))?;
         self.connection = connection;
-        self.next = next;
+        self.next_position = next_position;
         self.generation = generation;
         Ok(())
     }
@@ -314,13 +322,13 @@
             return Err(SqlError::new("25P02", "current transaction is aborted"));
         }
         if let Some(call) = crate::target_contract::parse(sql) {
-            return self.contract(&call).map(Outcome::Rows);
+            return self.run_contract_call(&call).map(Outcome::Rows);
         }
         match word.as_str() {
             "BEGIN" | "START" => self.begin(sql).await,
             "COMMIT" | "END" => self.commit(),
             "SET" => Ok(Outcome::Done("SET".into())),
-            _ => self.statement(sql, values).await,
+            _ => self.run_statement(sql, values).await,
         }
     }
 
@@ -355,7 +363,7 @@
         let lock = self.core.write_lock.clone().lock_owned().await;
         self.check_writable()?;
         self.connection.execute_batch("BEGIN IMMEDIATE").map_err(|e| sqlite_error(&e))?;
-        self.next.store(self.core.log().entries.len() as u64 + 1, Ordering::SeqCst);
+        self.next_position.store(self.core.log().entries.len() as u64 + 1, Ordering::SeqCst);
         self.transaction = Transaction::Write { _lock: lock, statements: Vec::new() };
         Ok(Outcome::Begun)
     }
@@ -385,12 +393,12 @@
         self.connection.execute_batch("COMMIT").map_err(|e| sqlite_error(&e))?;
         if !statements.is_empty() {
             log.commit(statements);
-            core.grown.notify_waiters();
+            core.entry_appended.notify_waiters();
         }
         Ok(())
     }
 
-    async fn statement(&mut self, sql: &str, values: &[Value]) -> Result<Outcome, SqlError> {
+    async fn run_statement(&mut self, sql: &str, values: &[Value]) -> Result<Outcome, SqlError> {
         let core = self.core.clone();
         core.count_statement();
         let _slot = core.slots.acquire().await.map_err(|_| SqlError::new("57P01", "stopping"))?;
@@ -469,9 +477,9 @@
         is_primary: bool,
         writes: bool,
     ) -> Result<(), SqlError> {
-        if let Some(own) = self.term {
-            if own != term {
-                return Err(higher_term(term, owner));
+        if let Some(session_term) = self.term {
+            if session_term != term {
+                return Err(term_conflict(term, owner));
             }
         }
         if writes && !is_primary {
@@ -480,17 +488,17 @@
         Ok(())
     }
 
-    fn contract(&mut self, call: &ContractCall) -> Result<Rows, SqlError> {
+    fn run_contract_call(&mut self, call: &ContractCall) -> Result<Rows, SqlError> {
         let core = self.core.clone();
         let mut log = core.log();
         match call {
             ContractCall::State => {}
             ContractCall::Fence { term, owner } => {
-                let same = *term == log.term && *owner == log.owner;
-                if *term < log.term || (*term == log.term && !same) {
-                    return Err(higher_term(log.term, &log.owner));
+                let is_current = *term == log.term && *owner == log.owner;
+                if *term < log.term || (*term == log.term && !is_current) {
+                    return Err(term_conflict(log.term, &log.owner));
                 }
-                if !same {
+                if !is_current {
                     log.set_term(*term, owner);
                 }
             }
@@ -501,7 +509,7 @@
                     log.upstream = None;
                     log.is_primary = true;
                     log.commit(Vec::new());
-                    core.grown.notify_waiters();
+                    core.entry_appended.notify_waiters();
                 }
                 // The first entry of the term; a repeated call finds it again.
                 let first = log.entries.iter().find(|(e, _)| e.position.term == *term);
@@ -515,14 +523,14 @@
                 }
                 let upstream = Upstream { id: primary.clone(), address: address.clone() };
                 if log.upstream.as_ref() != Some(&upstream) {
-                    core.turned.notify_waiters();
+                    core.upstream_changed.notify_waiters();
                     log.upstream = Some(upstream);
-                    log.heard_at = Some(std::time::Instant::now());
+                    log.primary_contact_at = Some(std::time::Instant::now());
                 }
             }
             ContractCall::UseTerm { term } => {
                 if *term != log.term {
-                    return Err(higher_term(log.term, &log.owner));
+                    return Err(term_conflict(log.term, &log.owner));
                 }
                 self.term = Some(*term);
             }
@@ -541,7 +549,7 @@
 }
 
 /// SQLSTATE CW001; the detail is in the message in a fixed form.
-fn higher_term(term: u64, owner: &str) -> SqlError {
+fn term_conflict(term: u64, owner: &str) -> SqlError {
     SqlError::new("CW001", format!("term {term} is held by {owner}"))
 }
 
@@ -551,7 +559,7 @@
     owner: &str,
 ) -> Result<(), SqlError> {
     if log.term != term || log.owner != owner {
-        return Err(higher_term(log.term, &log.owner));
+        return Err(term_conflict(log.term, &log.owner));
     }
     Ok(())
 }
@@ -593,7 +601,7 @@
 
 fn state_row(log: &crate::target_log::ServerLog) -> Rows {
     let follows = log.upstream.as_ref().map(|upstream| upstream.id.clone());
-    let heard = log.heard_at.map(|at| at.elapsed().as_millis());
+    let since_contact_ms = log.primary_contact_at.map(|at| at.elapsed().as_millis());
     let (received, applied) = (log.received(), log.applied_position());
     let row = vec![
         integer(log.term),
@@ -604,7 +612,7 @@
         integer(received.index),
         integer(applied.term),
         integer(applied.index),
-        heard.map_or(Value::Null, |ms| integer(u64::try_from(ms).unwrap_or(u64::MAX))),
+        since_contact_ms.map_or(Value::Null, |ms| integer(u64::try_from(ms).unwrap_or(u64::MAX))),
     ];
     Rows { columns: contract_columns(&ContractCall::State), rows: vec![row] }
 }
@@ -616,8 +624,8 @@
         .map(|column| {
             let declared = column.decl_type().and_then(type_of);
             let name = column.name();
-            let counts = name.starts_with("count(") || name.starts_with("sum(");
-            let guessed = if counts { Type::INT8 } else { Type::TEXT };
+            let is_aggregate = name.starts_with("count(") || name.starts_with("sum(");
+            let guessed = if is_aggregate { Type::INT8 } else { Type::TEXT };
             (name.to_owned(), declared.unwrap_or(guessed))
         })
         .collect()
--- a/standin/src/target_wire.rs
+++ b/standin/src/target_wire.rs
@@ -110,7 +110,7 @@
     PgWireError::UserError(Box::new(info))
 }
 
-fn to_wire(error: &SqlError) -> PgWireError {
+fn to_wire_error(error: &SqlError) -> PgWireError {
     user_error("ERROR", error.code, &error.message)
 }
 
@@ -124,7 +124,7 @@
         PgWireError: From<<C as Sink<PgWireBackendMessage>>::Error>,
     {
         let mut session = self.session.lock().await;
-        let outcome = session.run(query, &[]).await.map_err(|e| to_wire(&e))?;
+        let outcome = session.run(query, &[]).await.map_err(|e| to_wire_error(&e))?;
         Ok(vec![respond(outcome, &Format::UnifiedText)?])
     }
 }
@@ -151,7 +151,7 @@
     {
         let types = parameter_types(target);
         let mut session = self.session.lock().await;
-        let columns = session.describe(&target.statement).map_err(|e| to_wire(&e))?;
+        let columns = session.describe(&target.statement).map_err(|e| to_wire_error(&e))?;
         Ok(DescribeStatementResponse::new(types, fields(&columns, &Format::UnifiedText)))
     }
 
@@ -167,7 +167,8 @@
         PgWireError: From<<C as Sink<PgWireBackendMessage>>::Error>,
     {
         let mut session = self.session.lock().await;
-        let columns = session.describe(&target.statement.statement).map_err(|e| to_wire(&e))?;
+        let columns =
+            session.describe(&target.statement.statement).map_err(|e| to_wire_error(&e))?;
         Ok(DescribePortalResponse::new(fields(&columns, &target.result_column_format)))
     }
 
@@ -186,19 +187,20 @@
         let values = parameters(portal)?;
         let mut session = self.session.lock().await;
         let sql = &portal.statement.statement;
-        let outcome = session.run(sql, &values).await.map_err(|e| to_wire(&e))?;
+        let outcome = session.run(sql, &values).await.map_err(|e| to_wire_error(&e))?;
         respond(outcome, &portal.result_column_format)
     }
 }
 
 fn parameter_types(statement: &StoredStatement<String>) -> Vec<Type> {
-    let (_, cast) = strip_casts(&statement.statement);
-    let given = &statement.parameter_types;
-    let count = cast.len().max(given.len());
+    let (_, cast_types) = strip_casts(&statement.statement);
+    let declared = &statement.parameter_types;
+    let count = cast_types.len().max(declared.len());
     (0..count)
-        .map(|at| {
-            let given = given.get(at).cloned().flatten().filter(|kind| *kind != Type::UNKNOWN);
-            given.or_else(|| cast.get(at).cloned().flatten()).unwrap_or(Type::TEXT)
+        .map(|index| {
+            let declared =
+                declared.get(index).cloned().flatten().filter(|kind| *kind != Type::UNKNOWN);
+            declared.or_else(|| cast_types.get(index).cloned().flatten()).unwrap_or(Type::TEXT)
         })
         .collect()
 }
@@ -206,23 +208,23 @@
 fn parameters(portal: &Portal<String>) -> PgWireResult<Vec<Value>> {
     let types = parameter_types(&portal.statement);
     (0..portal.parameter_len())
-        .map(|at| {
-            let kind = types.get(at).cloned().unwrap_or(Type::TEXT);
-            parameter(portal, at, &kind)
+        .map(|index| {
+            let kind = types.get(index).cloned().unwrap_or(Type::TEXT);
+            parameter(portal, index, &kind)
         })
         .collect()
 }
 
-fn parameter(portal: &Portal<String>, at: usize, kind: &Type) -> PgWireResult<Value> {
+fn parameter(portal: &Portal<String>, index: usize, kind: &Type) -> PgWireResult<Value> {
     let integer = |value: Option<i64>| value.map_or(Value::Null, Value::Integer);
     Ok(match *kind {
-        Type::INT2 => integer(portal.parameter::<i16>(at, kind)?.map(i64::from)),
-        Type::INT4 => integer(portal.parameter::<i32>(at, kind)?.map(i64::from)),
-        Type::INT8 => integer(portal.parameter::<i64>(at, kind)?),
-        Type::BOOL => integer(portal.parameter::<bool>(at, kind)?.map(i64::from)),
-        Type::FLOAT8 => portal.parameter::<f64>(at, kind)?.map_or(Value::Null, Value::Real),
-        Type::BYTEA => portal.parameter::<Vec<u8>>(at, kind)?.map_or(Value::Null, Value::Blob),
-        _ => portal.parameter::<String>(at, &Type::TEXT)?.map_or(Value::Null, Value::Text),
+        Type::INT2 => integer(portal.parameter::<i16>(index, kind)?.map(i64::from)),
+        Type::INT4 => integer(portal.parameter::<i32>(index, kind)?.map(i64::from)),
+        Type::INT8 => integer(portal.parameter::<i64>(index, kind)?),
+        Type::BOOL => integer(portal.parameter::<bool>(index, kind)?.map(i64::from)),
+        Type::FLOAT8 => portal.parameter::<f64>(index, kind)?.map_or(Value::Null, Value::Real),
+        Type::BYTEA => portal.parameter::<Vec<u8>>(index, kind)?.map_or(Value::Null, Value::Blob),
+        _ => portal.parameter::<String>(index, &Type::TEXT)?.map_or(Value::Null, Value::Text),
     })
 }
 
@@ -230,8 +232,8 @@
     columns
         .iter()
         .enumerate()
-        .map(|(at, (name, kind))| {
-            FieldInfo::new(name.clone(), None, None, kind.clone(), format.format_for(at))
+        .map(|(index, (name, kind))| {
+            FieldInfo::new(name.clone(), None, None, kind.clone(), format.format_for(index))
         })
         .collect()
 }
