--- a/cli/src/apply.rs
+++ b/cli/src/apply.rs
@@ -1,4 +1,5 @@
-//! Puts a configuration text in force.
+//! The `apply` command: writes a configuration file to the platform's store and, on
+//! request, waits until the instances use it.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -18,23 +19,26 @@
 use crate::command::Output;
 use crate::configuration;
 
-/// Earlier updates that are remembered.
+/// Number of earlier updates that are stored with the configuration.
 const HISTORY_LENGTH: usize = 20;
 
-/// Tries to write before giving up on the store.
+/// Number of attempts to write before the command fails.
 const MAX_WRITE_ATTEMPTS: usize = 20;
 
-/// Pause between two tries.
+/// Pause after an attempt in which the store was unavailable.
 const WRITE_RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Pace of looking how far a version has come.
+/// Pause between two rounds in which the tool queries the instances for their
+/// configuration version.
 const PROGRESS_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs the command.
+/// Checks the file of `command` and writes it to the store. With `--wait`, also waits
+/// until it is in force.
 ///
 /// # Errors
 ///
-/// When a file or the store cannot be used.
+/// Returns an error if the file cannot be read, if the store stays unavailable, or if
+/// the configuration is not in force within the time limit.
 pub async fn run(
     output: &Output,
     client: &Client,
@@ -75,22 +79,29 @@
     Ok(ExitStatus::Done)
 }
 
+/// How the store answered an update.
 enum WriteOutcome {
+    /// The store holds the update, under this version.
     Accepted(u64),
+    /// The store holds this other version, which the update is not based on.
     Conflict(u64, Box<StoredConfiguration>),
 }
 
-/// Writes the text if the store still holds version `base`.
+/// Writes the update `next` if the store still holds version `base`.
 ///
-/// The store may take the update and lose its answer. Who then wrote it is
-/// told by the id of the update, read back; a second try without looking
-/// would be refused as a conflict with ourselves.
+/// The store may apply the update although its answer is lost. Each attempt therefore
+/// reads the configuration first and compares its update id: a retry that only writes
+/// would be refused as a conflict with the tool's own update.
+///
+/// # Errors
+///
+/// Returns an error if no attempt gets a result. The store may hold the update even so.
 async fn write(
     client: &Client,
     base: u64,
     next: &mut StoredConfiguration,
 ) -> Result<WriteOutcome, String> {
-    let mut last_error = String::from("the store does not answer");
+    let mut last_error = String::from("every write was refused as a conflict");
     for _ in 0..MAX_WRITE_ATTEMPTS {
         let current = match client.configuration().await {
             Ok(current) => current,
@@ -104,7 +115,8 @@
             if stored.update_id == next.update_id {
                 return Ok(WriteOutcome::Accepted(version));
             }
-            // Our update may have been taken and replaced by the next one.
+            // The store may have applied the update, and then a later one of another
+            // operator. The update is in the history then.
             if let Some(own_version) = find_own_version(&stored, next) {
                 return Ok(WriteOutcome::Accepted(own_version));
             }
@@ -123,9 +135,13 @@
             }
         }
     }
-    Err(format!("{last_error}; whether the text was accepted is not known, see `history`"))
+    Err(format!(
+        "{last_error}; it is unknown whether the configuration was accepted; check `history`"
+    ))
 }
 
+/// Finds the version that the update `next` got, in the history of `stored`. The history
+/// holds no update ids, so the time and the author identify the update.
 fn find_own_version(stored: &StoredConfiguration, next: &StoredConfiguration) -> Option<u64> {
     let own_update = stored
         .history
@@ -134,6 +150,7 @@
     own_update.map(|update| update.version)
 }
 
+/// The history of an update that replaces `stored`: its newest entry is `stored` itself.
 fn history_after(version: u64, stored: &StoredConfiguration) -> Vec<PastUpdate> {
     let newest = PastUpdate { version, author: stored.author.clone(), at_ms: stored.at_ms };
     std::iter::once(newest).chain(stored.history.iter().cloned()).take(HISTORY_LENGTH).collect()
@@ -151,15 +168,19 @@
         return;
     }
     eprintln!(
-        "not applied: your text was made from version {base}, but {} has put version {version} \
-         in force. What differs:",
+        "not applied: the file is based on version {base}, but {} has applied version \
+         {version} since. Differences:",
         other.author
     );
     let name = format!("version {version} by {}", other.author);
-    eprintln!("{}", configuration::difference(&other.text, text, &name, "your text"));
+    eprintln!("{}", configuration::difference(&other.text, text, &name, "your file"));
 }
 
-/// Waits until a version is in force on every instance that answers.
+/// Waits until a version is in force on every instance that answers, and on at least one.
+///
+/// # Errors
+///
+/// Returns an error if the version is not in force after `timeout`.
 async fn wait_in_force(
     output: &Output,
     client: &Client,
@@ -186,7 +207,10 @@
         }
         if outdated.is_empty() && in_force > 0 {
             if !unreachable.is_empty() {
-                eprintln!("not answering, and so not waited for: {}", unreachable.join(", "));
+                eprintln!(
+                    "did not wait for instances that do not answer: {}",
+                    unreachable.join(", ")
+                );
             }
             return Ok(ExitStatus::Done);
         }
--- a/cli/src/burn.rs
+++ b/cli/src/burn.rs
@@ -1,4 +1,5 @@
-//! The report on service-level burn.
+//! The `report burn` command: how fast each service uses up its error budget, the errors
+//! that its service-level objective allows.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -18,21 +19,25 @@
 use crate::command::ExitStatus;
 use crate::command::Output;
 
-/// Size of the plot.
+/// Width and height of the plot in pixels.
 const PLOT_SIZE_PX: (u32, u32) = (900, 480);
 
-/// Runs the command.
+/// Prints the burn rate of each service over all instances that answer. With `--svg`,
+/// also draws it.
 ///
 /// # Errors
 ///
-/// When the store or every instance does not answer.
+/// Returns an error if the store or every instance does not answer, if the stored
+/// configuration or the counts of an instance are not valid, or if the plot cannot be
+/// written.
 pub async fn run(
     output: &Output,
     client: &Client,
     command: &BurnCommand,
 ) -> Result<ExitStatus, String> {
     let (_, stored) = client.configuration().await?.ok_or("the store holds no configuration")?;
-    let config = config_check::check(&stored.text).config.ok_or("the stored text is not valid")?;
+    let config =
+        config_check::check(&stored.text).config.ok_or("the stored configuration is not valid")?;
     let (counts, unreachable) = collect_counts(client).await?;
     let now = since_epoch();
     let no_requests = BurnCounts::default();
@@ -52,14 +57,19 @@
     } else {
         print(output, &reports);
         if !unreachable.is_empty() {
-            eprintln!("not answering, and so not counted: {}", unreachable.join(", "));
+            eprintln!(
+                "without the counts of instances that do not answer: {}",
+                unreachable.join(", ")
+            );
         }
     }
     Ok(ExitStatus::Done)
 }
 
+/// Counts of each service, and ids of the instances that do not answer.
 type CollectedCounts = (BTreeMap<Arc<str>, BurnCounts>, Vec<String>);
 
+/// Sums the counts of all instances.
 async fn collect_counts(client: &Client) -> Result<CollectedCounts, String> {
     let mut sum: BTreeMap<Arc<str>, BurnCounts> = BTreeMap::new();
     let mut unreachable = Vec::new();
@@ -69,8 +79,10 @@
             unreachable.push(instance.id.to_string());
             continue;
         };
-        let counts: BTreeMap<Arc<str>, BurnCounts> = serde_json::from_value(counts)
-            .map_err(|error| format!("instance {} sent no counts: {error}", instance.id))?;
+        let counts: BTreeMap<Arc<str>, BurnCounts> =
+            serde_json::from_value(counts).map_err(|error| {
+                format!("instance {} sent counts that cannot be read: {error}", instance.id)
+            })?;
         for (service, counts) in counts {
             sum.entry(service).or_default().merge(&counts);
         }
@@ -111,7 +123,7 @@
     }
 }
 
-/// Draws a bar for each window of each service, on a scale of burn rates.
+/// Draws one bar for each window of each service; its height is the burn rate.
 fn draw(path: &Path, reports: &[ServiceBurn]) -> Result<(), Box<dyn std::error::Error>> {
     let root = SVGBackend::new(path, PLOT_SIZE_PX).into_drawing_area();
     root.fill(&WHITE)?;
@@ -134,7 +146,7 @@
                 (index % windows == windows / 2).then(|| reports.get(index / windows)).flatten();
             labelled_report.map(|report| report.service.to_string()).unwrap_or_default()
         })
-        .y_desc("burn rate (1 uses up the budget exactly)")
+        .y_desc("burn rate (1 = exactly the error budget)")
         .draw()?;
     let colours = [RED, BLUE, GREEN];
     for (service_index, report) in reports.iter().enumerate() {
--- a/cli/src/client.rs
+++ b/cli/src/client.rs
@@ -1,4 +1,4 @@
-//! Access to the store and to the instances.
+//! Client for the platform's store and for the admin interface of the instances.
 
 use std::time::Duration;
 
@@ -10,37 +10,37 @@
 use chervilwharf_daemon::platform_sync::StoredConfiguration;
 use serde_json::Value;
 
-/// Longest wait for an instance.
+/// Timeout of a query to an instance.
 const INSTANCE_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// The store and the instances it lists.
+/// Reads the platform's store and queries the instances that it lists.
 pub struct Client {
-    /// The store.
+    /// Client of the store.
     pub platform: HttpPlatform,
     http: reqwest::Client,
 }
 
 impl Client {
-    /// The store at `store_url`.
+    /// Creates a client for the store at the base address `store_url`.
     ///
     /// # Panics
     ///
-    /// Never with these fixed client options.
+    /// Panics only if the HTTP client refuses its fixed options, which it accepts.
     #[must_use]
     pub fn new(store_url: &str) -> Self {
         let http = reqwest::Client::builder()
             .no_proxy()
             .timeout(INSTANCE_TIMEOUT)
             .build()
-            .expect("the client has no unusual options");
+            .expect("the HTTP client accepts its fixed options");
         Self { platform: HttpPlatform::new(store_url.into()), http }
     }
 
-    /// The configuration with its version, if there is one.
+    /// Reads the configuration and its version; `None` if the store holds none.
     ///
     /// # Errors
     ///
-    /// When the store does not answer or holds something else.
+    /// Returns an error if the store does not answer or the stored value cannot be read.
     pub async fn configuration(&self) -> Result<Option<(u64, StoredConfiguration)>, String> {
         let stored = self.platform.get(CONFIGURATION_KEY).await.map_err(|e| e.to_string())?;
         let Some(stored) = stored else {
@@ -51,11 +51,11 @@
         Ok(Some((stored.version, configuration)))
     }
 
-    /// The instances on the platform's list.
+    /// Reads the list of instances; it is empty if the store holds none.
     ///
     /// # Errors
     ///
-    /// When the store does not answer.
+    /// Returns an error if the store does not answer or the list cannot be read.
     pub async fn instances(&self) -> Result<Vec<ListedInstance>, String> {
         let stored = self.platform.get(INSTANCES_KEY).await.map_err(|e| e.to_string())?;
         let Some(stored) = stored else {
@@ -65,11 +65,12 @@
             .map_err(|error| format!("the instance list cannot be read: {error}"))
     }
 
-    /// Asks an instance.
+    /// Sends a GET request for `path` to the admin address of an instance and returns the
+    /// JSON answer.
     ///
     /// # Errors
     ///
-    /// When it does not answer.
+    /// Returns an error if the instance does not answer in time, or not in JSON.
     pub async fn query_instance(
         &self,
         instance: &ListedInstance,
--- a/cli/src/command.rs
+++ b/cli/src/command.rs
@@ -1,4 +1,4 @@
-//! Arguments, exit codes and the way from one to the other.
+//! The command line: arguments, exit codes, and the dispatch to the commands.
 
 use std::io::Write;
 use std::path::PathBuf;
@@ -16,21 +16,22 @@
 use crate::request;
 use crate::status;
 
-/// Operates chervilwharf and answers what became of a request.
+/// Operates chervilwharf and reports the outcome of requests.
 ///
-/// Exit codes: 0 done, 1 failed, 2 bad arguments or a bad text, 3 the request
-/// did not run, 4 the request is in flight, 5 someone else changed the
+/// Exit codes: 0 success, 1 failure, 2 invalid arguments or configuration, 3 the
+/// request did not run, 4 the request is in flight, 5 another update changed the
 /// configuration first.
 #[derive(FromArgs)]
-#[argh(example = "Check a text: {command_name} check services.json")]
+#[argh(example = "Check a configuration file: {command_name} check services.json")]
 #[argh(
     example = "Apply it: {command_name} --store http://10.0.0.5:7000 apply services.json --base 41 --wait"
 )]
 #[argh(
-    example = "Ask: {command_name} --store http://10.0.0.5:7000 request charge-17 --account tenant-app --database lease-ledger-1"
+    example = "Get the outcome of a request: {command_name} --store http://10.0.0.5:7000 request charge-17 --account tenant-app --database lease-ledger-1"
 )]
 pub struct Arguments {
-    /// base address of the platform's store; default from `CHERVILWHARF_STORE`
+    /// base address of the platform's store; default: environment variable
+    /// `CHERVILWHARF_STORE`
     #[argh(option)]
     store: Option<String>,
     /// print JSON instead of text
@@ -55,46 +56,47 @@
     Verifier(VerifierCommand),
 }
 
-/// Check a configuration text and name every error with line and column.
+/// Check a configuration file and report each error with line and column.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 struct CheckCommand {
-    /// the text
+    /// configuration file
     #[argh(positional)]
     file: PathBuf,
 }
 
-/// Put a configuration text in force, unless someone else was faster.
+/// Apply a configuration file, unless the configuration has changed since its base
+/// version.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "apply")]
 pub struct ApplyCommand {
-    /// the text
+    /// configuration file
     #[argh(positional)]
     pub file: PathBuf,
-    /// version the text was made from, as `show` tells it; 0 for the first
+    /// version that the file is based on, as printed by `show`; 0 if the store holds none
     #[argh(option)]
     pub base: u64,
-    /// wait until it is in force on every live instance
+    /// wait until it is in force on every instance that answers
     #[argh(switch)]
     pub wait: bool,
-    /// longest wait in seconds
+    /// time limit of the wait in seconds
     #[argh(option, default = "60")]
     pub wait_limit_s: u64,
-    /// who applies it; default from USER
+    /// name that the history shows; default: environment variable USER
     #[argh(option)]
     pub author: Option<String>,
 }
 
-/// Print the configuration text; its version goes to standard error.
+/// Print the configuration; its version and author go to standard error.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "show")]
 struct ShowCommand {}
 
-/// Print what a text would change.
+/// Print what a configuration file would change.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "diff")]
 struct DiffCommand {
-    /// the text
+    /// configuration file
     #[argh(positional)]
     file: PathBuf,
 }
@@ -109,27 +111,27 @@
 #[argh(subcommand, name = "status")]
 struct StatusCommand {}
 
-/// Tell what became of a request: it ran once, did not run, or is in flight.
+/// Report the outcome of a request: it ran once, did not run, or is in flight.
 ///
-/// A request that did not run is kept from running from now on.
+/// A request that did not run is also prevented from running later.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "request")]
 pub struct RequestCommand {
-    /// name of the request
+    /// id of the request
     #[argh(positional)]
     pub id: String,
-    /// account that made it
+    /// client account that sent the request
     #[argh(option)]
     pub account: String,
-    /// database it was made for
+    /// database that the request was sent to
     #[argh(option)]
     pub database: String,
 }
 
-/// Tell from logs of instances why a request failed or was late.
+/// Explain from logs of instances why a request failed or was late.
 ///
-/// Lines that name the request are marked with a star; the others are what
-/// happened to its group and servers at that time.
+/// Lines that name the request are marked with a star. The others report events of
+/// its group, its servers and its instances at that time.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "explain")]
 pub struct ExplainCommand {
@@ -156,11 +158,12 @@
     Loss(LossCommand),
 }
 
-/// Where requests were refused, late or unknown, and why, from logs of instances.
+/// Report from logs of instances which requests were refused, late or of unknown
+/// outcome, and why.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "loss")]
 pub struct LossCommand {
-    /// also draw it over time into this SVG file
+    /// also draw the numbers over time into this SVG file
     #[argh(option)]
     pub svg: Option<PathBuf>,
     /// log files, one or more
@@ -168,34 +171,34 @@
     pub files: Vec<PathBuf>,
 }
 
-/// How fast each service uses up the errors its objective allows.
+/// Report how fast each service uses up its error budget.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "burn")]
 pub struct BurnCommand {
-    /// also draw it into this SVG file
+    /// also draw the burn rates into this SVG file
     #[argh(option)]
     pub svg: Option<PathBuf>,
 }
 
-/// Read a password from standard input and print its verifier for the text.
+/// Read a password from standard input and print its verifier for the configuration.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "verifier")]
 struct VerifierCommand {}
 
-/// How a command ended.
+/// Result of a command, which the process returns as its exit code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExitStatus {
-    /// Done.
+    /// The command succeeded.
     Done,
-    /// It could not be done.
+    /// The command failed.
     Failed,
-    /// The arguments or the text are wrong.
+    /// The arguments or the configuration are invalid.
     BadInput,
-    /// The request did not run.
+    /// The request did not run, and cannot run any more.
     DidNotRun,
     /// The request is in flight.
     InFlight,
-    /// Someone else changed the configuration first.
+    /// Another update changed the configuration first.
     Conflict,
 }
 
@@ -214,19 +217,20 @@
 
 /// Output of a command, as text or as JSON.
 pub struct Output {
-    /// JSON instead of text.
+    /// Whether the command prints JSON instead of text.
     pub json: bool,
 }
 
 impl Output {
-    /// Prints a line. A reader that closed the pipe has seen enough.
+    /// Prints a line to standard output. Errors are ignored, since the reader may close
+    /// the pipe early, like `head`.
     #[allow(clippy::unused_self, reason = "callers print through their output")]
     pub fn line(&self, text: impl std::fmt::Display) {
         let _ = writeln!(std::io::stdout(), "{text}");
     }
 }
 
-/// Runs the program with the arguments of the process.
+/// Runs the command that the arguments of the process name.
 #[tokio::main]
 pub async fn main() -> ExitCode {
     let arguments: Arguments = argh::from_env();
--- a/cli/src/configuration.rs
+++ b/cli/src/configuration.rs
@@ -1,4 +1,4 @@
-//! Commands about the configuration text.
+//! The commands `check`, `show`, `diff` and `history`, which read configurations.
 
 use std::path::Path;
 
@@ -15,17 +15,17 @@
 ///
 /// # Errors
 ///
-/// When it cannot be read.
+/// Returns an error that names the file if it cannot be read.
 pub fn read(file: &Path) -> Result<String, String> {
     std::fs::read_to_string(file)
         .map_err(|error| format!("{} cannot be read: {error}", file.display()))
 }
 
-/// Checks a text.
+/// Checks a configuration file and prints its errors and warnings.
 ///
 /// # Errors
 ///
-/// When the file cannot be read.
+/// Returns an error if the file cannot be read.
 pub fn check(output: &Output, file: &Path) -> Result<ExitStatus, String> {
     let text = read(file)?;
     let checked = config_check::check(&text);
@@ -57,13 +57,14 @@
     Ok(ExitStatus::Done)
 }
 
-/// Prints the text in the store.
+/// Prints the configuration in the store.
 ///
 /// # Errors
 ///
-/// When the store does not answer or holds none.
+/// Returns an error if the store does not answer or holds no configuration.
 pub async fn show(output: &Output, client: &Client) -> Result<ExitStatus, String> {
-    let (version, stored) = client.configuration().await?.ok_or("the store holds none")?;
+    let (version, stored) =
+        client.configuration().await?.ok_or("the store holds no configuration")?;
     if output.json {
         output.line(json!({ "version": version, "author": stored.author, "text": stored.text }));
     } else {
@@ -73,11 +74,11 @@
     Ok(ExitStatus::Done)
 }
 
-/// Prints what a file would change.
+/// Prints the difference between the configuration in the store and a file.
 ///
 /// # Errors
 ///
-/// When the file or the store cannot be read.
+/// Returns an error if the file or the store cannot be read.
 pub async fn diff(output: &Output, client: &Client, file: &Path) -> Result<ExitStatus, String> {
     let text = read(file)?;
     let stored = client.configuration().await?;
@@ -91,20 +92,22 @@
     Ok(ExitStatus::Done)
 }
 
-/// A unified diff of two texts.
+/// Returns a unified diff of two texts.
 #[must_use]
 pub fn difference(old: &str, new: &str, old_name: &str, new_name: &str) -> String {
     let diff = TextDiff::from_lines(old, new);
     diff.unified_diff().context_radius(2).header(old_name, new_name).to_string()
 }
 
-/// Prints who changed the configuration.
+/// Prints the version, time and author of the current configuration and of its recent
+/// predecessors.
 ///
 /// # Errors
 ///
-/// When the store does not answer or holds none.
+/// Returns an error if the store does not answer or holds no configuration.
 pub async fn history(output: &Output, client: &Client) -> Result<ExitStatus, String> {
-    let (version, stored) = client.configuration().await?.ok_or("the store holds none")?;
+    let (version, stored) =
+        client.configuration().await?.ok_or("the store holds no configuration")?;
     let now = json!({ "version": version, "author": stored.author, "at_ms": stored.at_ms });
     let past = stored.history.iter().map(|update| json!(update));
     let all: Vec<_> = std::iter::once(now).chain(past).collect();
--- a/cli/src/explain.rs
+++ b/cli/src/explain.rs
@@ -1,4 +1,4 @@
-//! "Why did this request fail, or take so long?", from logs alone.
+//! The `explain` command: reports from log files why a request failed or was late.
 
 use std::path::Path;
 
@@ -11,11 +11,12 @@
 use crate::command::ExplainCommand;
 use crate::command::Output;
 
-/// Runs the command.
+/// Prints the log lines that concern a request, the cause that follows from them, and
+/// the information that they lack. Fails if no line names the request.
 ///
 /// # Errors
 ///
-/// When a file cannot be read, with its name.
+/// Returns an error that names the file if a file cannot be read.
 pub fn run(output: &Output, command: &ExplainCommand) -> Result<ExitStatus, String> {
     let mut log = Vec::new();
     for file in &command.files {
@@ -43,11 +44,11 @@
     Ok(if story.lines.is_empty() { ExitStatus::Failed } else { ExitStatus::Done })
 }
 
-/// Reads the lines of a log; others are passed over.
+/// Reads the log lines of a file and skips lines of any other form.
 ///
 /// # Errors
 ///
-/// When the file cannot be read, with its name.
+/// Returns an error that names the file if it cannot be read.
 pub fn read_log(file: &Path) -> Result<Vec<LogLine>, String> {
     let text = std::fs::read_to_string(file);
     let text = text.map_err(|error| format!("{} cannot be read: {error}", file.display()))?;
--- a/cli/src/lib.rs
+++ b/cli/src/lib.rs
@@ -1,4 +1,5 @@
-//! The tool of operators and support engineers.
+//! Command-line tool for operators and support engineers: it checks and applies
+//! configurations, shows the state of a deployment, and analyses requests and logs.
 
 pub mod apply;
 pub mod burn;
--- a/cli/src/loss.rs
+++ b/cli/src/loss.rs
@@ -1,4 +1,5 @@
-//! "Where did we lose requests, and why?", from the logs of a whole run.
+//! The `report loss` command: reports from log files which requests were refused, late or
+//! of unknown outcome, and why.
 
 use std::path::Path;
 
@@ -15,14 +16,15 @@
 use crate::command::Output;
 use crate::explain::read_log;
 
-/// Size of the plot in pixels.
+/// Width and height of the plot in pixels.
 const PLOT_SIZE_PX: (u32, u32) = (960, 420);
 
-/// Runs the command.
+/// Prints the report. With `--svg`, also draws the numbers over time.
 ///
 /// # Errors
 ///
-/// When a file cannot be read, or the plot cannot be written, with its name.
+/// Returns an error if the files hold no log lines, or one that names the file if a file
+/// cannot be read or the plot cannot be written.
 pub fn run(output: &Output, command: &LossCommand) -> Result<ExitStatus, String> {
     let mut log = Vec::new();
     for file in &command.files {
@@ -57,7 +59,7 @@
     }
     if report.lines_left_out > 0 {
         output.line(format_args!(
-            "{} lines were left out by their budgets: so many more may be missing",
+            "{} log lines were omitted because of rate limits: up to as many requests may be missing",
             report.lines_left_out
         ));
     }
@@ -77,7 +79,7 @@
     formatted.join(", ")
 }
 
-/// Draws refused, unknown and late requests over time.
+/// Draws the numbers of refused, unknown and late requests over time, stacked.
 #[allow(clippy::cast_precision_loss, reason = "seconds and counts of a run")]
 fn draw(path: &Path, windows: &[LossWindow]) -> Result<(), Box<dyn std::error::Error>> {
     let root = SVGBackend::new(path, PLOT_SIZE_PX).into_drawing_area();
@@ -94,7 +96,7 @@
         .x_label_area_size(40)
         .y_label_area_size(60)
         .build_cartesian_2d(0.0..last_ms as f64 / 1e3, 0.0..highest as f64 * 1.1)?;
-    chart.configure_mesh().x_desc("seconds after the first line").draw()?;
+    chart.configure_mesh().x_desc("seconds after the first log line").draw()?;
     for window in windows {
         let (from_s, to_s) =
             (window.from_ms as f64 / 1e3, (window.from_ms + WINDOW_MS) as f64 / 1e3);
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! `chervilwharf`: the tool of operators and support engineers.
+//! `chervilwharf`: the command-line tool for operators and support engineers.
 
 use std::process::ExitCode;
 
--- a/cli/src/request.rs
+++ b/cli/src/request.rs
@@ -1,4 +1,4 @@
-//! "What became of this request?"
+//! The `request` command: reports the outcome of one request.
 
 use serde_json::Value;
 use serde_json::json;
@@ -8,11 +8,12 @@
 use crate::command::Output;
 use crate::command::RequestCommand;
 
-/// Runs the command: asks one instance after the other until one knows.
+/// Queries one instance after the other, until one returns the outcome of the request.
 ///
 /// # Errors
 ///
-/// When no instance can answer now.
+/// Returns an error if the store does not answer or no instance can determine the outcome
+/// now.
 pub async fn run(
     output: &Output,
     client: &Client,
@@ -33,9 +34,10 @@
             Err(error) => reason = error,
         }
     }
-    Err(format!("nobody can say now, ask again: {reason}"))
+    Err(format!("no instance can determine the outcome now, try again later: {reason}"))
 }
 
+/// The exit status for an answer; `None` if the answer has no outcome.
 fn exit_status(answer: &Value) -> Option<ExitStatus> {
     match answer["state"].as_str()? {
         "ran_once" => Some(ExitStatus::Done),
--- a/cli/src/status.rs
+++ b/cli/src/status.rs
@@ -1,4 +1,4 @@
-//! Instances, databases, owners and servers.
+//! The `status` command: shows instances, databases, owners and servers.
 
 use std::collections::BTreeMap;
 
@@ -9,11 +9,12 @@
 use crate::command::ExitStatus;
 use crate::command::Output;
 
-/// Runs the command.
+/// Prints the status of all instances and databases. Fails if an instance does not answer
+/// or a database has no owner.
 ///
 /// # Errors
 ///
-/// When the store does not answer.
+/// Returns an error if the store does not answer or its list of instances cannot be read.
 pub async fn run(output: &Output, client: &Client) -> Result<ExitStatus, String> {
     let mut instances = Vec::new();
     let mut databases: BTreeMap<String, Value> = BTreeMap::new();
@@ -40,7 +41,8 @@
     Ok(if all_answer && all_served { ExitStatus::Done } else { ExitStatus::Failed })
 }
 
-/// Keeps for each database what the owner with the highest term says.
+/// Adds the databases of one instance's status. If several instances report that they own
+/// a database, the entry with the highest term is kept.
 fn collect_databases(databases: &mut BTreeMap<String, Value>, instance: &str, status: &Value) {
     let Some(reported) = status["databases"].as_object() else {
         return;
@@ -86,7 +88,7 @@
             to_text(&database["open_transactions"])
         ));
         let Some(servers) = database["servers"].as_array() else {
-            output.line("  nobody serves it");
+            output.line("  no instance serves it");
             continue;
         };
         output.line("  server            role     applied        waiting  connections  usable");
