--- a/demo/src/deployment.rs
+++ b/demo/src/deployment.rs
@@ -1,4 +1,5 @@
-//! A whole deployment in one process, on embedded stand-ins.
+//! Starts a whole deployment in one process: the instances, and stand-ins for the store and
+//! the database servers.
 
 use std::error::Error;
 use std::net::Ipv4Addr;
@@ -15,36 +16,37 @@
 use chervilwharf_standin::target::TargetOptions;
 use serde_json::json;
 
-/// Instances of the demonstration.
+/// Number of instances that the demonstration starts.
 const INSTANCE_COUNT: usize = 3;
 
-/// Shared secret of the instances of the demonstration.
+/// Secret that the instances of the demonstration share.
 const PEER_KEY: &str = "only for the demonstration";
 
 /// A running deployment.
 pub struct Deployment {
-    /// The platform's store.
+    /// The stand-in for the platform's store.
     pub store: Store,
-    /// All database servers.
+    /// The stand-ins for all database servers.
     pub targets: Vec<Target>,
     /// All instances.
     pub daemons: Vec<Daemon>,
-    /// The configuration.
+    /// The configuration, with the addresses of the stand-ins.
     pub config: Config,
 }
 
-/// Any port of the loopback address.
+/// The loopback address with port 0, so that the operating system assigns a port.
 fn any_port() -> SocketAddr {
     (Ipv4Addr::LOCALHOST, 0).into()
 }
 
 impl Deployment {
-    /// Starts servers, store and instances for a configuration text. The
-    /// addresses of its servers are replaced by those of the stand-ins.
+    /// Starts servers, store and instances for a configuration text. The addresses of
+    /// the stand-ins replace those of the servers in the text.
     ///
     /// # Errors
     ///
-    /// When the text is not valid or something cannot be started.
+    /// Returns an error if the text is not valid or a part of the deployment cannot be
+    /// started.
     pub async fn start(text: &str) -> Result<Self, Box<dyn Error>> {
         let checked = config_check::check(text);
         let mut config = checked.config.ok_or_else(|| format!("{:?}", checked.findings))?;
@@ -71,6 +73,8 @@
     }
 }
 
+/// Starts the instances, spread over the failure domains, and writes their list to the
+/// store.
 async fn start_instances(config: &Config, store: &Store) -> Result<Vec<Daemon>, Box<dyn Error>> {
     let mut daemons = Vec::new();
     let mut listed = Vec::new();
--- a/demo/src/main.rs
+++ b/demo/src/main.rs
@@ -1,5 +1,5 @@
-//! The whole system in one process: store, database servers and instances,
-//! with a short sample of what it does.
+//! A demonstration: runs store, database servers and instances in one process, sends some
+//! sample requests, and then serves clients.
 
 mod deployment;
 
@@ -12,13 +12,13 @@
 use tokio_postgres::Client;
 use tokio_postgres::NoTls;
 
-/// Starts a whole deployment on embedded stand-ins and runs a short sample.
+/// Starts a whole deployment on embedded stand-ins and runs some sample requests.
 #[derive(FromArgs)]
 struct Arguments {
-    /// deployment: pl-mid or pnw
+    /// example configuration to use: pl-mid or pnw
     #[argh(option, default = "String::from(\"pl-mid\")")]
     deployment: String,
-    /// end after the sample instead of serving until Ctrl-C
+    /// exit after the sample requests instead of serving until Ctrl-C
     #[argh(switch)]
     once: bool,
 }
@@ -84,6 +84,8 @@
     Ok(client)
 }
 
+/// Writes a row through the first instance, reads it through the second, and gets the outcome
+/// of the write from the third.
 async fn run_sample(deployment: &Deployment) -> Result<(), Box<dyn Error>> {
     let account = choose_sample_account(deployment);
     let database = deployment.config.databases.keys().next().ok_or("no database")?;
@@ -112,7 +114,8 @@
     Ok(())
 }
 
-/// The account whose service has the highest priority.
+/// Chooses, among the accounts whose service reads its own writes by default, the one whose
+/// service has the highest priority, which is the lowest number.
 fn choose_sample_account(deployment: &Deployment) -> String {
     let config = &deployment.config;
     let priority = |services: &Vec<std::sync::Arc<str>>| {
@@ -129,11 +132,12 @@
     best.map(|(name, _)| name.to_string()).unwrap_or_default()
 }
 
+/// Prints the addresses of all parts, and commands that use them.
 fn print_addresses(deployment: &Deployment) {
     println!("store {}", deployment.store.url());
     for daemon in &deployment.daemons {
         println!(
-            "instance {} callers {} operators http://{}",
+            "instance {} clients {} admin http://{}",
             daemon.context().settings.instance,
             daemon.client_address,
             daemon.admin_address
--- a/standin/src/command.rs
+++ b/standin/src/command.rs
@@ -1,4 +1,4 @@
-//! The command line of the stand-ins.
+//! The command line, which runs a stand-in as a process.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -10,7 +10,7 @@
 use crate::target::Target;
 use crate::target::TargetOptions;
 
-/// Stand-ins for what surrounds chervilwharf.
+/// Stand-ins for the systems that chervilwharf connects to.
 #[derive(FromArgs)]
 struct Arguments {
     #[argh(subcommand)]
@@ -31,28 +31,28 @@
     /// name of the server
     #[argh(option)]
     id: String,
-    /// where it takes connections
+    /// address for client connections
     #[argh(option, default = "any_port()")]
     address: SocketAddr,
-    /// where it serves its log
+    /// address at which replicas pull its log
     #[argh(option, default = "any_port()")]
     replication_address: SocketAddr,
-    /// cost of a new connection in milliseconds
+    /// added duration of connecting, in milliseconds
     #[argh(option, default = "0")]
     connect_cost_ms: u64,
-    /// added cost of a statement in milliseconds
+    /// added duration of each statement, in milliseconds
     #[argh(option, default = "0")]
     statement_cost_ms: u64,
-    /// statements run at once
+    /// number of statements that run at once
     #[argh(option, default = "3")]
     slots: usize,
-    /// connections accepted
+    /// number of connections accepted
     #[argh(option, default = "64")]
     connections: usize,
-    /// file that keeps log and term over a restart
+    /// file that stores log and term, so that they survive a restart
     #[argh(option)]
     log_file: Option<PathBuf>,
-    /// the only login accepted; any if omitted
+    /// the only user name accepted; any if omitted
     #[argh(option)]
     login: Option<String>,
 }
@@ -61,7 +61,7 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "store")]
 struct StoreCommand {
-    /// where it listens
+    /// address of its HTTP interface
     #[argh(option, default = "any_port()")]
     address: SocketAddr,
 }
@@ -70,11 +70,12 @@
     (std::net::Ipv4Addr::LOCALHOST, 0).into()
 }
 
-/// Runs the program with the arguments of the process.
+/// Runs the stand-in that the arguments of the process name, until the process is killed.
+/// Prints a line that begins with `ready` when it accepts connections.
 ///
 /// # Errors
 ///
-/// When something cannot be started.
+/// Returns an error if the stand-in cannot be started.
 #[tokio::main]
 pub async fn main() -> Result<(), Box<dyn std::error::Error>> {
     let arguments: Arguments = argh::from_env();
--- a/standin/src/fault_proxy.rs
+++ b/standin/src/fault_proxy.rs
@@ -1,5 +1,5 @@
-//! A TCP proxy that cuts, delays and swallows, and that can act when given
-//! bytes pass.
+//! A TCP proxy for tests that injects network faults: it closes connections, delays or
+//! discards bytes, and can run an action when it sees given bytes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,50 +18,50 @@
 use tokio::sync::mpsc;
 use tokio::sync::watch;
 
-/// What happens to the bytes of one direction.
+/// What the proxy does with the bytes of one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Flow {
-    /// They pass.
+    /// The proxy forwards them.
     #[default]
     Pass,
-    /// They vanish; the connection stays open.
+    /// The proxy discards them. The connection stays open.
     Discard,
 }
 
-/// What the proxy does to connections.
+/// The faults that the proxy injects into all connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Behaviour {
-    /// Connections are closed and new ones refused.
+    /// Whether the proxy closes open connections and refuses new ones.
     pub cut: bool,
-    /// Bytes from the client to the server.
+    /// Treatment of bytes from the client to the server.
     pub up: Flow,
-    /// Bytes from the server to the client.
+    /// Treatment of bytes from the server to the client.
     pub down: Flow,
-    /// One-way delay.
+    /// Delay of the bytes, in each direction.
     pub delay: Duration,
 }
 
 impl Behaviour {
-    /// Both directions vanish.
+    /// Discards the bytes of both directions.
     #[must_use]
     pub fn silent() -> Self {
         Self { up: Flow::Discard, down: Flow::Discard, ..Self::default() }
     }
 
-    /// Everything is closed.
+    /// Closes all connections and refuses new ones.
     #[must_use]
     pub fn cut() -> Self {
         Self { cut: true, ..Self::default() }
     }
 
-    /// Everything passes after a delay.
+    /// Forwards all bytes after a delay in each direction.
     #[must_use]
     pub fn delayed(delay: Duration) -> Self {
         Self { delay, ..Self::default() }
     }
 }
 
-/// Direction of bytes.
+/// Direction in which bytes move.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
     /// From the client to the server.
@@ -70,24 +70,27 @@
     Down,
 }
 
-/// What a trigger does, once, when its bytes pass.
+/// Action that a trigger runs once, when its bytes arrive.
 type TriggerAction = Box<dyn FnOnce() + Send>;
 
+/// Runs an action when the proxy receives given bytes in one direction.
 struct Trigger {
     direction: Direction,
     bytes: Vec<u8>,
-    /// Whether the bytes themselves still pass before the action.
+    /// Whether the proxy forwards the bytes before it runs the action.
     after_passing: bool,
     action: TriggerAction,
 }
 
+/// State that the handle and the tasks of the proxy share.
 struct ProxyCore {
     upstream: Mutex<Option<SocketAddr>>,
     behaviour: watch::Sender<Behaviour>,
-    /// Connections with a lower number are silent for good.
+    /// Bytes of connections with a lower number are discarded permanently.
     blackholed_below: AtomicU64,
     next_connection: AtomicU64,
     trigger: Mutex<Option<Trigger>>,
+    /// Number of bytes forwarded so far, in both directions.
     bytes: AtomicU64,
 }
 
@@ -95,19 +98,19 @@
 #[derive(Clone)]
 pub struct FaultProxy {
     core: Arc<ProxyCore>,
-    /// Where clients connect.
+    /// Address to which clients connect.
     pub address: SocketAddr,
 }
 
-/// Bytes read at once.
+/// Largest number of bytes that one read returns.
 const CHUNK_BYTES: usize = 16 * 1024;
 
 impl FaultProxy {
-    /// Starts a proxy on any port of the loopback address.
+    /// Starts a proxy on a free port of the loopback address.
     ///
     /// # Errors
     ///
-    /// When no port can be had.
+    /// Returns an error if no port is available.
     pub async fn start() -> std::io::Result<Self> {
         let listener = TcpListener::bind((std::net::Ipv4Addr::LOCALHOST, 0)).await?;
         let address = listener.local_addr()?;
@@ -123,25 +126,26 @@
         Ok(Self { core, address })
     }
 
-    /// Says where connections lead.
+    /// Sets the server to which the proxy connects for new connections.
     pub fn set_upstream(&self, upstream: SocketAddr) {
         *self.core.upstream.lock().expect("never poisoned") = Some(upstream);
     }
 
-    /// Changes what happens to connections, open and new.
+    /// Sets the faults of open and new connections.
     pub fn set(&self, behaviour: Behaviour) {
         self.core.behaviour.send_replace(behaviour);
     }
 
-    /// Makes the connections open now go silent for good, while new ones
-    /// work: something in between lost track of them.
+    /// Discards all bytes of the connections that are open now, permanently, while new
+    /// connections work. This happens in practice when a device on the path, such as a
+    /// firewall, loses its connection table.
     pub fn blackhole_open_connections(&self) {
         let next = self.core.next_connection.load(Ordering::SeqCst);
         self.core.blackholed_below.store(next, Ordering::SeqCst);
     }
 
-    /// Runs `action` once when `bytes` pass in `direction`. They pass only
-    /// after the action, or before it if `after_passing`.
+    /// Runs `action` once, when `bytes` arrive in `direction`. The proxy forwards the
+    /// bytes after the action, or before it if `after_passing` is set.
     pub fn on_bytes(
         &self,
         direction: Direction,
@@ -154,13 +158,13 @@
         *self.core.trigger.lock().expect("never poisoned") = Some(trigger);
     }
 
-    /// Whether a trigger is still waiting for its bytes.
+    /// Returns whether a trigger is set that has not run its action yet.
     #[must_use]
     pub fn is_armed(&self) -> bool {
         self.core.trigger.lock().expect("never poisoned").is_some()
     }
 
-    /// Bytes that passed in both directions.
+    /// Number of bytes forwarded so far, in both directions.
     #[must_use]
     pub fn byte_count(&self) -> u64 {
         self.core.bytes.load(Ordering::Relaxed)
@@ -173,7 +177,8 @@
             continue;
         };
         if core.behaviour.borrow().cut {
-            // Dropping resets or closes it; either way the caller learns.
+            // Dropping the socket closes or resets the connection. The client gets an
+            // error in both cases.
             continue;
         }
         let number = core.next_connection.fetch_add(1, Ordering::SeqCst);
@@ -204,6 +209,7 @@
     }
 }
 
+/// Forwards the bytes of one direction, with the faults that are set.
 async fn forward_bytes(
     core: Arc<ProxyCore>,
     number: u64,
@@ -211,8 +217,8 @@
     mut from: OwnedReadHalf,
     to: OwnedWriteHalf,
 ) {
-    // A queue between reading and writing lets a delay move bytes in time
-    // without limiting how many are under way.
+    // The queue between reader and writer delays bytes without limiting the number of
+    // bytes in transit.
     let (sender, receiver) = mpsc::unbounded_channel();
     let writer = tokio::spawn(write_delayed(receiver, to));
     let mut buffer = vec![0; CHUNK_BYTES];
@@ -243,6 +249,8 @@
     let _ = writer.await;
 }
 
+/// Consumes the trigger if `chunk` holds its bytes. Runs its action at once, or returns it
+/// if it has to run after the chunk is forwarded.
 fn fire_trigger(core: &ProxyCore, direction: Direction, chunk: &[u8]) -> Option<TriggerAction> {
     let mut slot = core.trigger.lock().expect("never poisoned");
     let fires = slot.as_ref().is_some_and(|trigger| {
@@ -276,7 +284,8 @@
     }
 }
 
-/// Tokio's timer rounds up to whole milliseconds, too coarse for half of one.
+/// Sleeps for delays below a millisecond too. Tokio's timer rounds up to whole milliseconds,
+/// so a blocking thread waits for short delays.
 async fn precise_sleep(duration: Duration) {
     if duration >= Duration::from_millis(5) {
         tokio::time::sleep(duration).await;
--- a/standin/src/lib.rs
+++ b/standin/src/lib.rs
@@ -1,8 +1,8 @@
-//! Small stand-ins for what surrounds chervilwharf: database servers, the
-//! platform's store, a network that fails, and callers.
+//! Small stand-ins for the systems around chervilwharf: database servers (targets), the
+//! platform's store, an unreliable network, and clients.
 //!
-//! They exist for tests, measurements and the demonstration. No crate of the
-//! product depends on them.
+//! Tests, measurements and the demonstration use them. The proxy and its command-line tool
+//! don't depend on this crate.
 
 pub mod command;
 pub mod fault_proxy;
--- a/standin/src/main.rs
+++ b/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! `chervilwharf-standin`: stand-ins as processes of their own.
+//! `chervilwharf-standin`: runs a stand-in as a separate process.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     chervilwharf_standin::command::main()
--- a/standin/src/store.rs
+++ b/standin/src/store.rs
@@ -1,5 +1,6 @@
-//! The platform's store: objects with versions, conditional updates and
-//! watches, and the list of instances. Can be down, slow, or lose answers.
+//! Stand-in for the platform's store: it holds versioned objects, among them the list of
+//! instances, and offers conditional updates and watches over HTTP. Tests can make it
+//! unavailable or slow, or make it lose answers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -28,39 +29,43 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// Largest value, as the brief says.
+/// Largest size of a value in bytes, as required of the platform's store.
 const MAX_VALUE_BYTES: usize = 1_000_000;
 
-/// Longest wait of a watch.
+/// Longest time for which the store holds a watch open.
 const MAX_WATCH_WAIT: Duration = Duration::from_secs(30);
 
-/// What is wrong with the store.
+/// The faults that the store simulates.
 #[derive(Clone, Debug, Default)]
 #[derive(Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct StoreFaults {
-    /// Every call fails.
+    /// Whether every call fails.
     pub down: bool,
-    /// Every call takes this much longer.
+    /// Delay that is added to every call, in milliseconds.
     pub delay_ms: u64,
-    /// This many updates take effect, but their answer is lost.
+    /// Number of next updates that take effect although their answer is lost.
     pub lose_answers: u32,
 }
 
+/// A stored value with the version of its last update.
 #[derive(Clone, Debug)]
 struct Object {
     version: u64,
     value: String,
 }
 
+/// All objects by key. One version counter serves all of them.
 #[derive(Debug, Default)]
 struct Objects {
     version: u64,
     by_key: BTreeMap<String, Object>,
 }
 
+/// State that the handle and the HTTP handlers share.
 struct StoreCore {
     objects: Mutex<Objects>,
+    /// Wakes the open watches after each update.
     changed: watch::Sender<u64>,
     faults: Mutex<StoreFaults>,
     reads: std::sync::atomic::AtomicU64,
@@ -71,16 +76,17 @@
 #[derive(Clone)]
 pub struct Store {
     core: Arc<StoreCore>,
-    /// Where it listens.
+    /// Address of its HTTP interface.
     pub address: SocketAddr,
 }
 
 impl Store {
-    /// Starts a store on the current runtime; port 0 takes any.
+    /// Starts a store on the current Tokio runtime. With port 0 the operating system
+    /// assigns a port.
     ///
     /// # Errors
     ///
-    /// When the address cannot be bound.
+    /// Returns an error if the address cannot be bound.
     pub async fn start(address: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
@@ -102,13 +108,13 @@
         Ok(Self { core, address })
     }
 
-    /// Its base address.
+    /// Base address of its HTTP interface.
     #[must_use]
     pub fn url(&self) -> String {
         format!("http://{}", self.address)
     }
 
-    /// Changes what is wrong with it.
+    /// Sets the faults that the store simulates.
     pub fn set_faults(&self, faults: StoreFaults) {
         *self.core.faults.lock().expect("never poisoned") = faults;
     }
@@ -118,11 +124,12 @@
         self.core.put(key, value)
     }
 
-    /// Puts an object back to an older version, as from a backup.
+    /// Restores an object to an older version, as from a backup.
     ///
     /// # Panics
     ///
-    /// Never: the lock is never poisoned.
+    /// Panics if the lock is poisoned, which does not happen, since no code panics while
+    /// it holds the lock.
     pub fn restore(&self, key: &str, version: u64, value: &str) {
         let object = Object { version, value: value.to_owned() };
         let mut objects = self.core.objects.lock().expect("never poisoned");
@@ -131,14 +138,14 @@
         self.core.changed.send_replace(version);
     }
 
-    /// Reads an object, with its version.
+    /// Reads the version and the value of an object.
     #[must_use]
     pub fn get(&self, key: &str) -> Option<(u64, String)> {
         let objects = self.core.objects.lock().expect("never poisoned");
         objects.by_key.get(key).map(|object| (object.version, object.value.clone()))
     }
 
-    /// Calls so far: reads, watches included, and writes.
+    /// Numbers of reads and of writes so far. Watches count as reads.
     #[must_use]
     pub fn calls(&self) -> (u64, u64) {
         let load = |counter: &std::sync::atomic::AtomicU64| {
@@ -147,7 +154,7 @@
         (load(&self.core.reads), load(&self.core.writes))
     }
 
-    /// Sets the list of instances.
+    /// Writes the list of instances.
     pub fn set_instances(&self, instances: &Value) {
         self.put("instances", &instances.to_string());
     }
@@ -166,6 +173,7 @@
     }
 }
 
+/// Applies the simulated faults to each call, and counts the calls unless the store is down.
 async fn apply_faults(
     State(core): State<Arc<StoreCore>>,
     request: Request,
@@ -188,9 +196,12 @@
     response
 }
 
+/// Parameters of a read, which is a watch if `after` is set.
 #[derive(Deserialize)]
 struct WatchQuery {
+    /// The read waits until the object has another version than this.
     after: Option<u64>,
+    /// Longest wait in milliseconds.
     wait_ms: Option<u64>,
 }
 
@@ -221,6 +232,8 @@
     }
 }
 
+/// Writes an object, if its version is the one in the `if-match` header or the header is
+/// missing.
 async fn put_object(
     State(core): State<Arc<StoreCore>>,
     Path(key): Path<String>,
--- a/standin/src/target.rs
+++ b/standin/src/target.rs
@@ -1,5 +1,9 @@
-//! A database server: real SQL by SQLite behind the PostgreSQL protocol, a
-//! log shipped to replicas with settable lag, and terms.
+//! Stand-in for a database server (target): it runs SQL on SQLite behind the PostgreSQL
+//! protocol, replicates its log to replicas with an adjustable lag, and refuses work of
+//! other terms than its own.
+//!
+//! A term is the period in which one server is the primary of its group; a higher term
+//! replaces a lower one. A replica pulls the log from its upstream, the primary, over HTTP.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -29,34 +33,39 @@
 use crate::target_session::apply_entry;
 use crate::target_wire;
 
-/// How a stand-in server behaves.
+/// Settings of a stand-in server.
 #[derive(Clone, Debug)]
 pub struct TargetOptions {
-    /// Its name, by which it is told whom to follow.
+    /// Name of the server. Calls that make another server follow it use this name.
     pub id: String,
-    /// Where it takes connections; port 0 for any.
+    /// Address for client connections. With port 0 the operating system assigns a port.
     pub address: SocketAddr,
-    /// Where it serves its log; port 0 for any.
+    /// Address at which replicas pull its log. With port 0 the operating system assigns a
+    /// port.
     pub replication_address: SocketAddr,
-    /// Cost of a new connection.
+    /// Added duration of connecting.
     pub connect_cost: Duration,
-    /// Connections it accepts.
+    /// Largest number of open connections.
     pub connections: usize,
-    /// Statements it runs at once.
+    /// Number of statements that it runs at once.
     pub slots: usize,
-    /// Time each statement takes beyond its real work.
+    /// Added duration of each statement.
     pub statement_cost: Duration,
-    /// File that keeps log and term over a restart.
+    /// File that stores log and term, so that they survive a restart; without one, they
+    /// are lost.
     pub log_file: Option<PathBuf>,
-    /// The only login it accepts, for sessions and for its log.
+    /// The only user name that it accepts from clients; any if `None`. The pulls of its
+    /// replicas have to carry the same login.
     ///
-    /// A port given up by a server that was killed can be given to a server
-    /// of another deployment under test, whose peers still know it.
+    /// Several deployments are tested on one machine. When a server is killed, its port
+    /// can be assigned to a server of another deployment, while clients and replicas of
+    /// the killed server still use the address. The login makes the new server refuse them.
     pub login: Option<String>,
 }
 
 impl TargetOptions {
-    /// A server on any port, with the brief's limits and no added cost.
+    /// Settings with ports that the operating system assigns, the limits that the
+    /// requirements set for a server, and no added durations.
     #[must_use]
     pub fn new(id: &str) -> Self {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -74,16 +83,18 @@
     }
 }
 
-/// What sessions, replication and control share.
+/// State that sessions and replication share.
 pub(crate) struct TargetCore {
     pub options: TargetOptions,
     log: Mutex<ServerLog>,
     pub data: DataFile,
-    /// Serialises transactions that write.
+    /// Serialises transactions that write: each holds it from its begin to its end.
     pub write_lock: Arc<tokio::sync::Mutex<()>>,
+    /// Wakes open pulls after a commit on this server.
     pub entry_appended: Notify,
-    /// Whom it follows, or its term, has changed.
+    /// Interrupts the current pull after this server was told to follow another one.
     pub upstream_changed: Notify,
+    /// One permit for each statement that may run at once.
     pub slots: Semaphore,
     pub connection_count: AtomicUsize,
     lag_ms: AtomicU64,
@@ -107,30 +118,33 @@
 /// A running stand-in server.
 pub struct Target {
     core: Arc<TargetCore>,
-    /// Where it takes connections.
+    /// Address for client connections.
     pub address: SocketAddr,
-    /// Where it serves its log.
+    /// Address at which replicas pull its log.
     pub replication_address: SocketAddr,
 }
 
-/// How often a replica looks for entries that have become due.
+/// Pause after which a replica checks again for entries to apply, or for an upstream if it
+/// has none.
 const APPLY_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Longest wait of a replica for news from its primary; also its heartbeat.
+/// Longest time for which the primary holds a pull open when it has no new entry. Its empty
+/// response then serves as a heartbeat.
 const MAX_PULL_WAIT: Duration = Duration::from_millis(50);
 
-/// A pull without an answer for this long has failed.
+/// Timeout of a pull.
 const PULL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Entries in one answer to a pull.
+/// Largest number of entries in one response to a pull.
 const MAX_PULLED_ENTRIES: usize = 2000;
 
 impl Target {
-    /// Starts a server on the current runtime.
+    /// Starts a server on the current Tokio runtime.
     ///
     /// # Errors
     ///
-    /// When an address cannot be bound or the log file cannot be used.
+    /// Returns an error if an address cannot be bound, or the log file or the temporary
+    /// data file cannot be used.
     pub async fn start(options: TargetOptions) -> std::io::Result<Self> {
         let listener = TcpListener::bind(options.address).await?;
         let replication = TcpListener::bind(options.replication_address).await?;
@@ -161,25 +175,27 @@
         Ok(Self { core, address, replication_address })
     }
 
-    /// Makes this server, as a replica, apply entries only after `lag`.
+    /// Makes this server, while it is a replica, apply each entry `lag` after it received
+    /// the entry.
     pub fn set_lag(&self, lag: Duration) {
         let lag_ms = u64::try_from(lag.as_millis()).unwrap_or(u64::MAX);
         self.core.lag_ms.store(lag_ms, Ordering::Relaxed);
     }
 
-    /// Statements it has run.
+    /// Number of SQL statements that it has received, without transaction control and calls
+    /// of the `chervilwharf_…` functions.
     #[must_use]
     pub fn statement_count(&self) -> u64 {
         self.core.statements.load(Ordering::Relaxed)
     }
 
-    /// Whether it is the primary in the highest term it has seen.
+    /// Returns whether it is the primary of the highest term that it has received.
     #[must_use]
     pub fn is_primary(&self) -> bool {
         self.core.log().is_primary
     }
 
-    /// Connections open now.
+    /// Number of open connections.
     #[must_use]
     pub fn connection_count(&self) -> usize {
         self.core.connection_count.load(Ordering::Relaxed)
@@ -193,19 +209,25 @@
     core.lag_ms.store(lag_ms, Ordering::Relaxed);
 }
 
+/// Request of a replica for log entries of its upstream.
 #[derive(Serialize, Deserialize)]
 struct PullRequest {
     login: Option<String>,
+    /// Term of the replica.
     term: u64,
+    /// Last position of each term in the replica's log.
     ends: Vec<Position>,
 }
 
+/// Answer to a pull.
 #[derive(Serialize, Deserialize)]
 struct PullResponse {
     term: u64,
+    /// Whether the sender is the primary of the replica's term and accepts its login.
     is_primary: bool,
-    /// Entries both logs share.
+    /// Number of leading entries that both logs share.
     common: usize,
+    /// Entries that follow them; empty unless `is_primary`.
     entries: Vec<LogEntry>,
 }
 
@@ -218,8 +240,8 @@
     if !response.entries.is_empty() || !response.is_primary {
         return Json(response);
     }
-    // Nothing new: wait for the next commit, so that a replica learns of it
-    // without asking again and again.
+    // Without new entries, the response waits for the next commit, so that replicas
+    // receive commits promptly without frequent pulls.
     let _ = tokio::time::timeout(MAX_PULL_WAIT, entry_appended).await;
     Json(pull_response(&core, &pull))
 }
@@ -242,13 +264,14 @@
     PullResponse { term: log.term, is_primary, common, entries }
 }
 
+/// Pulls entries from the current upstream, as long as the server runs.
 async fn follow_upstream(core: Arc<TargetCore>) {
     let client = reqwest::Client::builder()
         .timeout(PULL_TIMEOUT)
         .no_proxy()
         .tcp_nodelay(true)
         .build()
-        .expect("the client has no unusual settings");
+        .expect("the HTTP client accepts its fixed settings");
     loop {
         let upstream_changed = core.upstream_changed.notified();
         let next_pull = {
@@ -266,7 +289,7 @@
             let response = client.post(url).json(&pull).send().await.ok()?;
             response.json::<PullResponse>().await.ok()
         };
-        // A server told to follow another one does not wait for the old one.
+        // When the upstream changes, the pull from the former upstream is abandoned.
         let response = tokio::select! {
             response = pulling => response,
             () = upstream_changed => continue,
@@ -279,7 +302,9 @@
     }
 }
 
-/// Appends what the primary sent, unless a newer term came in between.
+/// Appends the entries that the primary sent, and first removes entries that the primary
+/// lacks. Returns `false` and changes nothing if upstream or term have changed since the
+/// pull was sent, or if the sender is not the primary of the term.
 fn append_pulled(
     core: &TargetCore,
     upstream: &str,
@@ -302,6 +327,7 @@
     true
 }
 
+/// Applies received entries after the lag, as long as the server runs.
 async fn apply_received(core: Arc<TargetCore>) {
     loop {
         tokio::time::sleep(APPLY_INTERVAL).await;
@@ -318,13 +344,14 @@
     }
 }
 
-/// Applies everything received, whatever the lag: a server does so before it
-/// becomes the primary.
+/// Applies all entries of the log at once, regardless of the lag, when the server starts.
 pub(crate) fn apply_all(core: &TargetCore) {
     let mut log = core.log();
     apply_all_of(&core.data, &mut log);
 }
 
+/// Applies all entries of a locked log at once, regardless of the lag. A server does so
+/// before it becomes the primary.
 pub(crate) fn apply_all_of(data: &DataFile, log: &mut ServerLog) {
     while let Some((entry, _)) = log.entries.get(log.applied) {
         apply_entry(data, entry);
--- a/standin/src/target_contract.rs
+++ b/standin/src/target_contract.rs
@@ -1,25 +1,27 @@
-//! Reads calls of the `chervilwharf_…` functions. See docs/TARGETS.md.
+//! Parses calls of the `chervilwharf_…` SQL functions, the contract that every database
+//! server of a group fulfils. See docs/TARGETS.md.
 
-/// A call of one of the functions every server of a group offers.
+/// A call of one of these functions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ContractCall {
-    /// State of the server.
+    /// Returns the state of the server.
     State,
-    /// Refuse all lower terms.
+    /// Takes a term for its owner, so that the server refuses all lower terms.
     Fence { term: u64, owner: String },
-    /// Become the primary.
+    /// Makes the server the primary of its current term.
     Promote { term: u64, owner: String },
-    /// Follow a primary.
+    /// Makes the server a replica of a primary.
     Follow { term: u64, owner: String, primary: String, address: String },
-    /// Work of this session belongs to a term.
+    /// Binds the session to a term: its statements fail in any other term.
     UseTerm { term: u64 },
-    /// Fail unless this position is applied.
+    /// Fails unless the server has applied this position.
     RequirePosition { term: u64, index: u64 },
-    /// Last position that is applied.
+    /// Returns the last position that the server has applied.
     Position,
 }
 
-/// Reads `SELECT [* FROM] chervilwharf_name(arguments)`, if it is one.
+/// Parses `SELECT [* FROM] chervilwharf_name(arguments)`. Returns `None` for any other
+/// statement.
 pub fn parse(sql: &str) -> Option<ContractCall> {
     let rest = sql.trim().trim_end_matches(';').trim();
     let rest = rest.strip_prefix("SELECT ")?;
--- a/standin/src/target_log.rs
+++ b/standin/src/target_log.rs
@@ -1,4 +1,4 @@
-//! Replicated log and roles of the stand-in server.
+//! The replicated log of a stand-in server, with its term and its role, primary or replica.
 
 use std::fs::File;
 use std::fs::OpenOptions;
@@ -13,7 +13,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A value bound to a logged statement.
+/// A parameter value of a logged statement.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub enum LoggedValue {
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct LoggedStatement {
-    /// Its text, as SQLite takes it.
+    /// Its SQL text in the form for SQLite, without casts of parameters.
     pub sql: String,
     /// Its parameters.
     pub values: Vec<LoggedValue>,
@@ -43,57 +43,63 @@
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct LogEntry {
-    /// Its place.
+    /// Its position in the log.
     pub position: Position,
-    /// What it did.
+    /// The statements that wrote, in order; none in the first entry of a term.
     pub statements: Arc<Vec<LoggedStatement>>,
 }
 
-/// Lines of the file that survives a restart.
+/// A line of the log file: one change of log or term. A restart reads the file from the
+/// beginning and repeats the changes.
 #[derive(Serialize, Deserialize)]
 enum Record {
     Append(LogEntry),
+    /// Number of entries that remained.
     Truncate(u64),
+    /// Term and its owner.
     Term(u64, String),
 }
 
-/// The primary a server follows.
+/// The primary from which a replica pulls its log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Upstream {
-    /// Its name.
+    /// Name of the primary.
     pub id: String,
-    /// Where it serves its log.
+    /// Address at which it serves its log.
     pub address: String,
 }
 
 /// Log, term and role of one server.
 #[derive(Debug)]
 pub struct ServerLog {
-    /// Highest term seen.
+    /// Highest term that the server has received.
     pub term: u64,
-    /// Owner in that term.
+    /// Owner of that term.
     pub owner: String,
-    /// Promoted in that term.
+    /// Whether the server was promoted in that term.
     pub is_primary: bool,
-    /// Whom it follows.
+    /// The primary that the server follows, if any.
     pub upstream: Option<Upstream>,
-    /// Entries, with the time each was received.
+    /// Entries, each with the time when the server received it.
     pub entries: Vec<(LogEntry, Instant)>,
-    /// How many of them are applied.
+    /// Number of leading entries that are applied.
     pub applied: usize,
-    /// When the primary was last heard.
+    /// Time of the last pull that the primary answered, or of the call that set the
+    /// upstream.
     pub primary_contact_at: Option<Instant>,
-    /// Grows when applied entries were cut off and the data was rebuilt.
+    /// Increases by one each time applied entries are removed, which makes the server
+    /// rebuild its data.
     pub generation: u64,
     file: Option<File>,
 }
 
 impl ServerLog {
-    /// An empty log, or the one kept in `path`.
+    /// Creates a log, with the content of the file `path` if it exists. Later changes are
+    /// added to the file. Without `path`, the log is empty and only in memory.
     ///
     /// # Errors
     ///
-    /// When the file cannot be read or written.
+    /// Returns an error if the file cannot be read or opened for writing.
     pub fn new(path: Option<&Path>) -> std::io::Result<Self> {
         let mut log = Self {
             term: 0,
@@ -118,7 +124,8 @@
 
     fn load(&mut self, path: &Path) -> std::io::Result<()> {
         for line in BufReader::new(File::open(path)?).lines() {
-            // A torn last line is an entry that was never acknowledged.
+            // A crash can leave an incomplete last line. Its change was never
+            // acknowledged, so it is left out.
             let Ok(record) = serde_json::from_str::<Record>(&line?) else {
                 break;
             };
@@ -136,6 +143,7 @@
         Ok(())
     }
 
+    /// Adds a record to the log file, if there is one.
     fn persist(&mut self, record: &Record) {
         if let Some(file) = &mut self.file {
             let mut line = serde_json::to_vec(record).expect("a record is plain data");
@@ -144,12 +152,12 @@
         }
     }
 
-    /// Last entry received.
+    /// Position of the last entry received.
     pub fn received(&self) -> Position {
         self.entries.last().map_or(Position::ZERO, |(entry, _)| entry.position)
     }
 
-    /// Last entry applied.
+    /// Position of the last entry applied.
     pub fn applied_position(&self) -> Position {
         match self.applied {
             0 => Position::ZERO,
@@ -157,7 +165,8 @@
         }
     }
 
-    /// Takes a new term. The caller has checked that it is allowed.
+    /// Sets term and owner. A higher term ends the server's role in the former one. The
+    /// caller has to check that the server may take the term.
     pub fn set_term(&mut self, term: u64, owner: &str) {
         if term > self.term {
             self.is_primary = false;
@@ -169,13 +178,14 @@
         self.persist(&Record::Term(term, owner.to_owned()));
     }
 
-    /// Appends an entry.
+    /// Appends an entry that was received at `now`.
     pub fn append(&mut self, entry: LogEntry, now: Instant) {
         self.persist(&Record::Append(entry.clone()));
         self.entries.push((entry, now));
     }
 
-    /// Appends a transaction of our own as primary and returns its place.
+    /// Appends a transaction that this server committed as primary, and returns its
+    /// position. The transaction counts as applied.
     pub fn commit(&mut self, statements: Vec<LoggedStatement>) -> Position {
         let position = Position::new(self.term, self.entries.len() as u64 + 1);
         let entry = LogEntry { position, statements: Arc::new(statements) };
@@ -184,7 +194,8 @@
         position
     }
 
-    /// Cuts the log to `length` entries. Returns whether applied ones went.
+    /// Shortens the log to `length` entries. Returns whether it removed applied entries, so
+    /// that the caller has to rebuild the data.
     pub fn truncate(&mut self, length: usize) -> bool {
         if length >= self.entries.len() {
             return false;
@@ -199,7 +210,7 @@
         true
     }
 
-    /// Last index of each term in the log, oldest term first.
+    /// Last position of each term in the log, oldest term first.
     pub fn term_ends(&self) -> Vec<Position> {
         let mut ends: Vec<Position> = Vec::new();
         for (entry, _) in &self.entries {
@@ -211,7 +222,8 @@
         ends
     }
 
-    /// How many leading entries this log shares with one of these ends.
+    /// Number of leading entries that this log shares with another one, whose term ends are
+    /// `other`.
     pub fn common_length(&self, other: &[Position]) -> usize {
         let mut common = 0;
         for (mine, theirs) in self.term_ends().iter().zip(other) {
--- a/standin/src/target_session.rs
+++ b/standin/src/target_session.rs
@@ -1,7 +1,7 @@
 //! SQL sessions of the stand-in server, on SQLite.
 //!
-//! The data lies in a temporary file in WAL mode, since only there readers
-//! and a writer of SQLite leave each other alone.
+//! The data is in a temporary file in WAL mode, the only mode of SQLite in which readers
+//! and a writer don't block each other.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -25,12 +25,12 @@
 use crate::target_log::LoggedValue;
 use crate::target_log::Upstream;
 
-/// An error as a PostgreSQL client sees it.
+/// An error in the form that PostgreSQL clients receive.
 #[derive(Clone, Debug)]
 pub struct SqlError {
-    /// SQLSTATE.
+    /// SQLSTATE code.
     pub code: &'static str,
-    /// What is wrong.
+    /// Message text.
     pub message: String,
 }
 
@@ -63,25 +63,29 @@
 /// Rows and their columns.
 #[derive(Clone, Debug, Default)]
 pub struct Rows {
-    /// Names and types.
+    /// Names and types of the columns.
     pub columns: Vec<(String, Type)>,
-    /// Values.
+    /// Values of each row, in the order of the columns.
     pub rows: Vec<Vec<Value>>,
 }
 
-/// What a statement gave.
+/// Result of a statement.
 pub enum Outcome {
-    /// Rows.
+    /// It returned rows.
     Rows(Rows),
-    /// A command tag.
+    /// It ran without rows; the text is its command tag, such as `INSERT 0 1`.
     Done(String),
-    /// A transaction began.
+    /// It began a transaction.
     Begun,
-    /// A transaction ended, with this tag.
+    /// It ended a transaction; the text is its command tag.
     Ended(&'static str),
 }
 
-/// The temporary file with the data of one server.
+/// The temporary SQLite file with the data of one server, and the connection that applies
+/// log entries to it.
+///
+/// The generation counts the resets. Each generation has a file of its own, and sessions of
+/// an earlier generation open the new file before their next statement.
 pub struct DataFile {
     directory: PathBuf,
     generation: AtomicU64,
@@ -89,7 +93,7 @@
 }
 
 impl DataFile {
-    /// An empty database in a new directory.
+    /// Creates an empty database in a new temporary directory.
     pub fn new() -> std::io::Result<Self> {
         let name = format!("chervilwharf-standin-{}", uuid::Uuid::now_v7());
         let directory = std::env::temp_dir().join(name);
@@ -106,9 +110,10 @@
         self.directory.join(format!("{}.db", self.generation.load(Ordering::SeqCst)))
     }
 
-    /// Starts again from nothing, after applied entries were cut off.
+    /// Replaces the data by an empty database, after applied entries were removed from the
+    /// log.
     pub fn reset(&self) {
-        let mut connection = self.apply_connection.lock().expect("no code panics with it");
+        let mut connection = self.apply_connection.lock().expect("the connection is not poisoned");
         self.generation.fetch_add(1, Ordering::SeqCst);
         *connection = open(&self.path()).expect("a new file can be opened");
     }
@@ -120,8 +125,8 @@
     }
 }
 
-/// Opens a connection. The counter is what `chervilwharf_next_position()`
-/// returns on it.
+/// Opens a connection. The SQL function `chervilwharf_next_position()` returns the value of
+/// the counter that comes with it.
 fn open(path: &PathBuf) -> rusqlite::Result<(Connection, Arc<AtomicU64>)> {
     let connection = Connection::open(path)?;
     connection.pragma_update(None, "journal_mode", "WAL")?;
@@ -140,8 +145,12 @@
 }
 
 /// Applies one entry of the log.
+///
+/// # Panics
+///
+/// Panics if a statement of the entry fails, since the primary committed it.
 pub fn apply_entry(data: &DataFile, entry: &LogEntry) {
-    let guard = data.apply_connection.lock().expect("no code panics with it");
+    let guard = data.apply_connection.lock().expect("the connection is not poisoned");
     let (connection, next_position) = &*guard;
     next_position.store(entry.position.index, Ordering::SeqCst);
     let result = apply_statements(connection, &entry.statements);
@@ -185,7 +194,8 @@
     }
 }
 
-/// Binds `$1`, `$2`, … by name: SQLite numbers them by first appearance.
+/// Binds the parameters `$1`, `$2`, … by name, since SQLite numbers them in the order of
+/// their first appearance.
 fn bind(statement: &mut rusqlite::Statement<'_>, values: &[Value]) -> rusqlite::Result<()> {
     for index in 1..=statement.parameter_count() {
         let number = statement
@@ -199,8 +209,8 @@
     Ok(())
 }
 
-/// Takes casts of parameters out of a statement: `$2::bigint` becomes `$2`.
-/// Returns the type of each parameter that had one.
+/// Removes casts of parameters from a statement: `$2::bigint` becomes `$2`. Returns the text
+/// and, for each parameter, the type of its cast if it had one.
 pub fn strip_casts(sql: &str) -> (String, Vec<Option<Type>>) {
     let mut types: Vec<Option<Type>> = Vec::new();
     let mut output = String::with_capacity(sql.len());
@@ -238,6 +248,7 @@
     })
 }
 
+/// The transaction in which a session is.
 enum Transaction {
     None,
     Read,
@@ -245,22 +256,25 @@
         _lock: OwnedMutexGuard<()>,
         statements: Vec<LoggedStatement>,
     },
-    /// An error happened; everything but ROLLBACK is refused.
+    /// A statement failed; the session refuses all statements but those that end the
+    /// transaction.
     Failed,
 }
 
-/// One caller's session.
+/// The session of one client connection.
 pub struct Session {
     core: Arc<TargetCore>,
     connection: Connection,
     next_position: Arc<AtomicU64>,
+    /// Generation of the data file that the connection has open.
     generation: u64,
+    /// Term to which the client has bound the session, if any.
     term: Option<u64>,
     transaction: Transaction,
 }
 
 impl Session {
-    /// A session on the current data.
+    /// Creates a session on the current data.
     pub fn new(core: Arc<TargetCore>) -> Result<Self, SqlError> {
         let generation = core.data.generation.load(Ordering::SeqCst);
         let (connection, next_position) = open(&core.data.path()).map_err(|e| sqlite_error(&e))?;
@@ -287,7 +301,7 @@
         Ok(())
     }
 
-    /// Names and types of the columns of a statement; empty if it has none.
+    /// Returns the names and types of a statement's columns; empty if it returns no rows.
     pub fn describe(&mut self, sql: &str) -> Result<Vec<(String, Type)>, SqlError> {
         if let Some(call) = crate::target_contract::parse(sql) {
             return Ok(contract_columns(&call));
@@ -301,7 +315,7 @@
         Ok(columns_of(&statement))
     }
 
-    /// Runs one statement.
+    /// Runs one statement. If it fails, an open transaction is aborted.
     pub async fn run(&mut self, sql: &str, values: &[Value]) -> Result<Outcome, SqlError> {
         let result = self.run_inner(sql, values).await;
         if result.is_err() && !matches!(self.transaction, Transaction::None) {
@@ -381,8 +395,8 @@
         Ok(Outcome::Ended("COMMIT"))
     }
 
-    /// Commits while the log is locked, so that no fence comes between the
-    /// check of the term and the commit.
+    /// Checks the term, commits, and appends the transaction to the log, all under the lock
+    /// of the log. Otherwise a fence could raise the term between the check and the commit.
     fn commit_write(&mut self, statements: Vec<LoggedStatement>) -> Result<(), SqlError> {
         let core = self.core.clone();
         let mut log = core.log();
@@ -460,11 +474,13 @@
         Ok(Outcome::Rows(Rows { columns, rows }))
     }
 
+    /// Fails if the session is bound to another term than the server's.
     fn check_term(&self) -> Result<(), SqlError> {
         let log = self.core.log();
         self.check_term_in(log.term, &log.owner, log.is_primary, false)
     }
 
+    /// Fails like `check_term`, or if the server is not the primary.
     fn check_writable(&self) -> Result<(), SqlError> {
         let log = self.core.log();
         self.check_term_in(log.term, &log.owner, log.is_primary, true)
@@ -511,7 +527,8 @@
                     log.commit(Vec::new());
                     core.entry_appended.notify_waiters();
                 }
-                // The first entry of the term; a repeated call finds it again.
+                // The first entry of the term, so that a repeated call returns the same
+                // position.
                 let first = log.entries.iter().find(|(e, _)| e.position.term == *term);
                 let first = first.map_or(Position::ZERO, |(entry, _)| entry.position);
                 return Ok(position_row(first));
@@ -548,11 +565,13 @@
     }
 }
 
-/// SQLSTATE CW001; the detail is in the message in a fixed form.
+/// The error of a call or session whose term or owner is not the server's, with SQLSTATE
+/// CW001. Clients parse term and owner from the message, so its form is fixed.
 fn term_conflict(term: u64, owner: &str) -> SqlError {
     SqlError::new("CW001", format!("term {term} is held by {owner}"))
 }
 
+/// Fails unless `owner` holds the server's current term, and it is `term`.
 fn check_holder(
     log: &crate::target_log::ServerLog,
     term: u64,
--- a/standin/src/target_wire.rs
+++ b/standin/src/target_wire.rs
@@ -1,4 +1,4 @@
-//! The PostgreSQL side of the stand-in server.
+//! The PostgreSQL wire protocol of the stand-in server.
 
 use std::fmt::Debug;
 use std::sync::Arc;
@@ -44,7 +44,7 @@
 use crate::target_session::SqlError;
 use crate::target_session::strip_casts;
 
-/// Accepts connections for ever.
+/// Accepts client connections as long as the server runs.
 pub async fn accept(listener: TcpListener, core: Arc<TargetCore>) {
     loop {
         let Ok((socket, _)) = listener.accept().await else {
@@ -260,8 +260,8 @@
     Ok(QueryResponse::new(fields, stream::iter(encoded)))
 }
 
-/// SQLite types each value, PostgreSQL each column; a value that does not
-/// fit its column goes out as text.
+/// Encodes a value for its column. SQLite has a type for each value, PostgreSQL for each
+/// column; a value that does not fit the type of its column is sent as text.
 fn encode_value(encoder: &mut DataRowEncoder, value: &Value, kind: &Type) -> PgWireResult<()> {
     match (value, kind) {
         (Value::Null, _) => encoder.encode_field(&None::<String>),
