--- a/cli/src/loss.rs
+++ b/cli/src/loss.rs
@@ -59,7 +59,7 @@
     }
     if report.lines_left_out > 0 {
         output.line(format_args!(
-            "{} log lines were omitted because of rate limits: up to as many requests may be missing",
+            "{} log lines were omitted because of rate limits: as many requests may be missing",
             report.lines_left_out
         ));
     }
--- a/standin/src/target.rs
+++ b/standin/src/target.rs
@@ -92,7 +92,7 @@
     pub write_lock: Arc<tokio::sync::Mutex<()>>,
     /// Wakes open pulls after a commit on this server.
     pub entry_appended: Notify,
-    /// Interrupts the current pull after this server was told to follow another one.
+    /// Interrupts the current pull when a call of `chervilwharf_follow` changes the upstream.
     pub upstream_changed: Notify,
     /// One permit for each statement that may run at once.
     pub slots: Semaphore,
