--- a/cli/src/burn.rs
+++ b/cli/src/burn.rs
@@ -1,4 +1,5 @@
-//! The report on service-level burn.
+//! The `report burn` command: how fast each service uses up its error budget, the errors
+//! that its service-level objective allows.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -15,32 +16,36 @@
 
 use crate::client::Client;
 use crate::command::BurnCommand;
-use crate::command::Ending;
+use crate::command::ExitStatus;
 use crate::command::Output;
 
-/// Size of the plot.
-const PLOT_SIZE: (u32, u32) = (900, 480);
+/// Width and height of the plot in pixels.
+const PLOT_SIZE_PX: (u32, u32) = (900, 480);
 
-/// Runs the command.
+/// Prints the burn rate of each service over all instances that answer. With `--svg`,
+/// also draws it.
 ///
 /// # Errors
 ///
-/// When the store or every instance does not answer.
+/// Returns an error if the store or every instance does not answer, if the stored
+/// configuration or the counts of an instance are not valid, or if the plot cannot be
+/// written.
 pub async fn run(
     output: &Output,
     client: &Client,
     command: &BurnCommand,
-) -> Result<Ending, String> {
+) -> Result<ExitStatus, String> {
     let (_, stored) = client.configuration().await?.ok_or("the store holds no configuration")?;
-    let config = config_check::check(&stored.text).config.ok_or("the stored text is not valid")?;
-    let (counts, silent) = gather(client).await?;
+    let config =
+        config_check::check(&stored.text).config.ok_or("the stored configuration is not valid")?;
+    let (counts, unreachable) = collect_counts(client).await?;
     let now = since_epoch();
-    let none = BurnCounts::default();
+    let no_requests = BurnCounts::default();
     let reports: Vec<_> = config
         .services
         .iter()
         .map(|(name, service)| {
-            let counts = counts.get(name).unwrap_or(&none);
+            let counts = counts.get(name).unwrap_or(&no_requests);
             burn::report(name, service.objective, counts, now)
         })
         .collect();
@@ -48,37 +53,44 @@
         draw(path, &reports).map_err(|error| format!("{}: {error}", path.display()))?;
     }
     if output.json {
-        output.line(json!({ "services": reports, "not_answering": silent }));
+        output.line(json!({ "services": reports, "not_answering": unreachable }));
     } else {
         print(output, &reports);
-        if !silent.is_empty() {
-            eprintln!("not answering, and so not counted: {}", silent.join(", "));
+        if !unreachable.is_empty() {
+            eprintln!(
+                "without the counts of instances that do not answer: {}",
+                unreachable.join(", ")
+            );
         }
     }
-    Ok(Ending::Done)
+    Ok(ExitStatus::Done)
 }
 
-type Gathered = (BTreeMap<Arc<str>, BurnCounts>, Vec<String>);
+/// Counts of each service, and ids of the instances that do not answer.
+type CollectedCounts = (BTreeMap<Arc<str>, BurnCounts>, Vec<String>);
 
-async fn gather(client: &Client) -> Result<Gathered, String> {
+/// Sums the counts of all instances.
+async fn collect_counts(client: &Client) -> Result<CollectedCounts, String> {
     let mut sum: BTreeMap<Arc<str>, BurnCounts> = BTreeMap::new();
-    let mut silent = Vec::new();
+    let mut unreachable = Vec::new();
     let instances = client.instances().await?;
     for instance in &instances {
-        let Ok(counts) = client.ask(instance, "burn", &[]).await else {
-            silent.push(instance.id.to_string());
+        let Ok(counts) = client.query_instance(instance, "burn", &[]).await else {
+            unreachable.push(instance.id.to_string());
             continue;
         };
-        let counts: BTreeMap<Arc<str>, BurnCounts> = serde_json::from_value(counts)
-            .map_err(|error| format!("instance {} sent no counts: {error}", instance.id))?;
+        let counts: BTreeMap<Arc<str>, BurnCounts> =
+            serde_json::from_value(counts).map_err(|error| {
+                format!("instance {} sent counts that cannot be read: {error}", instance.id)
+            })?;
         for (service, counts) in counts {
             sum.entry(service).or_default().merge(&counts);
         }
     }
-    if silent.len() == instances.len() {
+    if unreachable.len() == instances.len() {
         return Err("no instance answers".into());
     }
-    Ok((sum, silent))
+    Ok((sum, unreachable))
 }
 
 fn alert_name(alert: Alert) -> &'static str {
@@ -111,9 +123,9 @@
     }
 }
 
-/// Draws a bar for each window of each service, on a scale of burn rates.
+/// Draws one bar for each window of each service; its height is the burn rate.
 fn draw(path: &Path, reports: &[ServiceBurn]) -> Result<(), Box<dyn std::error::Error>> {
-    let root = SVGBackend::new(path, PLOT_SIZE).into_drawing_area();
+    let root = SVGBackend::new(path, PLOT_SIZE_PX).into_drawing_area();
     root.fill(&WHITE)?;
     let rates = reports.iter().flat_map(|report| &report.windows).map(|window| window.burn_rate);
     let highest = rates.fold(1.0, f64::max) * 1.1;
@@ -129,17 +141,19 @@
         .configure_mesh()
         .disable_x_mesh()
         .x_labels(bars.max(1))
-        .x_label_formatter(&|at| {
-            let named = (at % windows == windows / 2).then(|| reports.get(at / windows)).flatten();
-            named.map(|report| report.service.to_string()).unwrap_or_default()
+        .x_label_formatter(&|index| {
+            let labelled_report =
+                (index % windows == windows / 2).then(|| reports.get(index / windows)).flatten();
+            labelled_report.map(|report| report.service.to_string()).unwrap_or_default()
         })
-        .y_desc("burn rate (1 uses up the budget exactly)")
+        .y_desc("burn rate (1 = exactly the error budget)")
         .draw()?;
     let colours = [RED, BLUE, GREEN];
-    for (service, report) in reports.iter().enumerate() {
-        for (at, window) in report.windows.iter().enumerate() {
-            let x = service * windows + at;
-            let bar = Rectangle::new([(x, 0.0), (x + 1, window.burn_rate)], colours[at].filled());
+    for (service_index, report) in reports.iter().enumerate() {
+        for (index, window) in report.windows.iter().enumerate() {
+            let x = service_index * windows + index;
+            let bar =
+                Rectangle::new([(x, 0.0), (x + 1, window.burn_rate)], colours[index].filled());
             chart.draw_series(std::iter::once(bar))?;
         }
     }
--- a/cli/src/request.rs
+++ b/cli/src/request.rs
@@ -1,46 +1,48 @@
-//! "What became of this request?"
+//! The `request` command: reports the outcome of one request.
 
 use serde_json::Value;
 use serde_json::json;
 
 use crate::client::Client;
-use crate::command::Ending;
+use crate::command::ExitStatus;
 use crate::command::Output;
 use crate::command::RequestCommand;
 
-/// Runs the command: asks one instance after the other until one knows.
+/// Queries one instance after the other, until one returns the outcome of the request.
 ///
 /// # Errors
 ///
-/// When no instance can answer now.
+/// Returns an error if the store does not answer or no instance can determine the outcome
+/// now.
 pub async fn run(
     output: &Output,
     client: &Client,
     command: &RequestCommand,
-) -> Result<Ending, String> {
+) -> Result<ExitStatus, String> {
     let query =
         [("database", &*command.database), ("account", &*command.account), ("id", &*command.id)];
     let mut reason = String::from("the store lists no instance");
     for instance in client.instances().await? {
-        match client.ask(&instance, "request", &query).await {
-            Ok(answer) => match ending(&answer) {
-                Some(ending) => {
+        match client.query_instance(&instance, "request", &query).await {
+            Ok(answer) => match exit_status(&answer) {
+                Some(exit_status) => {
                     print(output, command, &answer);
-                    return Ok(ending);
+                    return Ok(exit_status);
                 }
                 None => answer["reason"].as_str().unwrap_or("unknown").clone_into(&mut reason),
             },
             Err(error) => reason = error,
         }
     }
-    Err(format!("nobody can say now, ask again: {reason}"))
+    Err(format!("no instance can determine the outcome now, try again later: {reason}"))
 }
 
-fn ending(answer: &Value) -> Option<Ending> {
+/// The exit status for an answer; `None` if the answer has no outcome.
+fn exit_status(answer: &Value) -> Option<ExitStatus> {
     match answer["state"].as_str()? {
-        "ran_once" => Some(Ending::Done),
-        "did_not_run" => Some(Ending::DidNotRun),
-        "in_flight" => Some(Ending::InFlight),
+        "ran_once" => Some(ExitStatus::Done),
+        "did_not_run" => Some(ExitStatus::DidNotRun),
+        "in_flight" => Some(ExitStatus::InFlight),
         _ => None,
     }
 }
