--- a/soak/src/bin/soak-instance.rs
+++ b/soak/src/bin/soak-instance.rs
@@ -1,5 +1,5 @@
-//! One instance as a program of this package, so that a run of the soak always
-//! builds it anew.
+//! The instance as a binary of this package, so that building the soak also rebuilds the
+//! instance.
 
 use std::process::ExitCode;
 
--- a/soak/src/caller.rs
+++ b/soak/src/caller.rs
@@ -1,4 +1,9 @@
-//! Callers that write and read all the time, each in sessions of its own.
+//! The client workload: clients that write and read continuously, each in its own
+//! sessions.
+//!
+//! Each client runs one session after the other on a database chosen at random. It
+//! records every write with the outcome that was reported, and every read with the value
+//! that it has to return at least.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -24,22 +29,23 @@
 use crate::history::Sighting;
 use crate::history::Write;
 
-/// The item that one caller writes and all read.
+/// The item that one client writes and all clients read.
 const SHARED_ITEM: &str = "shared";
 
-/// Pause between two operations of a caller, at least and at most.
+/// Pause between two operations of a client, drawn from this range.
 const PAUSE_MS: std::ops::RangeInclusive<u64> = 1..=12;
 
-/// Operations of one session, at least and at most.
+/// Number of operations of one session, drawn from this range.
 const SESSION: std::ops::RangeInclusive<u32> = 5..=60;
 
-/// Pause after a connection could not be had.
+/// Pause between two sessions of a client, also after a failed connection attempt.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Pause between two looks for databases that were added.
+/// Pause between two checks whether an instance serves an added database.
 const SIGHTING_PAUSE: Duration = Duration::from_millis(60);
 
-/// Writes that were acknowledged, with the time at which that was heard.
+/// Values of acknowledged writes, each with the time at which the client received the
+/// acknowledgement.
 #[derive(Debug, Default)]
 struct Acknowledged(Vec<(Instant, String)>);
 
@@ -48,26 +54,26 @@
         self.0.push((Instant::now(), data));
     }
 
-    /// The newest that was acknowledged at least this long ago.
+    /// The newest value that was acknowledged at least `age` ago.
     fn newest(&self, age: Duration) -> Option<String> {
         let mut old = self.0.iter().rev().filter(|(at, _)| at.elapsed() >= age);
         old.next().map(|(_, data)| data.clone())
     }
 }
 
-/// What all callers share.
+/// State that all clients of the workload share.
 pub struct Crowd {
-    /// The deployment that they use.
+    /// The deployment under test.
     pub deployment: Arc<Deployment>,
-    /// Set when they have to end.
+    /// Set when the clients have to stop.
     pub stop: AtomicBool,
-    /// Operations that went well, by caller.
+    /// Number of successful operations of each client.
     pub done: Vec<AtomicU64>,
     shared: Mutex<Acknowledged>,
 }
 
 impl Crowd {
-    /// Callers of a deployment, which do nothing yet.
+    /// Creates the state for a number of clients, and starts none of them.
     #[must_use]
     pub fn new(deployment: Arc<Deployment>, size: usize) -> Self {
         Self {
@@ -83,21 +89,21 @@
     }
 }
 
-/// One caller.
+/// One client.
 pub struct Caller {
     crowd: Arc<Crowd>,
     number: usize,
     random: StdRng,
     next: u64,
-    /// Own writes that were acknowledged, over all sessions.
+    /// Acknowledged writes of this client, over all its sessions.
     acknowledged: Acknowledged,
-    /// The last of them in the present session.
+    /// Value of the last acknowledged write in the current session.
     of_session: Option<String>,
-    /// The instance of the present session.
+    /// Index of the instance that the current session is connected to.
     instance: usize,
 }
 
-/// Whether a session can go on.
+/// Whether the client can continue a session or has to open a new one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum After {
     GoOn,
@@ -116,7 +122,7 @@
 }
 
 impl Caller {
-    /// A caller whose choices follow from a seed.
+    /// Creates a client whose random choices are determined by a seed.
     #[must_use]
     pub fn new(crowd: Arc<Crowd>, number: usize, seed: u64) -> Self {
         let random = StdRng::seed_from_u64(seed.wrapping_mul(1_000).wrapping_add(number as u64));
@@ -124,7 +130,7 @@
         Self { crowd, number, random, next: 0, acknowledged, of_session: None, instance: 0 }
     }
 
-    /// Works until it is told to stop.
+    /// Runs sessions until the workload is stopped.
     pub async fn run(mut self) {
         while !self.crowd.stopped() {
             let database = match self.random.random_range(0..5) {
@@ -184,7 +190,7 @@
         }
     }
 
-    /// Runs a statement, and notes it if the connection ends instead.
+    /// Runs a statement, and records it if the connection ends without an answer.
     async fn query(&self, client: &mut Client, text: &str) -> Option<Answer> {
         let sent_at = Instant::now();
         let answer = client.try_query(text).await;
@@ -208,7 +214,7 @@
         self.crowd.done[self.number].fetch_add(1, Ordering::SeqCst);
     }
 
-    /// Notes how a write ended. The items hold its value if it is kept.
+    /// Records the outcome of a write of `data` to `items`.
     fn note(&mut self, items: &[String], ids: Vec<String>, data: &str, heard: Heard) {
         let write = Write { data: data.to_owned(), items: items.to_vec(), ids, heard };
         self.crowd.deployment.history.wrote(write);
@@ -245,7 +251,7 @@
             let answer = self.query(client, &format!("WRITE {item} {data}")).await;
             ids.push(client.last_id());
             if code(answer.as_ref()) != Some("DONE") {
-                // COMMIT was never sent: nothing may be kept.
+                // COMMIT was not sent, so no write of the transaction may be stored.
                 self.note(&items, ids, &data, Heard::NotKept);
                 return After::Reconnect;
             }
@@ -307,7 +313,8 @@
     }
 }
 
-/// Looks all the time which of the added databases instances know.
+/// Repeatedly checks whether a random instance serves a random database that was added
+/// during the run, until the workload is stopped.
 pub async fn look_for_databases(crowd: Arc<Crowd>, seed: u64) {
     let mut random = StdRng::seed_from_u64(seed);
     let deployment = &crowd.deployment;
--- a/soak/src/deployment.rs
+++ b/soak/src/deployment.rs
@@ -1,4 +1,5 @@
-//! The processes, stand-ins and proxies of one run.
+//! The deployment under test of one run: instance processes, the simulated store and
+//! database servers, and the fault proxies between them.
 
 use std::collections::VecDeque;
 use std::net::IpAddr;
@@ -33,31 +34,33 @@
 use crate::series::Selection;
 use crate::series::Shape;
 
-/// Replication delay when nothing is wrong.
+/// Replication delay of servers without a fault.
 const USUAL_LAG: Duration = Duration::from_millis(30);
 
-/// Time that a promotion takes.
+/// Time that the platform takes to promote a server.
 const PROMOTE_TIME: Duration = Duration::from_millis(150);
 
-/// Grace of a planned stop.
+/// Time in seconds that an instance may take to stop after SIGTERM.
 const GRACE_S: f64 = 4.0;
 
-/// Connections that each server takes.
+/// Maximum number of connections to each server.
 const CONNECTIONS: usize = 22;
 
-/// A server that left, or a store that is about to come back, stays away for this long.
+/// How long a drained server stays down, and how long a restored store stays down and
+/// then stays up before the lost writes are repeated.
 const AWAY: Duration = Duration::from_millis(500);
 
-/// Era that a store tells before it came back from a copy.
+/// Era that the store reports before its first restore from a backup. Each restore starts
+/// a new era.
 const FIRST_ERA: u64 = 1;
 
-/// Pause between two looks whether something has happened.
+/// Pause between two checks of a condition.
 pub const LOOK_AGAIN: Duration = Duration::from_millis(20);
 
-/// Ports that all instances use, each on an address of its own.
+/// Ports that all instances use, each instance on its own loopback address.
 ///
-/// Held on the first address as long as the run lasts, so that the system
-/// gives them to no other run.
+/// The ports stay bound on 127.0.0.1 during the run, so that the operating system assigns
+/// them to no other run.
 struct Ports {
     internal: TcpListener,
     front: TcpListener,
@@ -75,22 +78,22 @@
     listener.local_addr().expect("it is bound").port()
 }
 
-/// An instance and its way to the store.
+/// An instance and the fault proxy between it and the store.
 pub struct Instance {
-    /// Its name.
+    /// Name of the instance.
     pub name: String,
-    /// Where clients connect.
+    /// Address that clients connect to.
     pub front: SocketAddr,
-    /// Between it and the store.
+    /// Fault proxy between the instance and the store.
     pub store_proxy: FaultProxy,
     ready: SocketAddr,
     process: Mutex<Option<Process>>,
-    /// Counts the starts of its process.
+    /// Number of times the process was started.
     life: AtomicU64,
 }
 
 impl Instance {
-    /// Which start of its process this is.
+    /// Number of the current incarnation, which is the number of times the process was started.
     #[must_use]
     pub fn life(&self) -> u64 {
         self.life.load(Ordering::SeqCst)
@@ -102,29 +105,29 @@
         }
     }
 
-    /// Ends its process at once.
+    /// Kills the process, if it runs.
     pub fn kill(&self) {
         let process = self.process.lock().expect("never poisoned").take();
-        // Dropped, it is killed and waited for.
+        // `Process` kills its child and waits for it when it is dropped.
         drop(process);
     }
 
-    /// Stops it in its tracks.
+    /// Suspends the process with SIGSTOP.
     pub fn freeze(&self) {
         self.with_process(|process| process.freeze());
     }
 
-    /// Lets it go on.
+    /// Resumes the process with SIGCONT.
     pub fn thaw(&self) {
         self.with_process(|process| process.thaw());
     }
 
-    /// Asks it to stop.
+    /// Sends SIGTERM to the process.
     pub fn terminate(&self) {
         self.with_process(|process| process.terminate());
     }
 
-    /// Whether its process runs.
+    /// Whether the process runs.
     #[must_use]
     pub fn is_running(&self) -> bool {
         let mut runs = false;
@@ -132,8 +135,7 @@
         runs
     }
 
-    /// Waits until its process has ended, as after [`Self::terminate`]. One
-    /// that stands still does not end by itself; it is killed after its grace.
+    /// Waits until the process has exited, as it does after [`Self::terminate`]. A suspended process does not exit by itself and is killed when the time to stop is over.
     pub async fn wait_for_end(&self) {
         let until = Instant::now() + Duration::from_secs_f64(GRACE_S);
         while self.is_running() && Instant::now() < until {
@@ -142,7 +144,7 @@
         self.kill();
     }
 
-    /// Whether it says that it takes clients.
+    /// Whether the readiness endpoint reports that the instance accepts clients.
     pub async fn is_ready(&self) -> bool {
         let client = reqwest::Client::builder().no_proxy().timeout(Duration::from_secs(1));
         let client = client.build().expect("no unusual options");
@@ -151,33 +153,33 @@
     }
 }
 
-/// Everything of one run.
+/// The processes, simulators and recorded history of one run.
 pub struct Deployment {
-    /// The platform's store.
+    /// The simulated store of the platform.
     pub store: Store,
-    /// The servers.
+    /// The simulated database servers, which form one replication group.
     pub group: Group,
     /// The instances.
     pub instances: Vec<Instance>,
-    /// What was seen.
+    /// What clients observed, and when faults happened that the checks depend on.
     pub history: Arc<History>,
     server_proxies: Vec<FaultProxy>,
     ports: Ports,
     folder: PathBuf,
-    /// Databases added so far.
+    /// Number of databases added so far.
     added: AtomicU64,
-    /// Copies of the store that it has not come back from yet.
+    /// Backups of the store that were not restored yet, oldest first.
     copies: Mutex<VecDeque<StoreCopy>>,
-    /// Counts beginnings and ends of silences.
+    /// Counts how often the connections to the store were made unresponsive.
     silences: AtomicU64,
 }
 
 impl Deployment {
-    /// Starts everything and waits until all instances take clients.
+    /// Starts all parts and waits until all instances accept clients.
     ///
     /// # Panics
     ///
-    /// When one of them never does.
+    /// When a part cannot be started, or an instance does not become ready in time.
     pub async fn new(shape: Shape) -> Self {
         let group = Group::start("db", shape.servers, USUAL_LAG).await;
         tokio::spawn(servers::apply_for_ever(group.clone()));
@@ -223,13 +225,13 @@
         deployment
     }
 
-    /// The network before a server.
+    /// Fault proxy in front of a server.
     #[must_use]
     pub fn server(&self, number: usize) -> &FaultProxy {
         &self.server_proxies[number]
     }
 
-    /// Starts an instance that does not run.
+    /// Starts an instance, unless it runs already.
     pub fn start(&self, number: usize) {
         let instance = &self.instances[number];
         if instance.is_running() {
@@ -245,7 +247,7 @@
         *instance.process.lock().expect("never poisoned") = Some(process);
     }
 
-    /// Asks an instance to stop.
+    /// Sends SIGTERM to an instance and records the planned stop.
     pub fn stop(&self, number: usize) {
         let stop = Stop { instance: number, at: Instant::now() };
         self.instances[number].terminate();
@@ -265,13 +267,13 @@
         })
     }
 
-    /// Adds a database that was not there before.
+    /// Adds a new database to the configuration in the store.
     pub fn add_database(&self) {
         self.added.fetch_add(1, Ordering::SeqCst);
         self.write_configuration();
     }
 
-    /// All ways to the store go silent, and the connections on them for good.
+    /// Drops all traffic between instances and the store. Connections that are open now stay unresponsive even after [`Self::end_silence_of_store`].
     pub fn silence_store(&self) {
         self.forget_store_connections();
         for instance in &self.instances {
@@ -279,7 +281,7 @@
         }
     }
 
-    /// New connections to the store work again.
+    /// Lets new connections to the store work again. Connections that are open now stay unresponsive.
     pub fn end_silence_of_store(&self) {
         self.forget_store_connections();
         for instance in &self.instances {
@@ -287,7 +289,7 @@
         }
     }
 
-    /// Open connections to the store go silent for good.
+    /// Makes the open connections to the store unresponsive for the rest of the run. New connections work.
     pub fn forget_store_connections(&self) {
         self.silences.fetch_add(1, Ordering::SeqCst);
         for instance in &self.instances {
@@ -295,16 +297,16 @@
         }
     }
 
-    /// Adds a database, and measures when all instances know it.
+    /// Adds a database, and measures the time until all instances serve it.
     pub fn add_measured_database(self: &Arc<Self>) {
         self.add_database();
         let (added_at, number) = (Instant::now(), self.added());
         let silences = self.silences.load(Ordering::SeqCst);
         let deployment = self.clone();
         tokio::spawn(async move {
-            // How long it took is judged, also where some never knew it.
+            // The time is recorded even if some instances did not serve the database before the timeout; the check then reports the delay.
             let _unaware = deployment.unaware_of(number, added_at + PATIENCE).await;
-            // Else another silence began before all could know it.
+            // If the connections were made unresponsive again meanwhile, the time says nothing about this outage.
             if deployment.silences.load(Ordering::SeqCst) == silences {
                 let mut measured =
                     deployment.history.in_force_after.lock().expect("never poisoned");
@@ -313,7 +315,7 @@
         });
     }
 
-    /// Instances that do not get to know an added database until a moment.
+    /// Returns the instances that do not serve an added database by `until`.
     pub async fn unaware_of(&self, number: u64, until: Instant) -> Vec<&Instance> {
         let database = added_name(number);
         let mut unaware = Vec::new();
@@ -329,7 +331,7 @@
         unaware
     }
 
-    /// Databases added so far; the newest has this number.
+    /// Number of databases added so far, which is also the number of the newest one.
     #[must_use]
     pub fn added(&self) -> u64 {
         self.added.load(Ordering::SeqCst)
@@ -354,13 +356,12 @@
         self.store.put("config", "main", &spec);
     }
 
-    /// Copies what the store keeps.
+    /// Takes a backup of the store.
     pub fn copy_store(&self) {
         self.copies.lock().expect("never poisoned").push_back(self.store.copy());
     }
 
-    /// The store is away for a moment and comes back from a copy. The operator and the
-    /// servers write again what it lost.
+    /// Takes the store down for a moment and restores the oldest backup. Afterwards the simulated operator and servers repeat the writes that were lost.
     pub async fn restore_store(&self) {
         let copy = self.copies.lock().expect("never poisoned").pop_front();
         let copy = copy.expect("it was taken at the beginning of the fault");
@@ -372,7 +373,7 @@
         self.store.write_again(&lost);
     }
 
-    /// A server says that it leaves.
+    /// Marks a server as draining, at the server and in the store.
     pub fn begin_leaving(&self, server: usize) {
         self.group.set_leaving(server, true);
         self.store.publish_server(&self.group, server, "draining");
@@ -380,7 +381,7 @@
         self.history.leaving.lock().expect("never poisoned").push(leaving);
     }
 
-    /// A server that left ends, and comes back a moment later.
+    /// Stops a drained server, and restarts it as ready a moment later.
     pub async fn end_leaving(&self, server: usize) {
         self.group.crash(server);
         tokio::time::sleep(AWAY).await;
@@ -392,25 +393,26 @@
         own.for_each(|leaving| leaving.until = leaving.until.or(Some(Instant::now())));
     }
 
-    /// A server is as far behind as usual again.
+    /// Sets the replication delay of a server back to the default.
     pub fn set_usual_lag(&self, server: usize) {
         self.group.set_lag(server, USUAL_LAG);
     }
 
-    /// Folder with the settings and logs of the instances.
+    /// Directory with the settings and logs of the instances.
     #[must_use]
     pub fn folder(&self) -> &PathBuf {
         &self.folder
     }
 }
 
-/// Age that reads on the bounded route may have.
+/// Maximum staleness in milliseconds of reads on the `bounded` route.
 pub const BOUNDED_MS: u64 = 1_500;
 
-/// Age that reads of what others wrote may have, on the route of own writes.
+/// Maximum staleness in milliseconds of reads on the `own` route, for writes of other
+/// sessions.
 pub const OWN_MS: u64 = 2_500;
 
-/// Whether sessions on a database can be begun.
+/// Whether an instance accepts a session on a database.
 async fn knows_database(front: SocketAddr, database: &str) -> bool {
     let Some(mut client) = Client::try_connect(front, "new").await else {
         return false;
--- a/soak/src/fault.rs
+++ b/soak/src/fault.rs
@@ -1,4 +1,4 @@
-//! Every fault that a series can hold.
+//! The faults that a schedule can contain, and how each one is started and ended.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,76 +9,75 @@
 
 use crate::deployment::Deployment;
 
-/// A fault. Numbers name an instance or a server.
+/// A fault. The number is the index of the instance or server that it affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// An instance is killed; it starts again at the end.
+    /// An instance is killed, and started again when the fault ends.
     KillInstance(usize),
-    /// All instances are killed; they start again at the end.
+    /// All instances are killed, and started again when the fault ends.
     KillAllInstances,
-    /// An instance stands still.
+    /// The process of an instance is suspended.
     FreezeInstance(usize),
-    /// An instance is asked to stop; it starts again at the end.
+    /// An instance receives SIGTERM, and is started again when the fault ends.
     StopInstance(usize),
-    /// An instance does not reach the store.
+    /// Connections between an instance and the store are closed, and new ones refused.
     CutFromStore(usize),
-    /// Open connections of an instance to the store go silent for good.
+    /// The open connections of an instance to the store become unresponsive for the rest of the run.
     ForgetStoreConnections(usize),
-    /// A server ends all connections and takes none.
+    /// A server closes all connections and accepts no new ones.
     CrashServer(usize),
-    /// A server is reached by nobody: all bytes vanish.
+    /// All bytes to and from a server are dropped while its connections stay open.
     SilenceServer(usize),
-    /// Nothing that a server says arrives.
+    /// All bytes that a server sends are dropped.
     MuteServer(usize),
-    /// Each byte to and from a server takes longer.
+    /// All bytes to and from a server are delayed.
     DelayServer(usize),
-    /// Open connections to a server go silent for good.
+    /// The open connections to a server become unresponsive for the rest of the run.
     ForgetServerConnections(usize),
-    /// A server runs commits and its answers are lost.
+    /// A server runs commits, and its answers to them are lost.
     LoseCommitAnswers(usize),
-    /// A server runs writes and its answers are lost.
+    /// A server runs writes, and its answers to them are lost.
     LoseWriteAnswers(usize),
-    /// A server runs commits, and ends the connection instead of an answer.
+    /// A server runs commits, and closes the connection instead of answering.
     BreakCommitAnswers(usize),
-    /// A server runs writes, and ends the connection instead of an answer.
+    /// A server runs writes, and closes the connection instead of answering.
     BreakWriteAnswers(usize),
-    /// A server refuses statements as too many.
+    /// A server refuses statements as overloaded.
     BusyServer(usize),
-    /// A server applies what it receives much later.
+    /// A server applies replicated entries with a large delay.
     LagServer(usize),
-    /// A server says that it leaves, and ends at the end of the fault.
+    /// A server is marked as draining, and restarted when the fault ends.
     LeavingServer(usize),
     /// The store refuses all calls.
     StoreDown,
-    /// The store answers nothing.
+    /// The store answers no call.
     StoreSilent,
-    /// The store does what it is asked to and does not answer.
+    /// The store executes calls, but its answers are lost.
     StoreLosesAnswers,
-    /// The store forgets its history.
+    /// The store discards the history of its changes.
     StoreForgets,
-    /// The operator writes a configuration with one more database.
+    /// A configuration with one more database is written to the store.
     Configuration,
-    /// At its end the store comes back from a copy of its beginning.
+    /// A backup of the store is taken when the fault begins, and restored when it ends.
     StoreComesBack,
-    /// The store answers nothing that it receives, nor on connections of before its
-    /// return, when the operator writes a configuration.
+    /// All traffic to the store is dropped. When the fault ends, a configuration is written and only new connections work; those from before stay unresponsive.
     StoreSwallows,
-    /// Open connections of all instances to the store go silent for good, just before
-    /// the operator writes a configuration.
+    /// The open connections of all instances to the store become unresponsive for the rest of the run, just before a configuration is written.
     ForgetAllStoreConnections,
 }
 
-/// One-way delay of a slow server.
+/// One-way network delay of [`Fault::DelayServer`].
 const DELAY: Duration = Duration::from_millis(80);
 
-/// Lag of a server that is far behind: beyond the age that clients allow.
+/// Replication delay of [`Fault::LagServer`], longer than the maximum staleness of any
+/// route.
 const FAR_BEHIND: Duration = Duration::from_secs(3);
 
-/// Statements that a busy server refuses.
+/// Number of statements that a server refuses in [`Fault::BusyServer`].
 const REFUSED_AS_BUSY: usize = 200;
 
 impl Fault {
-    /// Brings it about.
+    /// Starts the fault.
     pub fn begin(self, deployment: &Arc<Deployment>) {
         let instances = &deployment.instances;
         match self {
@@ -129,7 +128,7 @@
         }
     }
 
-    /// Ends it.
+    /// Ends the fault.
     pub async fn end(self, deployment: &Arc<Deployment>) {
         let instances = &deployment.instances;
         match self {
@@ -170,7 +169,7 @@
         }
     }
 
-    /// Whether it keeps instances from learning what the platform says.
+    /// Whether the fault can delay or prevent platform updates from reaching an instance.
     #[must_use]
     pub fn hides_the_platform(self) -> bool {
         matches!(
--- a/soak/src/history.rs
+++ b/soak/src/history.rs
@@ -1,23 +1,22 @@
-//! What callers were told, for the check afterwards.
+//! What clients observed during a run, as input for the checks that follow it.
 
 use std::sync::Mutex;
 use std::time::Duration;
 use std::time::Instant;
 
-/// What a caller may conclude from the end of an operation.
+/// The outcome of a write as it was reported to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Heard {
-    /// It is kept.
+    /// The write was acknowledged and has to be stored.
     Kept,
-    /// Nothing of it is kept.
+    /// The write was rejected and must not be stored, not even in part.
     NotKept,
-    /// Nobody could say.
+    /// The answer leaves open whether the write is stored, or there was no answer.
     Unknown,
 }
 
 impl Heard {
-    /// Reads the code of an answer to a write or COMMIT; `None` stands for a
-    /// connection that ended.
+    /// Returns the outcome that an answer code to a write or COMMIT stands for. `None` stands for a connection that ended without an answer.
     #[must_use]
     pub fn from_code(code: Option<&str>) -> Self {
         match code {
@@ -34,99 +33,100 @@
 /// A write, or a transaction that writes the same value to several items.
 #[derive(Clone, Debug)]
 pub struct Write {
-    /// The value, which no other operation writes.
+    /// The value, which is unique to this write.
     pub data: String,
-    /// Items that it is written to.
+    /// Items that the value is written to.
     pub items: Vec<String>,
-    /// Ids of its statements.
+    /// Request ids of the statements.
     pub ids: Vec<String>,
-    /// What the caller was told.
+    /// The outcome that the client received.
     pub heard: Heard,
 }
 
-/// A read.
+/// A read that was answered.
 #[derive(Clone, Debug)]
 pub struct Read {
-    /// What it read.
+    /// The item.
     pub item: String,
-    /// What it saw.
+    /// The value that was returned.
     pub saw: String,
-    /// A value that it must see, or a later one.
+    /// The read has to return this value or a later one.
     pub must_see: Option<String>,
-    /// Which promise asks for that.
+    /// Name of the consistency guarantee that requires `must_see`.
     pub promise: &'static str,
 }
 
-/// Whether an instance knew a database that was added.
+/// The result of a check whether an instance serves a database that was added during the
+/// run.
 #[derive(Clone, Debug)]
 pub struct Sighting {
-    /// The instance.
+    /// Index of the instance.
     pub instance: usize,
-    /// Which start of its process.
+    /// Incarnation of the instance.
     pub life: u64,
     /// Number of the database.
     pub added: u64,
-    /// Whether a session on it could be begun.
+    /// Whether the instance accepted a session on the database.
     pub known: bool,
 }
 
-/// A server that said that it leaves.
+/// The period in which a server was draining.
 #[derive(Clone, Copy, Debug)]
 pub struct Leaving {
-    /// Its number.
+    /// Index of the server.
     pub server: usize,
-    /// When it said so.
+    /// When the server was marked as draining.
     pub since: Instant,
-    /// When it came back, if it did.
+    /// When the server was ready again; `None` while it is draining.
     pub until: Option<Instant>,
 }
 
 /// A request whose connection ended without an answer.
 #[derive(Clone, Copy, Debug)]
 pub struct Cut {
-    /// The instance that it was sent to.
+    /// Index of the instance that the request was sent to.
     pub instance: usize,
-    /// When it was sent.
+    /// When the request was sent.
     pub sent_at: Instant,
-    /// When the end of the connection was seen.
+    /// When the client noticed the end of the connection.
     pub ended_at: Instant,
 }
 
-/// An instance that was asked to stop.
+/// A planned stop: an instance received SIGTERM.
 #[derive(Clone, Copy, Debug)]
 pub struct Stop {
-    /// Its number.
+    /// Index of the instance.
     pub instance: usize,
-    /// When.
+    /// When the signal was sent.
     pub at: Instant,
 }
 
-/// All that was seen in one run.
+/// Everything that was recorded in one run.
 #[derive(Debug, Default)]
 pub struct History {
-    /// Writes.
+    /// Writes with their reported outcomes.
     pub writes: Mutex<Vec<Write>>,
-    /// Reads.
+    /// Reads that were answered.
     pub reads: Mutex<Vec<Read>>,
-    /// Databases that were added.
+    /// Checks whether instances serve databases that were added.
     pub sightings: Mutex<Vec<Sighting>>,
-    /// Servers that left.
+    /// Periods in which servers were draining.
     pub leaving: Mutex<Vec<Leaving>>,
-    /// Requests without an answer.
+    /// Requests whose connection ended without an answer.
     pub cuts: Mutex<Vec<Cut>>,
-    /// Planned stops.
+    /// Planned stops of instances.
     pub stops: Mutex<Vec<Stop>>,
-    /// Time from each configuration after a silence until it was in force everywhere.
+    /// For each configuration that was written after an outage of the store: the time until it was in force at all instances.
     pub in_force_after: Mutex<Vec<Duration>>,
 }
 
 impl History {
-    /// Notes the end of a write.
+    /// Records a write.
     pub fn wrote(&self, write: Write) {
         self.writes.lock().expect("never poisoned").push(write);
     }
 
-    /// Notes a read.
+    /// Records a read.
     pub fn read(&self, read: Read) {
         self.reads.lock().expect("never poisoned").push(read);
     }
--- a/soak/src/judge.rs
+++ b/soak/src/judge.rs
@@ -1,4 +1,7 @@
-//! Compares what callers were told with what servers did.
+//! The checks after a run: compare what clients observed with the log of the database
+//! servers and the statements that they ran.
+//!
+//! Every function returns violations of a guarantee, each as one line of text.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -17,14 +20,15 @@
 use crate::history::Stop;
 use crate::history::Write;
 
-/// From then on a server that leaves may get nothing new. Far below the 7 s
-/// that the platform allows, far above what a change of primary takes.
+/// Time after which a draining server must receive no new statement. It is far below the
+/// 7 s that the platform allows, and far above the duration of a planned change of
+/// primary.
 const LEAVING_LIMIT: Duration = Duration::from_secs(2);
 
-/// Where values are in the log, by item and value.
+/// Positions in the log of each written pair of item and value.
 type Places<'a> = HashMap<(&'a str, &'a str), Vec<usize>>;
 
-/// All promises that were broken, a line each.
+/// Checks the writes, reads, transactions, session values and configurations of a run.
 #[must_use]
 pub fn judge(history: &History, log: &[Entry], runs: &[Run]) -> Vec<String> {
     let mut broken = Vec::new();
@@ -68,14 +72,15 @@
     if saw.is_none() && read.saw != "none" {
         broken.push(format!("read what nobody wrote: {read:?}"));
     }
-    // A value that is not there was reported as lost already.
+    // A required value that is missing in the log is reported by the check of its write.
     let must_see = read.must_see.as_deref().and_then(place);
     if must_see.is_some() && saw < must_see {
         broken.push(format!("stale by {}: {read:?}", read.promise));
     }
 }
 
-/// Statements of a transaction run on one connection, and inside it.
+/// Checks that all statements of a transaction ran on one connection and inside the
+/// transaction.
 fn judge_connections(writes: &[Write], runs: &[Run], broken: &mut Vec<String>) {
     let by_id: HashMap<&str, &Run> = runs.iter().map(|run| (run.request.as_str(), run)).collect();
     for write in writes.iter().filter(|write| write.items.len() > 1) {
@@ -87,7 +92,8 @@
     }
 }
 
-/// Statements run with the values of the session that sent them.
+/// Checks that each statement ran with the session values (`SET`) of the client that sent
+/// it.
 fn judge_values(runs: &[Run], broken: &mut Vec<String>) {
     for run in runs {
         let Some(number) = run.request.strip_prefix('c').and_then(|id| id.split('-').next()) else {
@@ -100,7 +106,7 @@
     }
 }
 
-/// A configuration that was in force at an instance does not go away.
+/// Checks that no incarnation of an instance falls back to an older configuration.
 fn judge_sightings(sightings: &[Sighting], broken: &mut Vec<String>) {
     let mut newest: BTreeMap<(usize, u64), u64> = BTreeMap::new();
     for sighting in sightings {
@@ -113,17 +119,18 @@
     }
 }
 
-/// By then a configuration has to be in force at all instances.
+/// Time within which a configuration has to be in force at all instances.
 const CONFIGURATION_LIMIT: Duration = Duration::from_secs(3);
 
-/// A configuration that the store took after a silence is in force soon.
+/// Checks that configurations written after an outage of the store were in force in time.
 #[must_use]
 pub fn judge_configurations(in_force_after: &[Duration]) -> Vec<String> {
     let late = in_force_after.iter().filter(|after| **after >= CONFIGURATION_LIMIT);
     late.map(|after| format!("a configuration was in force after {after:.2?}")).collect()
 }
 
-/// No token is used for two orders of a group: group, server, token of each.
+/// Checks that no fencing token of a group was used to promote two servers. Each
+/// promotion is given as group, server and token.
 #[must_use]
 pub fn judge_promotions(promotions: &[(String, String, u64)]) -> Vec<String> {
     let mut ordered: HashMap<(&str, u64), &str> = HashMap::new();
@@ -137,8 +144,8 @@
     broken
 }
 
-/// A server that leaves gets nothing new. Only for series that neither hide
-/// the platform from an instance nor take other servers away.
+/// Checks that a draining server receives no new work. Valid only for schedules that
+/// neither delay platform updates to an instance nor make other servers unavailable.
 #[must_use]
 pub fn judge_leaving(leaving: &[Leaving], runs: &[Run]) -> Vec<String> {
     let late = |left: &Leaving, run: &Run| {
@@ -150,8 +157,8 @@
     found.map(|run| format!("at a server that leaves: {run:?}")).collect()
 }
 
-/// A request that was in progress when its instance was asked to stop is
-/// answered. Only for series without a fault that could have cut it.
+/// Checks that requests in progress at a planned stop of their instance are answered.
+/// Valid only for schedules without a fault that can close the connection.
 #[must_use]
 pub fn judge_stops(cuts: &[Cut], stops: &[Stop]) -> Vec<String> {
     let in_progress = |cut: &Cut, stop: &Stop| {
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -1,7 +1,9 @@
-//! A fault soak: instances as separate processes, between clients and the
-//! stand-ins of the users' platform, under series of faults that a seed
-//! decides, while what clients and servers see is checked against what the
-//! proxy promises.
+//! A fault-injection soak test. It runs instances as separate processes between a client
+//! workload and simulators (stand-ins) of the platform's store and database servers.
+//!
+//! A seed determines a schedule of overlapping faults. After the run, the outcomes that
+//! clients saw and the statements that servers executed are checked against the
+//! consistency guarantees of the proxy.
 
 pub mod caller;
 pub mod deployment;
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -1,4 +1,5 @@
-//! Runs series of faults, one after the other, and prints a line for each.
+//! Runs the fault schedules of several seeds one after the other, and prints a result
+//! line for each.
 
 use std::process::ExitCode;
 
@@ -8,7 +9,7 @@
 use chervilwharf_soak::series::series;
 use chervilwharf_soak::soak;
 
-/// Soaks instances in overlapping faults and checks what the proxy promises.
+/// Runs instances under overlapping faults and checks the guarantees of the proxy.
 #[derive(FromArgs)]
 struct Arguments {
     /// first seed (default: 1)
@@ -17,18 +18,16 @@
     /// number of seeds (default: 10)
     #[argh(option, default = "10")]
     seeds: u64,
-    /// faults: any (default), planned (only what operators do on purpose: stops, servers
-    /// that leave, configurations), copies (any, and the store comes back from copies), or
-    /// silences (the store or connections to it go silent, beside planned work)
+    /// faults: any (default), planned (only planned operations: stops of instances, draining servers, configurations), copies (any, and the store is restored from backups), or silences (the store or connections to it become unresponsive, besides planned operations)
     #[argh(option, default = "Selection::Any", from_str_fn(selection))]
     faults: Selection,
-    /// check promises about time as well, which a busy machine can break
+    /// check time limits too; a heavily loaded machine can exceed them
     #[argh(switch)]
     timed: bool,
-    /// only series with a fault whose name contains this
+    /// run only seeds whose schedule has a fault whose name contains this text
     #[argh(option, default = "String::new()")]
     with: String,
-    /// show the faults of each series
+    /// print the faults of each seed
     #[argh(switch)]
     verbose: bool,
 }
@@ -88,8 +87,8 @@
     if failed > 0 { ExitCode::FAILURE } else { ExitCode::SUCCESS }
 }
 
-/// Seeds that are looked through for each that is wanted.
+/// Number of seeds that are examined for each requested one, when `--with` skips seeds.
 const SEARCHED: u64 = 1_000;
 
-/// Broken promises of one seed that are printed.
+/// Largest number of violations that are printed for one seed.
 const SHOWN: usize = 10;
--- a/soak/src/series.rs
+++ b/soak/src/series.rs
@@ -1,4 +1,5 @@
-//! A series of faults that overlap, decided by a seed.
+//! Fault schedules: a seed determines which faults happen in a run, when, and for how
+//! long. Faults can overlap.
 
 use std::time::Duration;
 
@@ -8,41 +9,41 @@
 
 use crate::fault::Fault;
 
-/// A fault with its time.
+/// A fault with its start time and duration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timed {
-    /// What happens.
+    /// The fault.
     pub fault: Fault,
-    /// When, from the start of the series.
+    /// When the fault begins, measured from the start of the schedule.
     pub at: Duration,
-    /// How long.
+    /// How long the fault lasts.
     pub lasts: Duration,
 }
 
-/// Which faults a series can hold.
+/// Which faults a schedule can contain.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Selection {
-    /// All of them.
+    /// All faults except those that only the other selections add.
     #[default]
     Any,
-    /// Only what operators do on purpose.
+    /// Only planned operations.
     PlannedWork,
-    /// All of them, and the store comes back from copies.
+    /// As `Any`, and the store is restored from backups.
     StoreCopies,
-    /// The store or connections to it go silent, beside planned work.
+    /// The store or connections to it become unresponsive, besides draining servers and new configurations.
     Silences,
 }
 
-/// How a deployment under test looks, and what is done to it.
+/// Size of the deployment under test, and which faults are injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Shape {
     /// Number of instances.
     pub instances: usize,
-    /// Number of servers of the group.
+    /// Number of database servers.
     pub servers: usize,
-    /// How long faults begin.
+    /// Time within which all faults begin.
     pub length: Duration,
-    /// Which faults.
+    /// Which faults the schedule can contain.
     pub selection: Selection,
 }
 
@@ -53,19 +54,21 @@
     }
 }
 
-/// Faults of one series, at least and at most.
+/// Number of faults of one schedule, drawn from this range.
 const FAULTS: std::ops::RangeInclusive<usize> = 3..=7;
 
-/// How long a fault lasts: from a blink to beyond all time-outs of the proxy.
+/// Duration of a fault in milliseconds, drawn from this range, which goes beyond all
+/// timeouts of the proxy.
 const LASTS_MS: std::ops::RangeInclusive<u64> = 200..=3_500;
 
-/// Share of the faults that are copies, where there are some.
+/// Probability that a fault is a restore of the store, in `Selection::StoreCopies`.
 const COPIES: f64 = 0.4;
 
-/// Share of the faults that are silences, where there are some.
+/// Probability that a fault makes the store or its connections unresponsive, in
+/// `Selection::Silences`.
 const SILENCES: f64 = 0.7;
 
-/// The series of a seed, in order of time.
+/// Returns the fault schedule of a seed, ordered by start time.
 #[must_use]
 pub fn series(seed: u64, shape: Shape) -> Vec<Timed> {
     let mut random = StdRng::seed_from_u64(seed);
--- a/soak/src/soak.rs
+++ b/soak/src/soak.rs
@@ -1,4 +1,5 @@
-//! One run: callers at work while a series of faults goes by.
+//! One run of the soak: clients work while the faults of a schedule are injected; then
+//! the checks compare what clients and servers observed.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -22,38 +23,37 @@
 use crate::series::Timed;
 use crate::series::series;
 
-/// Number of callers.
+/// Number of clients.
 const CALLERS: usize = 8;
 
-/// Operations that each caller has to get through before and after the faults.
+/// Operations that each client has to complete before the faults, and again after them.
 const PROGRESS: u64 = 10;
 
-/// What one run gave.
+/// The result of one run.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// Its seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// The faults.
+    /// The faults that were injected.
     pub series: Vec<Timed>,
-    /// Writes that were acknowledged.
+    /// Number of writes that were acknowledged.
     pub kept: usize,
-    /// Writes of which callers were told that nothing is kept.
+    /// Number of writes that were reported as not stored.
     pub not_kept: usize,
-    /// Writes of which nobody could say.
+    /// Number of writes whose outcome was not reported.
     pub unknown: usize,
-    /// Reads that were answered.
+    /// Number of reads that were answered.
     pub reads: usize,
-    /// Primaries that were replaced.
+    /// Number of promotions that the platform executed.
     pub promotions: usize,
-    /// Time from each configuration after a silence until it was in force at all
-    /// instances, unless another silence began meanwhile.
+    /// For each configuration that was written after an outage of the store: the time until it was in force at all instances, unless another outage began meanwhile.
     pub in_force_after: Vec<Duration>,
-    /// Promises that were broken.
+    /// Violations of guarantees, one line each.
     pub broken: Vec<String>,
 }
 
-/// Runs the series of a seed. `timed` says whether promises about time are
-/// checked as well, which a busy machine can break.
+/// Runs the fault schedule of a seed and checks the guarantees. `timed` enables the
+/// checks of time limits, which a heavily loaded machine can exceed.
 pub async fn run(seed: u64, shape: Shape, timed: bool) -> Report {
     let deployment = Arc::new(Deployment::new(shape).await);
     let crowd = Arc::new(Crowd::new(deployment.clone(), CALLERS));
@@ -101,7 +101,8 @@
     report
 }
 
-/// Brings each fault about at its time and ends it.
+/// Starts each fault at its time, ends it after its duration, and waits until all are
+/// over.
 async fn bring_about(deployment: &Arc<Deployment>, faults: &[Timed]) {
     let began = tokio::time::Instant::now();
     let mut running = JoinSet::new();
@@ -115,8 +116,7 @@
         });
     }
     while running.join_next().await.is_some() {}
-    // Where two faults overlapped, the end of one may have been before the
-    // beginning of the other's effect: all is made well once more.
+    // With overlapping faults, one fault can start an instance before another one kills or suspends it. All instances are resumed and started once more.
     for number in 0..deployment.instances.len() {
         deployment.instances[number].thaw();
         deployment.start(number);
@@ -141,7 +141,8 @@
     }
 }
 
-/// A configuration that is written when the faults are over is in force everywhere.
+/// Writes a configuration after the faults, and adds a violation for each instance at
+/// which it does not come into force.
 async fn wait_for_configuration(deployment: &Deployment, broken: &mut Vec<String>) {
     deployment.add_database();
     let number = deployment.added();
@@ -150,7 +151,8 @@
     }
 }
 
-/// Whether a server that leaves can be replaced and is seen to leave.
+/// Whether no other fault keeps instances from moving the work away from a draining
+/// server: the schedule affects at most one server, and no fault delays platform updates.
 fn leaves_undisturbed(faults: &[Timed]) -> bool {
     let servers = faults.iter().filter(|timed| {
         matches!(
@@ -185,7 +187,7 @@
     }
 }
 
-/// Removes settings and logs, unless they tell why something went wrong.
+/// Removes settings and logs, unless there were violations that they can explain.
 fn clean_up(deployment: &Deployment, report: &Report) {
     if !report.broken.is_empty() {
         eprintln!("settings and logs of seed {}: {}", report.seed, deployment.folder().display());
--- a/soak/tests/test_soak.rs
+++ b/soak/tests/test_soak.rs
@@ -1,5 +1,5 @@
-//! A short soak; the long one is run by hand with `cargo run --release -p
-//! chervilwharf-soak`.
+//! A short soak with a few seeds. `cargo run --release -p chervilwharf-soak` runs a
+//! longer one.
 
 use chervilwharf_soak::series::Selection;
 use chervilwharf_soak::series::Shape;
@@ -27,7 +27,8 @@
     assert!(report.broken.is_empty(), "{:#?}", report.broken);
 }
 
-/// Guards against a configuration that waits for a call that the store swallowed.
+/// Guards against an instance that applies a configuration late because it still waits
+/// for a call that the store never answers.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_configurations_are_in_force_after_silences_of_the_store() {
     let shape = Shape { selection: Selection::Silences, ..Shape::default() };
