--- a/soak/src/deployment.rs
+++ b/soak/src/deployment.rs
@@ -28,34 +28,34 @@
 use serde_json::Value;
 use serde_json::json;
 
+use crate::history::DrainPeriod;
 use crate::history::History;
-use crate::history::Leaving;
 use crate::history::Stop;
-use crate::series::Selection;
-use crate::series::Shape;
+use crate::schedule::Selection;
+use crate::schedule::SoakOptions;
 
 /// Replication delay of servers without a fault.
-const USUAL_LAG: Duration = Duration::from_millis(30);
+const DEFAULT_LAG: Duration = Duration::from_millis(30);
 
 /// Time that the platform takes to promote a server.
-const PROMOTE_TIME: Duration = Duration::from_millis(150);
+const PROMOTION_TIME: Duration = Duration::from_millis(150);
 
 /// Time in seconds that an instance may take to stop after SIGTERM.
-const GRACE_S: f64 = 4.0;
+const STOP_GRACE_S: f64 = 4.0;
 
 /// Maximum number of connections to each server.
-const CONNECTIONS: usize = 22;
+const MAX_SERVER_CONNECTIONS: usize = 22;
 
 /// How long a drained server stays down, and how long a restored store stays down and
 /// then stays up before the lost writes are repeated.
-const AWAY: Duration = Duration::from_millis(500);
+const DOWNTIME: Duration = Duration::from_millis(500);
 
 /// Era that the store reports before its first restore from a backup. Each restore starts
 /// a new era.
 const FIRST_ERA: u64 = 1;
 
 /// Pause between two checks of a condition.
-pub const LOOK_AGAIN: Duration = Duration::from_millis(20);
+pub const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Ports that all instances use, each instance on its own loopback address.
 ///
@@ -63,19 +63,19 @@
 /// them to no other run.
 struct Ports {
     internal: TcpListener,
-    front: TcpListener,
-    ready: TcpListener,
+    client: TcpListener,
+    readiness: TcpListener,
 }
 
 impl Ports {
-    fn hold() -> Self {
+    fn reserve() -> Self {
         let any = || TcpListener::bind("127.0.0.1:0").expect("a port can be had");
-        Self { internal: any(), front: any(), ready: any() }
+        Self { internal: any(), client: any(), readiness: any() }
     }
 }
 
 fn port(listener: &TcpListener) -> u16 {
-    listener.local_addr().expect("it is bound").port()
+    listener.local_addr().expect("the listener is bound").port()
 }
 
 /// An instance and the fault proxy between it and the store.
@@ -83,20 +83,20 @@
     /// Name of the instance.
     pub name: String,
     /// Address that clients connect to.
-    pub front: SocketAddr,
+    pub client_address: SocketAddr,
     /// Fault proxy between the instance and the store.
     pub store_proxy: FaultProxy,
-    ready: SocketAddr,
+    readiness_address: SocketAddr,
     process: Mutex<Option<Process>>,
     /// Number of times the process was started.
-    life: AtomicU64,
+    incarnation: AtomicU64,
 }
 
 impl Instance {
     /// Number of the current incarnation, which is the number of times the process was started.
     #[must_use]
-    pub fn life(&self) -> u64 {
-        self.life.load(Ordering::SeqCst)
+    pub fn incarnation(&self) -> u64 {
+        self.incarnation.load(Ordering::SeqCst)
     }
 
     fn with_process(&self, f: impl FnOnce(&mut Process)) {
@@ -137,9 +137,9 @@
 
     /// Waits until the process has exited, as it does after [`Self::terminate`]. A suspended process does not exit by itself and is killed when the time to stop is over.
     pub async fn wait_for_end(&self) {
-        let until = Instant::now() + Duration::from_secs_f64(GRACE_S);
+        let until = Instant::now() + Duration::from_secs_f64(STOP_GRACE_S);
         while self.is_running() && Instant::now() < until {
-            tokio::time::sleep(LOOK_AGAIN).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         self.kill();
     }
@@ -148,7 +148,7 @@
     pub async fn is_ready(&self) -> bool {
         let client = reqwest::Client::builder().no_proxy().timeout(Duration::from_secs(1));
         let client = client.build().expect("no unusual options");
-        let answer = client.get(format!("http://{}/-/ready", self.ready)).send().await;
+        let answer = client.get(format!("http://{}/-/ready", self.readiness_address)).send().await;
         answer.is_ok_and(|answer| answer.status().is_success())
     }
 }
@@ -169,9 +169,9 @@
     /// Number of databases added so far.
     added: AtomicU64,
     /// Backups of the store that were not restored yet, oldest first.
-    copies: Mutex<VecDeque<StoreCopy>>,
+    backups: Mutex<VecDeque<StoreCopy>>,
     /// Counts how often the connections to the store were made unresponsive.
-    silences: AtomicU64,
+    outages: AtomicU64,
 }
 
 impl Deployment {
@@ -180,25 +180,25 @@
     /// # Panics
     ///
     /// When a part cannot be started, or an instance does not become ready in time.
-    pub async fn new(shape: Shape) -> Self {
-        let group = Group::start("db", shape.servers, USUAL_LAG).await;
+    pub async fn new(options: SoakOptions) -> Self {
+        let group = Group::start("db", options.servers, DEFAULT_LAG).await;
         tokio::spawn(servers::apply_for_ever(group.clone()));
         let mut server_proxies = Vec::new();
-        for number in 0..shape.servers {
+        for number in 0..options.servers {
             let proxy = FaultProxy::start().await.expect("a port can be had");
             proxy.set_upstream(group.address(number));
             group.set_address(number, proxy.address);
             server_proxies.push(proxy);
         }
-        let store = Store::start(PROMOTE_TIME).await;
+        let store = Store::start(PROMOTION_TIME).await;
         store.add_group(&group);
-        let ports = Ports::hold();
+        let ports = Ports::reserve();
         let folder =
             std::env::temp_dir().join(format!("chervilwharf-soak-{}", uuid::Uuid::now_v7()));
         std::fs::create_dir_all(&folder).expect("a temporary folder can be made");
         let mut instances = Vec::new();
-        for number in 0..shape.instances {
-            instances.push(instance(number, &ports, &store).await);
+        for number in 0..options.instances {
+            instances.push(prepare_instance(number, &ports, &store).await);
         }
         let deployment = Self {
             store,
@@ -209,14 +209,14 @@
             ports,
             folder,
             added: AtomicU64::new(0),
-            copies: Mutex::default(),
-            silences: AtomicU64::new(0),
+            backups: Mutex::default(),
+            outages: AtomicU64::new(0),
         };
-        if shape.selection == Selection::StoreCopies {
+        if options.selection == Selection::StoreRestores {
             deployment.store.tell_era(FIRST_ERA);
         }
         deployment.write_configuration();
-        for number in 0..shape.instances {
+        for number in 0..options.instances {
             deployment.start(number);
         }
         for instance in &deployment.instances {
@@ -243,7 +243,7 @@
         let log = self.folder.join(format!("{}.log", instance.name));
         let arguments = ["--settings", &path.display().to_string()];
         let process = Process::start_quiet(&program("soak-instance"), &arguments, &log);
-        instance.life.fetch_add(1, Ordering::SeqCst);
+        instance.incarnation.fetch_add(1, Ordering::SeqCst);
         *instance.process.lock().expect("never poisoned") = Some(process);
     }
 
@@ -256,12 +256,12 @@
 
     fn settings(&self, instance: &Instance) -> Value {
         let internal = port(&self.ports.internal);
-        let seeds: Vec<_> = self.instances.iter().map(|other| other.front).collect();
+        let seeds: Vec<_> = self.instances.iter().map(|other| other.client_address).collect();
         let store = instance.store_proxy.address;
         json!({
-            "node": instance.name, "zone": "a", "ip": instance.front.ip(),
-            "bounds": { "grace_s": GRACE_S }, "limits": { "cpu_share": 0.25, "cores": 1 },
-            "listen": { "front": instance.front, "ready": instance.ready },
+            "node": instance.name, "zone": "a", "ip": instance.client_address.ip(),
+            "bounds": { "grace_s": STOP_GRACE_S }, "limits": { "cpu_share": 0.25, "cores": 1 },
+            "listen": { "front": instance.client_address, "ready": instance.readiness_address },
             "internal_ports": [internal, internal], "seeds": seeds,
             "platform": { "address": store }, "cloud": { "address": store },
         })
@@ -273,8 +273,8 @@
         self.write_configuration();
     }
 
-    /// Drops all traffic between instances and the store. Connections that are open now stay unresponsive even after [`Self::end_silence_of_store`].
-    pub fn silence_store(&self) {
+    /// Drops all traffic between instances and the store. Connections that are open now stay unresponsive even after [`Self::restore_store_network`].
+    pub fn make_store_unresponsive(&self) {
         self.forget_store_connections();
         for instance in &self.instances {
             instance.store_proxy.set(Behaviour::silent());
@@ -282,7 +282,7 @@
     }
 
     /// Lets new connections to the store work again. Connections that are open now stay unresponsive.
-    pub fn end_silence_of_store(&self) {
+    pub fn restore_store_network(&self) {
         self.forget_store_connections();
         for instance in &self.instances {
             instance.store_proxy.set(Behaviour::default());
@@ -291,23 +291,24 @@
 
     /// Makes the open connections to the store unresponsive for the rest of the run. New connections work.
     pub fn forget_store_connections(&self) {
-        self.silences.fetch_add(1, Ordering::SeqCst);
+        self.outages.fetch_add(1, Ordering::SeqCst);
         for instance in &self.instances {
             instance.store_proxy.forget_open_connections();
         }
     }
 
     /// Adds a database, and measures the time until all instances serve it.
-    pub fn add_measured_database(self: &Arc<Self>) {
+    pub fn add_database_and_measure(self: &Arc<Self>) {
         self.add_database();
-        let (added_at, number) = (Instant::now(), self.added());
-        let silences = self.silences.load(Ordering::SeqCst);
+        let (added_at, number) = (Instant::now(), self.added_count());
+        let outages = self.outages.load(Ordering::SeqCst);
         let deployment = self.clone();
         tokio::spawn(async move {
             // The time is recorded even if some instances did not serve the database before the timeout; the check then reports the delay.
-            let _unaware = deployment.unaware_of(number, added_at + PATIENCE).await;
+            let _without_database =
+                deployment.instances_without_database(number, added_at + PATIENCE).await;
             // If the connections were made unresponsive again meanwhile, the time says nothing about this outage.
-            if deployment.silences.load(Ordering::SeqCst) == silences {
+            if deployment.outages.load(Ordering::SeqCst) == outages {
                 let mut measured =
                     deployment.history.in_force_after.lock().expect("never poisoned");
                 measured.push(added_at.elapsed());
@@ -316,39 +317,39 @@
     }
 
     /// Returns the instances that do not serve an added database by `until`.
-    pub async fn unaware_of(&self, number: u64, until: Instant) -> Vec<&Instance> {
-        let database = added_name(number);
-        let mut unaware = Vec::new();
+    pub async fn instances_without_database(&self, number: u64, until: Instant) -> Vec<&Instance> {
+        let database = added_database_name(number);
+        let mut without_database = Vec::new();
         for instance in &self.instances {
-            while !knows_database(instance.front, &database).await {
+            while !serves_database(instance.client_address, &database).await {
                 if Instant::now() >= until {
-                    unaware.push(instance);
+                    without_database.push(instance);
                     break;
                 }
-                tokio::time::sleep(LOOK_AGAIN).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
-        unaware
+        without_database
     }
 
     /// Number of databases added so far, which is also the number of the newest one.
     #[must_use]
-    pub fn added(&self) -> u64 {
+    pub fn added_count(&self) -> u64 {
         self.added.load(Ordering::SeqCst)
     }
 
     fn write_configuration(&self) {
-        let added = self.added();
+        let added = self.added_count();
         let mut routes = vec![
             route("latest", "primary", 0),
-            route("bounded", "bounded", BOUNDED_MS),
-            route("own", "read_your_writes", OWN_MS),
+            route("bounded", "bounded", BOUNDED_ROUTE_STALENESS_MS),
+            route("own", "read_your_writes", OWN_ROUTE_STALENESS_MS),
         ];
-        routes.extend((1..=added).map(|number| route(&added_name(number), "primary", 0)));
+        routes.extend((1..=added).map(|number| route(&added_database_name(number), "primary", 0)));
         let spec = json!({
             "version": 10 + added, "routes": routes,
             "services": [{
-                "name": "db", "health_path": "/health", "max_conns": CONNECTIONS,
+                "name": "db", "health_path": "/health", "max_conns": MAX_SERVER_CONNECTIONS,
                 "protocol": "h1", "tls": false, "sync_replicas": 0,
             }],
             "limits": { "tx_idle_ms": 3_000 },
@@ -357,45 +358,45 @@
     }
 
     /// Takes a backup of the store.
-    pub fn copy_store(&self) {
-        self.copies.lock().expect("never poisoned").push_back(self.store.copy());
+    pub fn back_up_store(&self) {
+        self.backups.lock().expect("never poisoned").push_back(self.store.copy());
     }
 
     /// Takes the store down for a moment and restores the oldest backup. Afterwards the simulated operator and servers repeat the writes that were lost.
     pub async fn restore_store(&self) {
-        let copy = self.copies.lock().expect("never poisoned").pop_front();
-        let copy = copy.expect("it was taken at the beginning of the fault");
+        let backup = self.backups.lock().expect("never poisoned").pop_front();
+        let backup = backup.expect("a backup was taken at the beginning of the fault");
         self.store.set_mode(Mode::Down);
-        let lost = self.store.restore(&copy);
-        tokio::time::sleep(AWAY).await;
+        let lost = self.store.restore(&backup);
+        tokio::time::sleep(DOWNTIME).await;
         self.store.set_mode(Mode::Up);
-        tokio::time::sleep(AWAY).await;
+        tokio::time::sleep(DOWNTIME).await;
         self.store.write_again(&lost);
     }
 
     /// Marks a server as draining, at the server and in the store.
-    pub fn begin_leaving(&self, server: usize) {
+    pub fn begin_draining(&self, server: usize) {
         self.group.set_leaving(server, true);
         self.store.publish_server(&self.group, server, "draining");
-        let leaving = Leaving { server, since: Instant::now(), until: None };
-        self.history.leaving.lock().expect("never poisoned").push(leaving);
+        let period = DrainPeriod { server, since: Instant::now(), until: None };
+        self.history.drain_periods.lock().expect("never poisoned").push(period);
     }
 
     /// Stops a drained server, and restarts it as ready a moment later.
-    pub async fn end_leaving(&self, server: usize) {
+    pub async fn finish_draining(&self, server: usize) {
         self.group.crash(server);
-        tokio::time::sleep(AWAY).await;
+        tokio::time::sleep(DOWNTIME).await;
         self.group.restart(server);
         self.group.set_leaving(server, false);
         self.store.publish_server(&self.group, server, "ready");
-        let mut all = self.history.leaving.lock().expect("never poisoned");
-        let own = all.iter_mut().filter(|leaving| leaving.server == server);
-        own.for_each(|leaving| leaving.until = leaving.until.or(Some(Instant::now())));
+        let mut all = self.history.drain_periods.lock().expect("never poisoned");
+        let own = all.iter_mut().filter(|period| period.server == server);
+        own.for_each(|period| period.until = period.until.or(Some(Instant::now())));
     }
 
     /// Sets the replication delay of a server back to the default.
-    pub fn set_usual_lag(&self, server: usize) {
-        self.group.set_lag(server, USUAL_LAG);
+    pub fn reset_lag(&self, server: usize) {
+        self.group.set_lag(server, DEFAULT_LAG);
     }
 
     /// Directory with the settings and logs of the instances.
@@ -406,15 +407,15 @@
 }
 
 /// Maximum staleness in milliseconds of reads on the `bounded` route.
-pub const BOUNDED_MS: u64 = 1_500;
+pub const BOUNDED_ROUTE_STALENESS_MS: u64 = 1_500;
 
 /// Maximum staleness in milliseconds of reads on the `own` route, for writes of other
 /// sessions.
-pub const OWN_MS: u64 = 2_500;
+pub const OWN_ROUTE_STALENESS_MS: u64 = 2_500;
 
 /// Whether an instance accepts a session on a database.
-async fn knows_database(front: SocketAddr, database: &str) -> bool {
-    let Some(mut client) = Client::try_connect(front, "new").await else {
+async fn serves_database(client_address: SocketAddr, database: &str) -> bool {
+    let Some(mut client) = Client::try_connect(client_address, "new").await else {
         return false;
     };
     let answer = client.start_session(database).await;
@@ -423,22 +424,22 @@
 
 /// Name of a database that was added.
 #[must_use]
-pub fn added_name(number: u64) -> String {
+pub fn added_database_name(number: u64) -> String {
     format!("added-{number}")
 }
 
-async fn instance(number: usize, ports: &Ports, store: &Store) -> Instance {
-    let last = u8::try_from(number + 2).expect("few instances");
+async fn prepare_instance(number: usize, ports: &Ports, store: &Store) -> Instance {
+    let last = u8::try_from(number + 2).expect("there are few instances");
     let ip = IpAddr::from([127, 0, 0, last]);
     let store_proxy = FaultProxy::start().await.expect("a port can be had");
     store_proxy.set_upstream(store.address);
     Instance {
         name: format!("instance-{number}"),
-        front: SocketAddr::new(ip, port(&ports.front)),
-        ready: SocketAddr::new(ip, port(&ports.ready)),
+        client_address: SocketAddr::new(ip, port(&ports.client)),
+        readiness_address: SocketAddr::new(ip, port(&ports.readiness)),
         store_proxy,
         process: Mutex::new(None),
-        life: AtomicU64::new(0),
+        incarnation: AtomicU64::new(0),
     }
 }
 
--- a/soak/src/fault.rs
+++ b/soak/src/fault.rs
@@ -67,14 +67,14 @@
 }
 
 /// One-way network delay of [`Fault::DelayServer`].
-const DELAY: Duration = Duration::from_millis(80);
+const SERVER_DELAY: Duration = Duration::from_millis(80);
 
 /// Replication delay of [`Fault::LagServer`], longer than the maximum staleness of any
 /// route.
-const FAR_BEHIND: Duration = Duration::from_secs(3);
+const LARGE_LAG: Duration = Duration::from_secs(3);
 
 /// Number of statements that a server refuses in [`Fault::BusyServer`].
-const REFUSED_AS_BUSY: usize = 200;
+const BUSY_REFUSALS: usize = 200;
 
 impl Fault {
     /// Starts the fault.
@@ -95,7 +95,9 @@
                 let mute = Behaviour { down: Flow::Swallow, ..Behaviour::default() };
                 deployment.server(number).set(mute);
             }
-            Self::DelayServer(number) => deployment.server(number).set(Behaviour::delayed(DELAY)),
+            Self::DelayServer(number) => {
+                deployment.server(number).set(Behaviour::delayed(SERVER_DELAY))
+            }
             Self::ForgetServerConnections(number) => {
                 deployment.server(number).forget_open_connections();
             }
@@ -111,19 +113,19 @@
             Self::BreakWriteAnswers(number) => {
                 deployment.group.break_answers_of(number, Some("WRITE"));
             }
-            Self::BusyServer(number) => deployment.group.refuse_as_busy(number, REFUSED_AS_BUSY),
-            Self::LagServer(number) => deployment.group.set_lag(number, FAR_BEHIND),
-            Self::LeavingServer(number) => deployment.begin_leaving(number),
+            Self::BusyServer(number) => deployment.group.refuse_as_busy(number, BUSY_REFUSALS),
+            Self::LagServer(number) => deployment.group.set_lag(number, LARGE_LAG),
+            Self::LeavingServer(number) => deployment.begin_draining(number),
             Self::StoreDown => deployment.store.set_mode(Mode::Down),
             Self::StoreSilent => deployment.store.set_mode(Mode::Silent),
             Self::StoreLosesAnswers => deployment.store.set_mode(Mode::AnswersLost),
             Self::StoreForgets => deployment.store.forget_history(),
             Self::Configuration => deployment.add_database(),
-            Self::StoreComesBack => deployment.copy_store(),
-            Self::StoreSwallows => deployment.silence_store(),
+            Self::StoreComesBack => deployment.back_up_store(),
+            Self::StoreSwallows => deployment.make_store_unresponsive(),
             Self::ForgetAllStoreConnections => {
                 deployment.forget_store_connections();
-                deployment.add_measured_database();
+                deployment.add_database_and_measure();
             }
         }
     }
@@ -151,15 +153,15 @@
                 deployment.group.break_answers_of(number, None);
             }
             Self::BusyServer(number) => deployment.group.refuse_as_busy(number, 0),
-            Self::LagServer(number) => deployment.set_usual_lag(number),
-            Self::LeavingServer(number) => deployment.end_leaving(number).await,
+            Self::LagServer(number) => deployment.reset_lag(number),
+            Self::LeavingServer(number) => deployment.finish_draining(number).await,
             Self::StoreDown | Self::StoreSilent | Self::StoreLosesAnswers => {
                 deployment.store.set_mode(Mode::Up);
             }
             Self::StoreComesBack => deployment.restore_store().await,
             Self::StoreSwallows => {
-                deployment.end_silence_of_store();
-                deployment.add_measured_database();
+                deployment.restore_store_network();
+                deployment.add_database_and_measure();
             }
             Self::ForgetStoreConnections(_)
             | Self::ForgetServerConnections(_)
@@ -171,7 +173,7 @@
 
     /// Whether the fault can delay or prevent platform updates from reaching an instance.
     #[must_use]
-    pub fn hides_the_platform(self) -> bool {
+    pub fn delays_platform_updates(self) -> bool {
         matches!(
             self,
             Self::KillInstance(_)
--- a/soak/src/history.rs
+++ b/soak/src/history.rs
@@ -6,7 +6,7 @@
 
 /// The outcome of a write as it was reported to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum ReportedOutcome {
     /// The write was acknowledged and has to be stored.
     Kept,
     /// The write was rejected and must not be stored, not even in part.
@@ -15,7 +15,7 @@
     Unknown,
 }
 
-impl Heard {
+impl ReportedOutcome {
     /// Returns the outcome that an answer code to a write or COMMIT stands for. `None` stands for a connection that ended without an answer.
     #[must_use]
     pub fn from_code(code: Option<&str>) -> Self {
@@ -40,7 +40,7 @@
     /// Request ids of the statements.
     pub ids: Vec<String>,
     /// The outcome that the client received.
-    pub heard: Heard,
+    pub reported: ReportedOutcome,
 }
 
 /// A read that was answered.
@@ -49,30 +49,30 @@
     /// The item.
     pub item: String,
     /// The value that was returned.
-    pub saw: String,
+    pub value: String,
     /// The read has to return this value or a later one.
-    pub must_see: Option<String>,
-    /// Name of the consistency guarantee that requires `must_see`.
-    pub promise: &'static str,
+    pub required_value: Option<String>,
+    /// Name of the consistency guarantee that requires `required_value`.
+    pub guarantee: &'static str,
 }
 
 /// The result of a check whether an instance serves a database that was added during the
 /// run.
 #[derive(Clone, Debug)]
-pub struct Sighting {
+pub struct DatabaseCheck {
     /// Index of the instance.
     pub instance: usize,
     /// Incarnation of the instance.
-    pub life: u64,
+    pub incarnation: u64,
     /// Number of the database.
-    pub added: u64,
+    pub database: u64,
     /// Whether the instance accepted a session on the database.
-    pub known: bool,
+    pub is_served: bool,
 }
 
 /// The period in which a server was draining.
 #[derive(Clone, Copy, Debug)]
-pub struct Leaving {
+pub struct DrainPeriod {
     /// Index of the server.
     pub server: usize,
     /// When the server was marked as draining.
@@ -83,7 +83,7 @@
 
 /// A request whose connection ended without an answer.
 #[derive(Clone, Copy, Debug)]
-pub struct Cut {
+pub struct DroppedRequest {
     /// Index of the instance that the request was sent to.
     pub instance: usize,
     /// When the request was sent.
@@ -109,11 +109,11 @@
     /// Reads that were answered.
     pub reads: Mutex<Vec<Read>>,
     /// Checks whether instances serve databases that were added.
-    pub sightings: Mutex<Vec<Sighting>>,
+    pub database_checks: Mutex<Vec<DatabaseCheck>>,
     /// Periods in which servers were draining.
-    pub leaving: Mutex<Vec<Leaving>>,
+    pub drain_periods: Mutex<Vec<DrainPeriod>>,
     /// Requests whose connection ended without an answer.
-    pub cuts: Mutex<Vec<Cut>>,
+    pub dropped_requests: Mutex<Vec<DroppedRequest>>,
     /// Planned stops of instances.
     pub stops: Mutex<Vec<Stop>>,
     /// For each configuration that was written after an outage of the store: the time until it was in force at all instances.
@@ -122,12 +122,12 @@
 
 impl History {
     /// Records a write.
-    pub fn wrote(&self, write: Write) {
+    pub fn add_write(&self, write: Write) {
         self.writes.lock().expect("never poisoned").push(write);
     }
 
     /// Records a read.
-    pub fn read(&self, read: Read) {
+    pub fn add_read(&self, read: Read) {
         self.reads.lock().expect("never poisoned").push(read);
     }
 }
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -5,10 +5,10 @@
 //! clients saw and the statements that servers executed are checked against the
 //! consistency guarantees of the proxy.
 
-pub mod caller;
+pub mod checks;
 pub mod deployment;
 pub mod fault;
 pub mod history;
-pub mod judge;
-pub mod series;
+pub mod schedule;
 pub mod soak;
+pub mod workload;
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -4,9 +4,9 @@
 use std::process::ExitCode;
 
 use argh::FromArgs;
-use chervilwharf_soak::series::Selection;
-use chervilwharf_soak::series::Shape;
-use chervilwharf_soak::series::series;
+use chervilwharf_soak::schedule::Selection;
+use chervilwharf_soak::schedule::SoakOptions;
+use chervilwharf_soak::schedule::fault_schedule;
 use chervilwharf_soak::soak;
 
 /// Runs instances under overlapping faults and checks the guarantees of the proxy.
@@ -35,27 +35,28 @@
 fn selection(name: &str) -> Result<Selection, String> {
     match name {
         "any" => Ok(Selection::Any),
-        "planned" => Ok(Selection::PlannedWork),
-        "copies" => Ok(Selection::StoreCopies),
-        "silences" => Ok(Selection::Silences),
-        _ => Err(format!("'{name}' is none of any, planned, copies, silences")),
+        "planned" => Ok(Selection::PlannedOperations),
+        "copies" => Ok(Selection::StoreRestores),
+        "silences" => Ok(Selection::StoreOutages),
+        _ => Err(format!("unknown selection '{name}', expected any, planned, copies or silences")),
     }
 }
 
 #[tokio::main]
 async fn main() -> ExitCode {
     let arguments: Arguments = argh::from_env();
-    let shape = Shape { selection: arguments.faults, ..Shape::default() };
+    let options = SoakOptions { selection: arguments.faults, ..SoakOptions::default() };
     let mut failed = 0;
-    let holds = |seed: &u64| {
-        let mut faults = series(*seed, shape).into_iter();
-        faults.any(|timed| format!("{:?}", timed.fault).contains(&arguments.with))
+    let has_matching_fault = |seed: &u64| {
+        let mut faults = fault_schedule(*seed, options).into_iter();
+        faults.any(|scheduled| format!("{:?}", scheduled.fault).contains(&arguments.with))
     };
     let wanted = usize::try_from(arguments.seeds).unwrap_or(usize::MAX);
-    let last = arguments.first.saturating_add(arguments.seeds.saturating_mul(SEARCHED));
-    for seed in (arguments.first..last).filter(holds).take(wanted) {
-        let report = soak::run(seed, shape, arguments.timed).await;
-        let verdict = if report.broken.is_empty() { "held" } else { "BROKEN" };
+    let last =
+        arguments.first.saturating_add(arguments.seeds.saturating_mul(SEEDS_EXAMINED_PER_MATCH));
+    for seed in (arguments.first..last).filter(has_matching_fault).take(wanted) {
+        let report = soak::run(seed, options, arguments.timed).await;
+        let verdict = if report.violations.is_empty() { "held" } else { "BROKEN" };
         let in_force = report.in_force_after.iter().max();
         let in_force = in_force.map_or_else(String::new, |after| {
             format!(
@@ -66,29 +67,32 @@
         println!(
             "seed {seed}: {verdict}; {} faults, {} writes kept, {} not, {} unknown, {} reads, \
              {} promotions{in_force}",
-            report.series.len(),
+            report.schedule.len(),
             report.kept,
             report.not_kept,
             report.unknown,
             report.reads,
             report.promotions,
         );
-        if arguments.verbose || !report.broken.is_empty() {
-            for timed in &report.series {
-                println!("    {:>6.1?} {:?} for {:.1?}", timed.at, timed.fault, timed.lasts);
+        if arguments.verbose || !report.violations.is_empty() {
+            for scheduled in &report.schedule {
+                println!(
+                    "    {:>6.1?} {:?} for {:.1?}",
+                    scheduled.starts_at, scheduled.fault, scheduled.duration
+                );
             }
         }
-        for line in report.broken.iter().take(SHOWN) {
+        for line in report.violations.iter().take(MAX_PRINTED_VIOLATIONS) {
             println!("    {line}");
         }
-        failed += u64::from(!report.broken.is_empty());
+        failed += u64::from(!report.violations.is_empty());
     }
-    println!("{} seeds, {failed} with a broken promise", arguments.seeds);
+    println!("{} seeds, {failed} with violations", arguments.seeds);
     if failed > 0 { ExitCode::FAILURE } else { ExitCode::SUCCESS }
 }
 
 /// Number of seeds that are examined for each requested one, when `--with` skips seeds.
-const SEARCHED: u64 = 1_000;
+const SEEDS_EXAMINED_PER_MATCH: u64 = 1_000;
 
 /// Largest number of violations that are printed for one seed.
-const SHOWN: usize = 10;
+const MAX_PRINTED_VIOLATIONS: usize = 10;
--- a/soak/src/series.rs
+++ b/soak/src/schedule.rs
@@ -11,13 +11,13 @@
 
 /// A fault with its start time and duration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Timed {
+pub struct ScheduledFault {
     /// The fault.
     pub fault: Fault,
     /// When the fault begins, measured from the start of the schedule.
-    pub at: Duration,
+    pub starts_at: Duration,
     /// How long the fault lasts.
-    pub lasts: Duration,
+    pub duration: Duration,
 }
 
 /// Which faults a schedule can contain.
@@ -27,67 +27,67 @@
     #[default]
     Any,
     /// Only planned operations.
-    PlannedWork,
+    PlannedOperations,
     /// As `Any`, and the store is restored from backups.
-    StoreCopies,
+    StoreRestores,
     /// The store or connections to it become unresponsive, besides draining servers and new configurations.
-    Silences,
+    StoreOutages,
 }
 
 /// Size of the deployment under test, and which faults are injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Shape {
+pub struct SoakOptions {
     /// Number of instances.
     pub instances: usize,
     /// Number of database servers.
     pub servers: usize,
     /// Time within which all faults begin.
-    pub length: Duration,
+    pub injection_time: Duration,
     /// Which faults the schedule can contain.
     pub selection: Selection,
 }
 
-impl Default for Shape {
+impl Default for SoakOptions {
     fn default() -> Self {
-        let length = Duration::from_secs(8);
-        Self { instances: 3, servers: 3, length, selection: Selection::Any }
+        let injection_time = Duration::from_secs(8);
+        Self { instances: 3, servers: 3, injection_time, selection: Selection::Any }
     }
 }
 
 /// Number of faults of one schedule, drawn from this range.
-const FAULTS: std::ops::RangeInclusive<usize> = 3..=7;
+const FAULT_COUNT: std::ops::RangeInclusive<usize> = 3..=7;
 
 /// Duration of a fault in milliseconds, drawn from this range, which goes beyond all
 /// timeouts of the proxy.
-const LASTS_MS: std::ops::RangeInclusive<u64> = 200..=3_500;
+const FAULT_DURATION_MS: std::ops::RangeInclusive<u64> = 200..=3_500;
 
-/// Probability that a fault is a restore of the store, in `Selection::StoreCopies`.
-const COPIES: f64 = 0.4;
+/// Probability that a fault is a restore of the store, in `Selection::StoreRestores`.
+const STORE_RESTORE_PROBABILITY: f64 = 0.4;
 
 /// Probability that a fault makes the store or its connections unresponsive, in
-/// `Selection::Silences`.
-const SILENCES: f64 = 0.7;
+/// `Selection::StoreOutages`.
+const STORE_OUTAGE_PROBABILITY: f64 = 0.7;
 
 /// Returns the fault schedule of a seed, ordered by start time.
 #[must_use]
-pub fn series(seed: u64, shape: Shape) -> Vec<Timed> {
+pub fn fault_schedule(seed: u64, options: SoakOptions) -> Vec<ScheduledFault> {
     let mut random = StdRng::seed_from_u64(seed);
-    let count = random.random_range(FAULTS);
-    let length_ms = u64::try_from(shape.length.as_millis()).unwrap_or(u64::MAX);
-    let mut series: Vec<Timed> = (0..count)
-        .map(|_| Timed {
-            fault: any_fault(&mut random, shape),
-            at: Duration::from_millis(random.random_range(0..length_ms.max(1))),
-            lasts: Duration::from_millis(random.random_range(LASTS_MS)),
+    let count = random.random_range(FAULT_COUNT);
+    let injection_time_ms = u64::try_from(options.injection_time.as_millis()).unwrap_or(u64::MAX);
+    let mut schedule: Vec<ScheduledFault> = (0..count)
+        .map(|_| ScheduledFault {
+            fault: random_fault(&mut random, options),
+            starts_at: Duration::from_millis(random.random_range(0..injection_time_ms.max(1))),
+            duration: Duration::from_millis(random.random_range(FAULT_DURATION_MS)),
         })
         .collect();
-    series.sort_by_key(|timed| timed.at);
-    series
+    schedule.sort_by_key(|scheduled| scheduled.starts_at);
+    schedule
 }
 
-fn any_fault(random: &mut StdRng, shape: Shape) -> Fault {
-    let instance = random.random_range(0..shape.instances);
-    let server = random.random_range(0..shape.servers);
+fn random_fault(random: &mut StdRng, options: SoakOptions) -> Fault {
+    let instance = random.random_range(0..options.instances);
+    let server = random.random_range(0..options.servers);
     let planned = [
         Fault::StopInstance(instance),
         Fault::StopInstance(instance),
@@ -119,17 +119,20 @@
         Fault::StoreForgets,
         Fault::Configuration,
     ];
-    if shape.selection == Selection::StoreCopies && random.random_bool(COPIES) {
+    if options.selection == Selection::StoreRestores
+        && random.random_bool(STORE_RESTORE_PROBABILITY)
+    {
         return Fault::StoreComesBack;
     }
-    if shape.selection == Selection::Silences && random.random_bool(SILENCES) {
-        let silences = [Fault::StoreSwallows, Fault::ForgetAllStoreConnections];
-        return silences[random.random_range(0..silences.len())];
+    if options.selection == Selection::StoreOutages && random.random_bool(STORE_OUTAGE_PROBABILITY)
+    {
+        let outages = [Fault::StoreSwallows, Fault::ForgetAllStoreConnections];
+        return outages[random.random_range(0..outages.len())];
     }
-    let faults = match shape.selection {
-        Selection::Any | Selection::StoreCopies => any.as_slice(),
-        Selection::PlannedWork => planned.as_slice(),
-        Selection::Silences => &[Fault::LeavingServer(server), Fault::Configuration],
+    let faults = match options.selection {
+        Selection::Any | Selection::StoreRestores => any.as_slice(),
+        Selection::PlannedOperations => planned.as_slice(),
+        Selection::StoreOutages => &[Fault::LeavingServer(server), Fault::Configuration],
     };
     faults[random.random_range(0..faults.len())]
 }
--- a/soak/src/soak.rs
+++ b/soak/src/soak.rs
@@ -9,22 +9,22 @@
 use chervilwharf_testutils::cluster::PATIENCE;
 use tokio::task::JoinSet;
 
-use crate::caller::Caller;
-use crate::caller::Crowd;
-use crate::caller::look_for_databases;
+use crate::checks;
 use crate::deployment::Deployment;
-use crate::deployment::LOOK_AGAIN;
-use crate::deployment::added_name;
+use crate::deployment::POLL_INTERVAL;
+use crate::deployment::added_database_name;
 use crate::fault::Fault;
-use crate::history::Heard;
-use crate::judge;
-use crate::series::Selection;
-use crate::series::Shape;
-use crate::series::Timed;
-use crate::series::series;
+use crate::history::ReportedOutcome;
+use crate::schedule::ScheduledFault;
+use crate::schedule::Selection;
+use crate::schedule::SoakOptions;
+use crate::schedule::fault_schedule;
+use crate::workload::WorkloadClient;
+use crate::workload::WorkloadState;
+use crate::workload::check_added_databases;
 
 /// Number of clients.
-const CALLERS: usize = 8;
+const CLIENTS: usize = 8;
 
 /// Operations that each client has to complete before the faults, and again after them.
 const PROGRESS: u64 = 10;
@@ -35,7 +35,7 @@
     /// Seed of the run.
     pub seed: u64,
     /// The faults that were injected.
-    pub series: Vec<Timed>,
+    pub schedule: Vec<ScheduledFault>,
     /// Number of writes that were acknowledged.
     pub kept: usize,
     /// Number of writes that were reported as not stored.
@@ -49,70 +49,72 @@
     /// For each configuration that was written after an outage of the store: the time until it was in force at all instances, unless another outage began meanwhile.
     pub in_force_after: Vec<Duration>,
     /// Violations of guarantees, one line each.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
 }
 
-/// Runs the fault schedule of a seed and checks the guarantees. `timed` enables the
+/// Runs the fault schedule of a seed and checks the guarantees. `check_times` enables the
 /// checks of time limits, which a heavily loaded machine can exceed.
-pub async fn run(seed: u64, shape: Shape, timed: bool) -> Report {
-    let deployment = Arc::new(Deployment::new(shape).await);
-    let crowd = Arc::new(Crowd::new(deployment.clone(), CALLERS));
-    let mut callers = JoinSet::new();
-    for number in 0..CALLERS {
-        callers.spawn(Caller::new(crowd.clone(), number, seed).run());
+pub async fn run(seed: u64, options: SoakOptions, check_times: bool) -> Report {
+    let deployment = Arc::new(Deployment::new(options).await);
+    let workload = Arc::new(WorkloadState::new(deployment.clone(), CLIENTS));
+    let mut clients = JoinSet::new();
+    for number in 0..CLIENTS {
+        clients.spawn(WorkloadClient::new(workload.clone(), number, seed).run());
     }
-    callers.spawn(look_for_databases(crowd.clone(), seed));
-    let mut broken = Vec::new();
-    wait_for_progress(&crowd, "before the faults", &mut broken).await;
-    let faults = series(seed, shape);
-    bring_about(&deployment, &faults).await;
-    wait_for_progress(&crowd, "after the faults", &mut broken).await;
-    wait_for_configuration(&deployment, &mut broken).await;
-    crowd.stop.store(true, Ordering::SeqCst);
-    while let Some(ended) = callers.join_next().await {
+    clients.spawn(check_added_databases(workload.clone(), seed));
+    let mut violations = Vec::new();
+    wait_for_progress(&workload, "before the faults", &mut violations).await;
+    let faults = fault_schedule(seed, options);
+    inject_faults(&deployment, &faults).await;
+    wait_for_progress(&workload, "after the faults", &mut violations).await;
+    wait_for_configuration(&deployment, &mut violations).await;
+    workload.stop.store(true, Ordering::SeqCst);
+    while let Some(ended) = clients.join_next().await {
         if let Err(error) = ended {
-            broken.push(format!("a caller waited for ever: {error}"));
+            violations.push(format!(
+                "a client panicked, possibly because no answer came in time: {error}"
+            ));
         }
     }
     for instance in &deployment.instances {
         if !instance.is_running() {
-            broken.push(format!("{} ended by itself", instance.name));
+            violations.push(format!("{} exited unexpectedly", instance.name));
         }
     }
     let log = deployment.group.log(deployment.group.leader());
     let runs = deployment.group.runs();
-    broken.extend(judge::judge(&deployment.history, &log, &runs));
-    broken.extend(judge::judge_promotions(&deployment.store.promotions()));
-    if timed && leaves_undisturbed(&faults) {
-        let leaving = deployment.history.leaving.lock().expect("never poisoned").clone();
-        broken.extend(judge::judge_leaving(&leaving, &runs));
+    violations.extend(checks::check_history(&deployment.history, &log, &runs));
+    violations.extend(checks::check_promotions(&deployment.store.promotions()));
+    if check_times && can_check_draining(&faults) {
+        let periods = deployment.history.drain_periods.lock().expect("never poisoned").clone();
+        violations.extend(checks::check_draining(&periods, &runs));
     }
-    if timed {
+    if check_times {
         let in_force_after = deployment.history.in_force_after.lock().expect("never poisoned");
-        broken.extend(judge::judge_configurations(&in_force_after));
+        violations.extend(checks::check_configuration_times(&in_force_after));
     }
-    if shape.selection == Selection::PlannedWork {
-        let cuts = deployment.history.cuts.lock().expect("never poisoned").clone();
+    if options.selection == Selection::PlannedOperations {
+        let dropped = deployment.history.dropped_requests.lock().expect("never poisoned").clone();
         let stops = deployment.history.stops.lock().expect("never poisoned").clone();
-        broken.extend(judge::judge_stops(&cuts, &stops));
+        violations.extend(checks::check_stops(&dropped, &stops));
     }
-    let report = report(seed, faults, &deployment, broken);
+    let report = report(seed, faults, &deployment, violations);
     clean_up(&deployment, &report);
     report
 }
 
 /// Starts each fault at its time, ends it after its duration, and waits until all are
 /// over.
-async fn bring_about(deployment: &Arc<Deployment>, faults: &[Timed]) {
+async fn inject_faults(deployment: &Arc<Deployment>, faults: &[ScheduledFault]) {
     let began = tokio::time::Instant::now();
     let mut running = JoinSet::new();
-    for timed in faults.iter().copied() {
+    for scheduled in faults.iter().copied() {
         let deployment = deployment.clone();
         running.spawn(async move {
-            tokio::time::sleep_until(began + timed.at).await;
-            timed.fault.begin(&deployment);
-            tokio::time::sleep(timed.lasts).await;
-            timed.fault.end(&deployment).await;
+            tokio::time::sleep_until(began + scheduled.starts_at).await;
+            scheduled.fault.begin(&deployment);
+            tokio::time::sleep(scheduled.duration).await;
+            scheduled.fault.end(&deployment).await;
         });
     }
     while running.join_next().await.is_some() {}
@@ -123,8 +125,14 @@
     }
 }
 
-async fn wait_for_progress(crowd: &Crowd, when: &str, broken: &mut Vec<String>) {
-    let counts = || crowd.done.iter().map(|done| done.load(Ordering::SeqCst)).collect::<Vec<_>>();
+async fn wait_for_progress(workload: &WorkloadState, when: &str, violations: &mut Vec<String>) {
+    let counts = || {
+        workload
+            .completed
+            .iter()
+            .map(|completed| completed.load(Ordering::SeqCst))
+            .collect::<Vec<_>>()
+    };
     let before = counts();
     let until = Instant::now() + PATIENCE;
     loop {
@@ -134,29 +142,33 @@
             return;
         }
         if Instant::now() >= until {
-            broken.push(format!("{behind} callers do not get on {when}"));
+            violations.push(format!("{behind} clients make no progress {when}"));
             return;
         }
-        tokio::time::sleep(LOOK_AGAIN).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
 /// Writes a configuration after the faults, and adds a violation for each instance at
 /// which it does not come into force.
-async fn wait_for_configuration(deployment: &Deployment, broken: &mut Vec<String>) {
+async fn wait_for_configuration(deployment: &Deployment, violations: &mut Vec<String>) {
     deployment.add_database();
-    let number = deployment.added();
-    for instance in deployment.unaware_of(number, Instant::now() + PATIENCE).await {
-        broken.push(format!("{} does not know {}", instance.name, added_name(number)));
+    let number = deployment.added_count();
+    for instance in deployment.instances_without_database(number, Instant::now() + PATIENCE).await {
+        violations.push(format!(
+            "{} does not serve {}",
+            instance.name,
+            added_database_name(number)
+        ));
     }
 }
 
 /// Whether no other fault keeps instances from moving the work away from a draining
 /// server: the schedule affects at most one server, and no fault delays platform updates.
-fn leaves_undisturbed(faults: &[Timed]) -> bool {
-    let servers = faults.iter().filter(|timed| {
+fn can_check_draining(faults: &[ScheduledFault]) -> bool {
+    let servers = faults.iter().filter(|scheduled| {
         matches!(
-            timed.fault,
+            scheduled.fault,
             Fault::CrashServer(_)
                 | Fault::SilenceServer(_)
                 | Fault::MuteServer(_)
@@ -168,32 +180,38 @@
                 | Fault::BusyServer(_)
         )
     });
-    servers.count() <= 1 && !faults.iter().any(|timed| timed.fault.hides_the_platform())
+    servers.count() <= 1
+        && !faults.iter().any(|scheduled| scheduled.fault.delays_platform_updates())
 }
 
-fn report(seed: u64, series: Vec<Timed>, deployment: &Deployment, broken: Vec<String>) -> Report {
+fn report(
+    seed: u64,
+    schedule: Vec<ScheduledFault>,
+    deployment: &Deployment,
+    violations: Vec<String>,
+) -> Report {
     let writes = deployment.history.writes.lock().expect("never poisoned");
-    let count = |wanted| writes.iter().filter(|write| write.heard == wanted).count();
+    let count = |wanted| writes.iter().filter(|write| write.reported == wanted).count();
     Report {
         seed,
-        series,
-        kept: count(Heard::Kept),
-        not_kept: count(Heard::NotKept),
-        unknown: count(Heard::Unknown),
+        schedule,
+        kept: count(ReportedOutcome::Kept),
+        not_kept: count(ReportedOutcome::NotKept),
+        unknown: count(ReportedOutcome::Unknown),
         reads: deployment.history.reads.lock().expect("never poisoned").len(),
         promotions: deployment.store.promotions().len(),
         in_force_after: deployment.history.in_force_after.lock().expect("never poisoned").clone(),
-        broken,
+        violations,
     }
 }
 
 /// Removes settings and logs, unless there were violations that they can explain.
 fn clean_up(deployment: &Deployment, report: &Report) {
-    if !report.broken.is_empty() {
+    if !report.violations.is_empty() {
         eprintln!("settings and logs of seed {}: {}", report.seed, deployment.folder().display());
         return;
     }
     if let Err(error) = std::fs::remove_dir_all(deployment.folder()) {
-        eprintln!("{} stays: {error}", deployment.folder().display());
+        eprintln!("cannot remove {}: {error}", deployment.folder().display());
     }
 }
