--- a/testing/testutils/src/bin/experiment.rs
+++ b/testing/testutils/src/bin/experiment.rs
@@ -1,4 +1,5 @@
-//! Measurements against whole deployments of real processes.
+//! Runs performance experiments against deployments of real processes and prints their
+//! results as tables.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -11,7 +12,7 @@
 use chervilwharf_testutils::experiments::share;
 use chervilwharf_testutils::experiments::share::Mode;
 
-/// Measures chervilwharf.
+/// Runs performance experiments.
 #[derive(FromArgs)]
 struct Arguments {
     #[argh(subcommand)]
@@ -29,7 +30,7 @@
     LogLine(LogLineCommand),
 }
 
-/// How long writes cannot land after a fault.
+/// Measures how long no write is acknowledged after a fault.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "gap")]
 struct GapCommand {
@@ -39,15 +40,15 @@
     /// kill, freeze, cut, silent, owner-kill, owner-freeze or stop
     #[argh(option)]
     fault: String,
-    /// the platform's store is down
+    /// take the platform's store down before the fault
     #[argh(switch)]
     store_down: bool,
-    /// how often
+    /// number of runs
     #[argh(option, default = "30")]
     runs: usize,
 }
 
-/// What the proxy adds to a statement.
+/// Measures the latency that the proxy adds to a statement.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "latency")]
 struct LatencyCommand {
@@ -56,35 +57,36 @@
     deployment: String,
 }
 
-/// How many statements a core carries.
+/// Measures how many statements per second a processor core can process.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "throughput")]
 struct ThroughputCommand {}
 
-/// Share of reads served by replicas, against two baselines.
+/// Measures the share of reads that replicas serve, and compares it with two baselines.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "share")]
 struct ShareCommand {
-    /// lag of the replicas in milliseconds; all four if omitted
+    /// replication lag in milliseconds; 0, 50, 500 and 5000 if omitted
     #[argh(option)]
     lag_ms: Option<u64>,
 }
 
-/// Measures the slopes and writes the tables of docs/CAPACITY.md anew.
+/// Measures resource use as a function of load, and writes the tables of
+/// docs/CAPACITY.md.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "capacity")]
 struct CapacityCommand {
-    /// the page whose tables are replaced; only printed if omitted
+    /// file whose tables are replaced; if omitted, the tables are only printed
     #[argh(option)]
     page: Option<PathBuf>,
 }
 
-/// What a log line costs the one who logs it.
+/// Measures what a log line costs the code that writes it.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "log-line")]
 struct LogLineCommand {}
 
-/// Lines of the page between which the tables stand.
+/// Lines of the file between which the tables are replaced.
 const TABLES_BEGIN: &str = "<!-- measured tables begin -->";
 const TABLES_END: &str = "<!-- measured tables end -->";
 
--- a/testing/testutils/src/bin/matrix.rs
+++ b/testing/testutils/src/bin/matrix.rs
@@ -1,4 +1,4 @@
-//! Runs the whole fault matrix and prints a table of its cells.
+//! Runs the fault matrix and prints a table of the results of its cells.
 
 use std::sync::Arc;
 
@@ -9,16 +9,16 @@
 use chervilwharf_testutils::matrix::Verdict;
 use tokio::sync::Semaphore;
 
-/// Brings every fault about at every step.
+/// Injects every fault at every step and checks the guarantees of the proxy.
 #[derive(FromArgs)]
 struct Arguments {
-    /// cells at the same time
+    /// number of cells that run at the same time
     #[argh(option, default = "3")]
     parallel: usize,
-    /// only steps whose name contains this
+    /// run only steps whose name contains this text
     #[argh(option, default = "String::new()")]
     step: String,
-    /// only faults whose name contains this
+    /// run only faults whose name contains this text
     #[argh(option, default = "String::new()")]
     fault: String,
 }
--- a/testing/testutils/src/bin/test-chervilwharf.rs
+++ b/testing/testutils/src/bin/test-chervilwharf.rs
@@ -1,5 +1,5 @@
-//! The tool as a program of this package, so that a run of its tests always
-//! builds it anew.
+//! The command-line tool as a binary of this package, so that building the tests also
+//! rebuilds the tool.
 
 use std::process::ExitCode;
 
--- a/testing/testutils/src/bin/test-chervilwharfd.rs
+++ b/testing/testutils/src/bin/test-chervilwharfd.rs
@@ -1,5 +1,5 @@
-//! The daemon as a program of this package, so that a run of its tests always
-//! builds it anew.
+//! The daemon as a binary of this package, so that building the tests also rebuilds the
+//! daemon.
 
 use std::process::ExitCode;
 
--- a/testing/testutils/src/bin/test-standin.rs
+++ b/testing/testutils/src/bin/test-standin.rs
@@ -1,5 +1,5 @@
-//! The stand-ins as a program of this package, so that a run of its tests
-//! always builds them anew.
+//! The simulated servers and store (stand-ins) as a binary of this package, so that
+//! building the tests also rebuilds them.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     chervilwharf_standin::command::main()
--- a/testing/testutils/src/callers.rs
+++ b/testing/testutils/src/callers.rs
@@ -1,4 +1,5 @@
-//! Callers of a deployment under test.
+//! Client connections to a deployment under test, and how to read their results and
+//! errors.
 
 use tokio_postgres::Client;
 use tokio_postgres::Error;
@@ -9,11 +10,11 @@
 use crate::cluster::password;
 
 impl Cluster {
-    /// Connects to an instance, through its proxy.
+    /// Connects to an instance through its fault proxy.
     ///
     /// # Errors
     ///
-    /// When the login is refused or the instance is down.
+    /// The error of the client library when the login is refused or the instance is down.
     pub async fn try_connect(
         &self,
         instance: usize,
@@ -34,7 +35,7 @@
         Ok(client)
     }
 
-    /// Connects as an account.
+    /// Connects to an instance as an account, with its password, to the database `db1`.
     ///
     /// # Panics
     ///
@@ -54,22 +55,23 @@
     })
 }
 
-/// SQLSTATE of an error, or nothing if the connection broke.
+/// SQLSTATE of an error, or an empty string if the connection ended without one.
 #[must_use]
 pub fn sqlstate(error: &Error) -> &str {
     error.code().map_or("", tokio_postgres::error::SqlState::code)
 }
 
-/// What an error says about the request.
+/// What an error reports about the execution of the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Told {
-    /// It did not run.
+    /// The request did not run.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
-/// Reads what an error says. A broken connection says nothing.
+/// Returns what the DETAIL field of an error reports about the request. A broken
+/// connection has none and leaves the outcome unknown.
 #[must_use]
 pub fn told(error: &Error) -> Told {
     let detail = error.as_db_error().and_then(tokio_postgres::error::DbError::detail);
--- a/testing/testutils/src/checker.rs
+++ b/testing/testutils/src/checker.rs
@@ -1,5 +1,5 @@
-//! Callers that write and read all the time, and a check afterwards of what
-//! each was told against what is in the database.
+//! A client workload that writes and reads continuously, and a check that compares the
+//! outcomes reported to the clients with the contents of the database.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -23,58 +23,58 @@
 use crate::cluster::password;
 use crate::cluster::wait_for;
 
-/// Table the writers fill. It has no key, so that a row that was written
-/// twice shows.
+/// Creates the table that the writers fill. It has no key, so that a write that ran twice
+/// leaves two rows.
 const CREATE_TABLE: &str = "CREATE TABLE marks (writer TEXT, id TEXT)";
 
 /// Accounts of the writers.
 pub const WRITERS: [&str; 4] = ["writer1", "writer2", "writer3", "writer4"];
 
-/// Deadline a writer gives each statement.
+/// Deadline in milliseconds that a writer sets for each statement.
 const DEADLINE_MS: u64 = 4000;
 
-/// A caller gives up on a connection without an answer for this long.
+/// Time after which a client abandons a connection that has not answered.
 const CALLER_PATIENCE: Duration = Duration::from_secs(8);
 
-/// What became of a write, as its caller sees it.
+/// The outcome of a write as it was reported to its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Heard {
-    /// It was acknowledged.
+    /// The write was acknowledged.
     Acknowledged,
-    /// It did not run.
+    /// The write was reported as not run.
     NotRun,
-    /// Nobody could say.
+    /// The outcome was reported as unknown, or there was no answer.
     Unknown,
 }
 
-/// One write.
+/// One write and its reported outcome.
 #[derive(Clone, Debug)]
 pub struct Mark {
-    /// Its request id, and the value it writes.
+    /// Request id, which is also the value that is written.
     pub id: String,
-    /// What the caller heard.
+    /// The reported outcome.
     pub heard: Heard,
-    /// The error, if there was one.
+    /// The error message; empty if the write succeeded.
     pub error: String,
-    /// When it heard it.
+    /// When the client received the outcome.
     pub at: Instant,
-    /// How long it took.
+    /// Time from the start of the write to its outcome.
     pub took: Duration,
 }
 
-/// All that was heard, by writer.
+/// All writes with their outcomes, by writer.
 pub type History = BTreeMap<String, Vec<Mark>>;
 
-/// How a writer does its writes.
+/// How a writer executes its writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Style {
-    /// One statement each.
+    /// Each write is a single statement.
     Statement,
-    /// A transaction of two statements, of which one marks.
+    /// Each write is a transaction of an INSERT and a SELECT.
     Transaction,
 }
 
-/// Callers at work.
+/// Running writers and readers.
 pub struct Workload {
     stop: Arc<AtomicBool>,
     history: Arc<Mutex<History>>,
@@ -83,23 +83,23 @@
     tasks: Vec<JoinHandle<()>>,
 }
 
-/// What the check found wrong. Empty when all held.
+/// Violations of guarantees that the check found, as ids of the writes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Violations {
-    /// Acknowledged, but not in the database.
+    /// Writes that were acknowledged but are not in the database.
     pub lost: Vec<String>,
-    /// In the database more than once.
+    /// Writes that are in the database more than once.
     pub doubled: Vec<String>,
-    /// Told "not run", but in the database.
+    /// Writes that were reported as "not run" but are in the database.
     pub ran_after_all: Vec<String>,
-    /// Unknown, and the inquiry gave no answer, or a wrong one.
+    /// Writes of unknown outcome for which the inquiry gave no answer or a wrong one.
     pub unsettled: Vec<String>,
-    /// Reads that missed an acknowledged write of their own account.
+    /// Acknowledged writes that a later read of the same account did not return.
     pub stale: Vec<String>,
 }
 
 impl Violations {
-    /// Whether nothing was violated.
+    /// Whether there are no violations.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
@@ -121,7 +121,7 @@
     Some(client)
 }
 
-/// A connection that moves to the next instance when it breaks.
+/// A client that connects to the next instance whenever its connection is lost.
 struct Roamer {
     entries: Vec<SocketAddr>,
     next: usize,
@@ -190,13 +190,12 @@
 }
 
 impl Workload {
-    /// Creates the table and starts one writer and one reader for each of
-    /// the accounts.
+    /// Creates the table and starts one writer and one reader for each account of [`WRITERS`].
     pub async fn start(cluster: &Cluster, style: Style) -> Self {
         Self::start_with(cluster, style, Duration::from_millis(2)).await
     }
 
-    /// As [`Self::start`], with a pause between two writes of a writer.
+    /// As [`Self::start`], with a given pause between two writes of a writer.
     ///
     /// # Panics
     ///
@@ -250,8 +249,7 @@
         }));
     }
 
-    /// Reads what the account has written and compares it with what had been
-    /// acknowledged before the read began.
+    /// Spawns a reader, which reads what the account has written and compares it with the writes that were acknowledged before the read began.
     fn spawn_reader(&mut self, mut roamer: Roamer, writer: &str) {
         let (stop, history) = (self.stop.clone(), self.history.clone());
         let (stale, reads) = (self.stale.clone(), self.reads.clone());
@@ -275,14 +273,14 @@
                 let seen: BTreeSet<_> = rows(&messages).into_iter().collect();
                 let missing = acknowledged.iter().filter(|id| !seen.contains(*id));
                 stale.lock().expect("never poisoned").extend(missing.cloned());
-                // Another instance for the next read: sessions roam.
+                // The next read goes to another instance, as sessions can move between instances.
                 roamer.drop_client();
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         }));
     }
 
-    /// Writes acknowledged so far.
+    /// Number of writes acknowledged so far.
     ///
     /// # Panics
     ///
@@ -294,13 +292,13 @@
         marks.filter(|mark| mark.heard == Heard::Acknowledged).count()
     }
 
-    /// Reads that were answered so far.
+    /// Number of reads answered so far.
     #[must_use]
     pub fn reads(&self) -> u64 {
         self.reads.load(Ordering::Relaxed)
     }
 
-    /// Waits until this many more writes were acknowledged, by each writer.
+    /// Waits until each writer has got `marks` more writes acknowledged.
     pub async fn wait_for_progress(&self, marks: usize) {
         let count = || -> BTreeMap<String, usize> {
             let history = self.history.lock().expect("never poisoned");
@@ -318,11 +316,11 @@
         .await;
     }
 
-    /// Stops all callers and returns what they heard.
+    /// Stops all clients, and returns the outcomes of the writes and the ids of writes that stale reads missed.
     ///
     /// # Panics
     ///
-    /// When a caller panicked.
+    /// When a client panicked.
     pub async fn stop(self) -> (History, Vec<String>) {
         self.stop.store(true, Ordering::Relaxed);
         for task in self.tasks {
@@ -344,7 +342,7 @@
         .collect()
 }
 
-/// Asks an instance what became of a request.
+/// Asks an instance for the state of a request, through its admin endpoint.
 pub async fn inquire(
     cluster: &Cluster,
     instance: usize,
@@ -359,7 +357,7 @@
     Some(body["state"].as_str()?.to_owned())
 }
 
-/// Reads all marks at the present primary, past the proxy under test.
+/// Reads all rows of the writers with fresh reads, which return every acknowledged write.
 async fn marks_at_primary(cluster: &Cluster) -> Vec<String> {
     let mut found = None;
     wait_for("the marks can be read", async || {
@@ -371,7 +369,7 @@
             let Some(client) = connect(address, "kiosk", &cluster.secret).await else {
                 continue;
             };
-            // The kiosk reads what is fresh: everything acknowledged.
+            // The service of this account has fresh reads as its default.
             let read = client.simple_query("SELECT id FROM marks").await;
             if read.is_ok() {
                 return true;
@@ -393,10 +391,10 @@
     found.expect("read a moment ago")
 }
 
-/// Compares what all callers heard with what is in the database.
+/// Compares the outcomes reported to all clients with the contents of the database.
 pub async fn check(cluster: &Cluster, history: &History, stale: Vec<String>) -> Violations {
     let mut violations = Violations { stale, ..Violations::default() };
-    // Settled first: an inquiry may not change what it then finds.
+    // Unknown outcomes are resolved before the rows are read, so that an inquiry that changes the state of its request is detected.
     let mut settled: BTreeMap<String, String> = BTreeMap::new();
     for (writer, marks) in history {
         for mark in marks.iter().filter(|mark| mark.heard == Heard::Unknown) {
--- a/testing/testutils/src/cluster.rs
+++ b/testing/testutils/src/cluster.rs
@@ -1,5 +1,5 @@
-//! A deployment of real processes: servers, instances, and a store, with a
-//! fault proxy before each of them.
+//! A deployment of database servers and instances as real processes, and a store in the
+//! process of the test, with a fault proxy in front of each of them.
 
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -26,28 +26,28 @@
 use crate::process::Process;
 use crate::process::program;
 
-/// Longest wait for a condition before a test fails. Far beyond what any
-/// condition takes, so that a slow machine gives the same verdict.
+/// Longest wait for a condition before a test fails. It is far longer than any condition
+/// takes, so that a test gives the same result on a slow machine.
 pub const PATIENCE: Duration = Duration::from_secs(60);
 
-/// What a deployment consists of.
+/// Size and properties of a deployment.
 #[derive(Clone, Debug)]
 pub struct Shape {
-    /// Failure domains.
+    /// Number of failure domains.
     pub domains: usize,
-    /// Databases, with three servers each.
+    /// Number of databases, with three servers each.
     pub databases: usize,
-    /// Instances.
+    /// Number of instances.
     pub instances: usize,
-    /// Cost of a new connection to a server.
+    /// Time that a server takes to open a connection.
     pub connect_cost: Duration,
-    /// Added cost of a statement.
+    /// Time that a server takes for each statement in addition to its execution.
     pub statement_cost: Duration,
-    /// Connections of a server.
+    /// Maximum number of connections to a server.
     pub connections: usize,
-    /// One-way delay of every link between processes.
+    /// One-way network delay to the servers, and between instances.
     pub delay: Duration,
-    /// Servers keep their log over a restart.
+    /// Whether servers keep their log across a restart.
     pub durable: bool,
 }
 
@@ -66,38 +66,38 @@
     }
 }
 
-/// A database server and the proxies before it.
+/// A database server and the fault proxies in front of it.
 pub struct TargetNode {
-    /// Its name.
+    /// Name of the server.
     pub id: String,
-    /// The process; `None` while it is down.
+    /// The process; `None` before the first start.
     pub process: Option<Process>,
-    /// Before its SQL side.
+    /// Fault proxy in front of the SQL port.
     pub sql_proxy: FaultProxy,
-    /// Before its log.
+    /// Fault proxy in front of the replication port.
     pub log_proxy: FaultProxy,
     log_file: Option<PathBuf>,
 }
 
-/// An instance and the proxies before it.
+/// An instance and the fault proxies around it.
 pub struct InstanceNode {
-    /// Its name.
+    /// Name of the instance.
     pub id: String,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub domain: String,
-    /// The process; `None` while it is down.
+    /// The process; `None` while the instance is down.
     pub process: Option<Process>,
-    /// Before the side of its callers.
+    /// Fault proxy in front of the client port.
     pub client_proxy: FaultProxy,
-    /// Before the side of other instances.
+    /// Fault proxy in front of the port for other instances.
     pub peer_proxy: FaultProxy,
-    /// Its operators' side.
+    /// Address of the admin endpoint.
     pub admin: SocketAddr,
     store_proxy: FaultProxy,
 }
 
 impl InstanceNode {
-    /// The network between this instance and the store.
+    /// Fault proxy between the instance and the store.
     #[must_use]
     pub fn store_proxy(&self) -> &FaultProxy {
         &self.store_proxy
@@ -106,19 +106,17 @@
 
 /// A running deployment.
 pub struct Cluster {
-    /// The platform's store.
+    /// The store of the platform.
     pub store: Store,
-    /// Servers, three for each database in turn.
+    /// Servers: three for each database, ordered by database.
     pub targets: Vec<TargetNode>,
-    /// Instances.
+    /// The instances.
     pub instances: Vec<InstanceNode>,
-    /// The configuration.
+    /// The configuration; [`Self::store_configuration`] writes it to the store.
     pub config: Config,
-    /// Login at the servers, key of the instances and part of all passwords.
+    /// Login at the servers, peer key of the instances and part of all passwords.
     ///
-    /// Deployments of other tests run beside this one, and a port given up by
-    /// a killed process of theirs can come to ours. Without a secret of its
-    /// own each would take in what was meant for the other.
+    /// Deployments of other tests run at the same time, and the operating system can assign the port of a process that they killed to a process of this deployment. The secret is unique to the deployment, so that connections meant for another deployment are rejected.
     pub secret: String,
     shape: Shape,
     folder: PathBuf,
@@ -153,7 +151,7 @@
         cluster
     }
 
-    /// Starts servers and store, but no instance.
+    /// Starts the servers and the store, but no instance.
     pub async fn start_cold(shape: Shape) -> Self {
         let name = format!("chervilwharf-test-{}", uuid::Uuid::now_v7());
         let folder = std::env::temp_dir().join(name);
@@ -196,7 +194,7 @@
         cluster
     }
 
-    /// Starts, or starts again, a server.
+    /// Starts or restarts a server.
     pub fn start_target(&mut self, index: usize) {
         let connect_cost_ms = self.shape.connect_cost.as_millis().to_string();
         let statement_cost_ms = self.shape.statement_cost.as_millis().to_string();
@@ -215,7 +213,7 @@
         target.process = Some(process);
     }
 
-    /// Starts, or starts again, an instance.
+    /// Starts or restarts an instance.
     pub fn start_instance(&mut self, index: usize) {
         let seeds: Vec<_> = self
             .instances
@@ -253,7 +251,7 @@
         node.process = Some(process);
     }
 
-    /// Writes the configuration to the store.
+    /// Writes the configuration to the store and returns its version.
     pub fn store_configuration(&self, author: &str) -> u64 {
         let stored = StoredConfiguration {
             update_id: uuid::Uuid::now_v7().to_string(),
@@ -266,7 +264,7 @@
         self.store.put(CONFIGURATION_KEY, &value)
     }
 
-    /// Puts all instances on the platform's list.
+    /// Adds all instances to the platform's list of instances.
     pub fn list_instances(&self) {
         let listed: Vec<_> = self
             .instances
@@ -283,7 +281,7 @@
         self.store.set_instances(&json!(listed));
     }
 
-    /// What an instance says of itself.
+    /// The status that an instance reports; `None` if it does not answer.
     pub async fn status(&self, index: usize) -> Option<Value> {
         let url = format!("http://{}/status", self.instances[index].admin);
         let client = reqwest::Client::builder().no_proxy().timeout(Duration::from_secs(2));
@@ -291,7 +289,7 @@
         client.get(url).send().await.ok()?.json().await.ok()
     }
 
-    /// Metrics of an instance.
+    /// Metrics of an instance in the text format of Prometheus.
     pub async fn metrics(&self, index: usize) -> String {
         let url = format!("http://{}/metrics", self.instances[index].admin);
         let client = reqwest::Client::builder().no_proxy().build().expect("no unusual options");
@@ -299,7 +297,7 @@
         response.text().await.expect("metrics are text")
     }
 
-    /// Makes all replicas apply entries only after `lag`.
+    /// Sets the delay with which all replicas apply replicated entries.
     ///
     /// # Panics
     ///
@@ -313,7 +311,7 @@
         }
     }
 
-    /// Index of the instance that serves a database, its term and primary.
+    /// Index of the instance that serves a database, with the term and the name of the primary. With several, the one of the highest term.
     pub async fn serving(&self, database: &str) -> Option<(usize, u64, String)> {
         let mut best: Option<(usize, u64, String)> = None;
         for index in 0..self.instances.len() {
@@ -335,7 +333,7 @@
         best
     }
 
-    /// Waits until every database is served by someone.
+    /// Waits until every database is served by an instance.
     pub async fn wait_until_served(&self) {
         for database in self.config.databases.keys() {
             wait_for("every database is served", async || self.serving(database).await.is_some())
@@ -347,13 +345,13 @@
     ///
     /// # Panics
     ///
-    /// When there is none.
+    /// When there is no server of that name.
     #[must_use]
     pub fn target(&self, id: &str) -> usize {
         self.targets.iter().position(|node| node.id == id).expect("the server exists")
     }
 
-    /// Folder with settings and logs, to look at after a failure.
+    /// Directory with settings and logs, kept when a test fails.
     #[must_use]
     pub fn folder(&self) -> &PathBuf {
         &self.folder
@@ -362,7 +360,7 @@
 
 impl Drop for Cluster {
     fn drop(&mut self) {
-        // Kept after a failure: the logs tell why.
+        // The directory is kept after a failure, since the logs can explain it.
         if std::thread::panicking() {
             eprintln!("logs of the failed test: {}", self.folder.display());
         } else {
@@ -375,7 +373,7 @@
 ///
 /// # Panics
 ///
-/// When it does not hold for very long.
+/// When it does not hold within [`PATIENCE`].
 pub async fn wait_for(what: &str, condition: impl AsyncFn() -> bool) {
     let deadline = Instant::now() + PATIENCE;
     while !condition().await {
@@ -384,7 +382,7 @@
     }
 }
 
-/// Password of an account.
+/// Password of an account in a deployment with the given secret.
 #[must_use]
 pub fn password(account: &str, secret: &str) -> String {
     format!("{account}-{secret}")
--- a/testing/testutils/src/experiments/capacity.rs
+++ b/testing/testutils/src/experiments/capacity.rs
@@ -1,6 +1,7 @@
-//! Slopes from which docs/CAPACITY.md is worked out: what an instance needs
-//! for each database it owns, each instance, each caller, and each database
-//! it merely knows.
+//! Capacity experiment: measures how the resource use of an instance grows with each
+//! database that it owns, each instance that it watches, each connected client, and each
+//! database of the configuration that other instances own. docs/CAPACITY.md extrapolates
+//! the results to a large fleet.
 
 use std::fmt::Write as _;
 use std::time::Duration;
@@ -19,22 +20,22 @@
 use crate::experiments::stats::Line;
 use crate::experiments::usage::Usage;
 
-/// Time over which a running deployment is watched.
+/// Time over which the resource use of a running deployment is measured.
 const WATCH_TIME: Duration = Duration::from_secs(6);
 
-/// Time for a deployment to come to rest first.
+/// Time to wait before a measurement, until a deployment is idle.
 const REST_TIME: Duration = Duration::from_secs(2);
 
-/// Size of the fleet the page is about.
+/// Number of instances of the fleet that the results are extrapolated to.
 pub const NODES: f64 = 6100.0;
 
-/// Databases of that fleet.
+/// Number of databases of that fleet.
 pub const DATABASES: f64 = 13_000.0;
 
-/// Callers of one node of that fleet.
+/// Number of clients of one instance of that fleet.
 pub const CALLERS: f64 = 24e6 / NODES;
 
-/// What the instances of a deployment used, on average each.
+/// Average resource use per instance of a deployment.
 #[derive(Clone, Copy, Debug, Default)]
 struct Sample {
     cpu_share: f64,
@@ -87,7 +88,7 @@
     }
 }
 
-/// Points of one slope, and the text that shows them.
+/// A line fitted to the measured points of one resource.
 struct Slope {
     line: Line,
 }
@@ -109,7 +110,7 @@
 const KB: f64 = 1024.0;
 const MB: f64 = 1024.0 * 1024.0;
 
-/// Owned databases: three instances, more and more databases.
+/// Measures three instances with a growing number of databases.
 #[allow(clippy::cast_precision_loss, reason = "a handful of databases")]
 async fn owned(report: &mut String) -> [Slope; 3] {
     let (mut cpu, mut memory, mut bytes) = (Vec::new(), Vec::new(), Vec::new());
@@ -128,8 +129,8 @@
     ]
 }
 
-/// Instances: one database, more and more instances, each watching all others
-/// up to the limit of the library.
+/// Measures a growing number of instances with one database. Each instance watches all
+/// others, up to a limit of the library.
 #[allow(clippy::cast_precision_loss, reason = "a handful of instances")]
 async fn instances(report: &mut String) -> [Slope; 2] {
     let (mut cpu, mut bytes) = (Vec::new(), Vec::new());
@@ -146,7 +147,7 @@
     ]
 }
 
-/// Callers: idle connections to one instance.
+/// Measures one instance with a growing number of idle clients.
 #[allow(clippy::cast_precision_loss, reason = "a few thousand callers")]
 async fn callers(report: &mut String) -> [Slope; 2] {
     let cluster = Cluster::start(Shape::default()).await;
@@ -208,14 +209,15 @@
     text
 }
 
-/// Databases and instances that one instance merely knows, in this process.
+/// Measures the state machine of one instance, in this process, with a growing number of
+/// databases that other instances own.
 #[allow(clippy::cast_precision_loss, reason = "thousands")]
 fn known(report: &mut String) -> [Slope; 4] {
     let (mut memory, mut text_size) = (Vec::new(), Vec::new());
     let (mut tick, mut change) = (Vec::new(), Vec::new());
     let mut kept = Vec::new();
     for databases in [500, 1000, 2000, 4000] {
-        // As many instances for each database as in the fleet.
+        // The ratio of instances to databases is that of the fleet.
         let peers = databases * 6100 / 13_000;
         let text = text_of(databases);
         text_size.push((databases as f64, text.len() as f64 / MB));
@@ -234,7 +236,7 @@
         }
         let after = Usage::of(std::process::id()).memory_bytes;
         memory.push((databases as f64, (after - before) / MB));
-        // The first tick after a change of membership, and those that follow.
+        // Measures the first tick after a change of membership, and then the average of 20 ticks that follow.
         let began = Instant::now();
         instance.handle(start + Duration::from_millis(20), InstanceEvent::Tick);
         change.push((databases as f64, began.elapsed().as_secs_f64() * 1000.0));
@@ -254,7 +256,7 @@
     ]
 }
 
-/// Measures all slopes and returns the two tables of docs/CAPACITY.md.
+/// Runs all measurements and returns the two tables of docs/CAPACITY.md.
 pub async fn run() -> String {
     let mut report = String::from(
         "| slope | unit | points | for each | at zero | largest residual |\n\
@@ -269,9 +271,9 @@
     report
 }
 
-/// Instances one owner or successor exchanges heartbeats with at full size:
-/// two successors watch each of its databases, it watches as many owners, and
-/// three more in rotation.
+/// Number of instances that one instance exchanges heartbeats with in the fleet: for each
+/// database that it owns, two successors watch it; it watches as many owners itself, and
+/// three more instances in rotation.
 const WATCHED_AT_SIZE: f64 = 2.0 * DATABASES / NODES + 3.0;
 
 fn extrapolate(
@@ -307,7 +309,7 @@
     row("memory: control, sum", base + known_memory + owner_memory, "MB", "128");
     row("memory: idle callers, not control", callers[0].line.slope * CALLERS, "MB", "");
     let probes = owned[2].line.slope * per_node;
-    // Measured with quick heartbeats; a large fleet sends them at this pace.
+    // The measurement used the heartbeat interval of a small fleet; a large fleet uses a longer one.
     let timing = MembershipTiming::default();
     let pace =
         timing.heartbeat_interval.as_secs_f64() / timing.heartbeat_interval_of_many.as_secs_f64();
--- a/testing/testutils/src/experiments/gap.rs
+++ b/testing/testutils/src/experiments/gap.rs
@@ -1,4 +1,5 @@
-//! How long writes cannot land after a fault.
+//! Failover experiment: measures how long no write is acknowledged after a fault (the
+//! gap).
 
 use std::time::Duration;
 use std::time::Instant;
@@ -16,27 +17,27 @@
 use crate::cluster::Shape;
 use crate::experiments::stats::summary;
 
-/// What is done to the deployment.
+/// The fault that is injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The primary's process is killed.
+    /// The process of the primary is killed.
     Kill,
-    /// The primary's process is stopped in its tracks.
+    /// The process of the primary is suspended.
     Freeze,
     /// Connections to the primary are closed and refused.
     Cut,
-    /// Packets to and from the primary vanish.
+    /// Packets to and from the primary are dropped.
     Silent,
-    /// The owner's process is killed.
+    /// The process of the owner is killed.
     OwnerKill,
-    /// The owner's process is stopped in its tracks.
+    /// The process of the owner is suspended.
     OwnerFreeze,
-    /// The owner gets SIGTERM.
+    /// The owner receives SIGTERM.
     Stop,
 }
 
 impl Fault {
-    /// Reads the name used on the command line.
+    /// Returns the fault of a name on the command line.
     #[must_use]
     pub fn from_name(name: &str) -> Option<Self> {
         Some(match name {
@@ -52,7 +53,8 @@
     }
 }
 
-/// Shape of one of the two deployments of the brief.
+/// Options of a deployment with the network delays and connection costs of one of two
+/// reference sites, `pl-mid` and `pnw`.
 ///
 /// # Panics
 ///
@@ -77,16 +79,16 @@
     }
 }
 
-/// One run: the gap, and its phases as far as the owner's log tells them.
+/// The result of one run. The phases are zero if the owner's log does not contain them.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Gap {
-    /// From the last write acknowledged before to the first after the fault.
+    /// Time from the last write acknowledged before the fault to the first one acknowledged after it.
     pub gap: Duration,
-    /// From the fault to the owner's decision.
+    /// Time from the fault to the decision of the owner to take over.
     pub detect: Duration,
-    /// From the decision until it serves again.
+    /// Time from that decision until the owner serves the database.
     pub take: Duration,
-    /// Writes that were not acknowledged, of any outcome.
+    /// Number of writes that were not acknowledged, whatever their outcome.
     pub not_acknowledged: usize,
 }
 
@@ -95,7 +97,7 @@
     u64::try_from(since.as_millis()).unwrap_or(0)
 }
 
-/// Runs one fault against a fresh deployment.
+/// Injects a fault into a new deployment and measures the gap.
 ///
 /// # Panics
 ///
@@ -151,7 +153,8 @@
     }
 }
 
-/// Prints the slow writes, to find out where a gap comes from.
+/// Prints the writes that were slow or not acknowledged, which shows where a gap comes
+/// from.
 fn trace_slow(history: &History, at: Instant) {
     for mark in history.values().flatten() {
         if mark.heard == Heard::Acknowledged && mark.took < Duration::from_millis(200) {
@@ -164,7 +167,7 @@
     }
 }
 
-/// The longest stretch without an acknowledged write that ends after `at`.
+/// Returns the longest time without an acknowledged write that ends at `at` or later.
 fn gap_around(history: &History, at: Instant) -> Duration {
     let mut times: Vec<_> = history
         .values()
@@ -177,7 +180,7 @@
     pairs.map(|pair| pair[1] - pair[0]).max().unwrap_or_default()
 }
 
-/// Reads the phases from the log lines of the instances.
+/// Reads the durations of detection and takeover from the log lines of the instances.
 fn phases(cluster: &Cluster, fault_ms: u64) -> (Duration, Duration) {
     let mut best = (Duration::ZERO, Duration::ZERO);
     for node in &cluster.instances {
@@ -196,7 +199,7 @@
     best
 }
 
-/// Runs a fault many times and prints the figures.
+/// Runs a fault several times and prints a table row with the results.
 pub async fn run(deployment_name: &str, fault_name: &str, store_down: bool, runs: usize) {
     let fault = Fault::from_name(fault_name).expect("a known fault");
     let mut gaps = Vec::new();
--- a/testing/testutils/src/experiments/latency.rs
+++ b/testing/testutils/src/experiments/latency.rs
@@ -1,4 +1,5 @@
-//! What the proxy adds to a statement, and what a core carries.
+//! Latency experiments: the time that the proxy adds to a statement, and the number of
+//! statements that a processor core can process.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -15,20 +16,21 @@
 use crate::experiments::stats::quantile;
 use crate::experiments::usage::Usage;
 
-/// One way between a caller and an entry, as the brief has it.
+/// One-way network delay between a client and the instance that it is connected to, which
+/// is the delay of the reference sites.
 const CLIENT_DELAY: Duration = Duration::from_millis(3);
 
-/// Statements for each figure.
+/// Number of statements of one latency measurement.
 const SAMPLES: usize = 600;
 
-/// Callers of the throughput figure.
+/// Number of clients of the throughput measurement.
 const CALLERS: usize = 48;
 
-/// Length of the throughput figure.
+/// Duration of one throughput measurement.
 const THROUGHPUT_TIME: Duration = Duration::from_secs(8);
 
-/// Sets the delays of a deployment: the owner lies in the failure domain of
-/// its primary, the replicas in others.
+/// Sets the network delays of a deployment in which the owner is in the same failure
+/// domain as the primary, and the replicas are in others.
 fn set_delays(cluster: &Cluster, primary: usize, delay: Duration) {
     for (index, target) in cluster.targets.iter().enumerate() {
         let way = if index == primary { Duration::ZERO } else { delay };
@@ -73,7 +75,7 @@
     println!("| {name} | {p50} | {p99} | {added50} | {added99} |");
 }
 
-/// Prints added latencies for a deployment.
+/// Measures and prints the latency that the proxy adds in a deployment.
 ///
 /// # Panics
 ///
@@ -105,7 +107,8 @@
     row("write, entry is another", &time_statements(&elsewhere, write).await, &direct_writes);
 }
 
-/// Prints how many statements a core of the instances carries.
+/// Measures and prints how many statements the instances process per second, in total and
+/// per second of processor time.
 ///
 /// # Panics
 ///
--- a/testing/testutils/src/experiments/log_line.rs
+++ b/testing/testutils/src/experiments/log_line.rs
@@ -1,5 +1,5 @@
-//! What a log line costs the one who logs it, and what a request costs with and
-//! without logs.
+//! Log line experiment: measures the time that writing a log line takes, and the time of
+//! a request with and without logging.
 
 use std::collections::HashMap;
 use std::hint::black_box;
@@ -30,10 +30,11 @@
 use chervilwharf_lib::statement::Statement;
 use tokio::net::TcpStream;
 
-/// Lines of one measurement.
+/// Number of repetitions of one measurement.
 const LINES: u32 = 200_000;
 
-/// A refused request with all its fields, the longest of the usual lines.
+/// The event of a refused request with all fields, which gives the longest of the common
+/// log lines.
 fn refused_request() -> Event {
     Event::new(EventKind::RequestRefused)
         .with("id", "81391e752d014b19")
@@ -47,7 +48,7 @@
         .with("reason", "overloaded")
 }
 
-/// Time of one call, over many.
+/// Average time of one call over [`LINES`] calls.
 fn time_of(mut call: impl FnMut()) -> Duration {
     let began_at = Instant::now();
     for _ in 0..LINES {
@@ -56,8 +57,8 @@
     began_at.elapsed() / LINES
 }
 
-/// Requests that are measured while each of them still writes a line: fewer
-/// than the budget of a second.
+/// Number of requests that are measured while each still writes a log line. It is below
+/// the number of lines that may be logged in a second.
 const LOGGED_REQUESTS: u32 = 150;
 
 struct NoServer;
@@ -75,7 +76,8 @@
     }
 }
 
-/// A session of an engine without servers: what it answers it answers itself.
+/// A session of an engine without servers, which answers only statements that need no
+/// server.
 async fn session() -> Session {
     let me = InstanceRecord {
         id: "instance".into(),
@@ -102,7 +104,7 @@
     begun.unwrap_or_else(|failure| panic!("the name is there: {failure:?}"))
 }
 
-/// Time of a request that goes well and of one that is refused.
+/// Average time of a successful request, and of a refused one.
 async fn request_times(session: &mut Session, count: u32) -> (Duration, Duration) {
     let began_at = Instant::now();
     for _ in 0..count {
@@ -123,11 +125,11 @@
     println!("| a request that is refused, {what} | {} |", refused.as_nanos());
 }
 
-/// Measures and prints.
+/// Runs the measurements and prints a table.
 ///
 /// # Panics
 ///
-/// When logging was started before in this process.
+/// When logging was already started in this process.
 pub async fn run() {
     println!("| step | ns |\n| --- | --- |");
     let mut session = session().await;
@@ -142,7 +144,7 @@
     let written = time_of(|| {
         black_box(event.line(1_771_966_443_123, "instance"));
     });
-    // Of 200,000 in less than a second all but the budget are left out.
+    // The 200,000 events are emitted in less than a second, so almost all exceed the limit of lines per second and are dropped.
     let left_out = time_of(|| event_log::emit(&event));
     println!("| the event with nine fields | {} |", built.as_nanos());
     println!("| its line as text | {} |", written.as_nanos());
--- a/testing/testutils/src/experiments/mod.rs
+++ b/testing/testutils/src/experiments/mod.rs
@@ -1,5 +1,5 @@
-//! Measurements against whole deployments. The figures go into
-//! docs/MEASUREMENTS.md and docs/CAPACITY.md.
+//! Performance experiments against deployments of real processes. Their results are
+//! published in docs/MEASUREMENTS.md and docs/CAPACITY.md.
 
 pub mod capacity;
 pub mod gap;
--- a/testing/testutils/src/experiments/share.rs
+++ b/testing/testutils/src/experiments/share.rs
@@ -1,4 +1,5 @@
-//! Share of reads served by replicas, for accounts that roam.
+//! Read share experiment: measures the share of reads that replicas serve when the
+//! statements of an account go to random instances.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -14,25 +15,26 @@
 use crate::cluster::Shape;
 use crate::cluster::wait_for;
 
-/// Accounts at work.
+/// Number of accounts.
 const ACCOUNTS: usize = 150;
 
 /// Mean pause of an account between two requests.
 const MEAN_PAUSE: Duration = Duration::from_secs(1);
 
-/// One request in so many is a write.
+/// On average, one request in this many is a write.
 const WRITE_ONE_IN: u64 = 10;
 
-/// Length of one measurement.
+/// Duration of one measurement.
 const LENGTH: Duration = Duration::from_secs(20);
 
-/// Replicas that apply within this time are not called lagging.
+/// Time that replication takes at zero lag; it is added to the lag when eligible reads
+/// are counted.
 const SHIPPING_TIME: Duration = Duration::from_millis(10);
 
 #[derive(Default)]
 struct Counts {
     reads: usize,
-    /// Reads whose account had not written for longer than the lag.
+    /// Reads of accounts whose last write was longer ago than the lag, so that a replica can serve them.
     eligible: usize,
     stale: usize,
     failed: usize,
@@ -49,7 +51,7 @@
         (self.0 >> 11) % limit
     }
 
-    /// A pause drawn from the exponential distribution.
+    /// A pause from the exponential distribution with the mean [`MEAN_PAUSE`].
     #[allow(clippy::cast_precision_loss, reason = "a random number needs no precision")]
     fn pause(&mut self) -> Duration {
         let uniform = (self.below(1_000_000) + 1) as f64 / 1_000_001.0;
@@ -64,7 +66,7 @@
     })
 }
 
-/// One account: reads its own row and sometimes raises it.
+/// The workload of one account, which reads its own row and sometimes increments it.
 async fn account(
     number: usize,
     clients: Vec<Client>,
@@ -119,14 +121,14 @@
     (replica, primary)
 }
 
-/// How reads are asked for.
+/// The freshness that reads request.
 #[derive(Clone, Copy, Debug)]
 pub enum Mode {
-    /// The product's default.
+    /// The default of the proxy: reads return the writes of the same account.
     OwnWrites,
-    /// Baseline: as current as the primary's latest position.
+    /// Baseline: reads are as current as the latest position of the primary.
     PrimaryPosition,
-    /// Baseline: everything at the primary.
+    /// Baseline: the primary serves all reads.
     Primary,
 }
 
@@ -135,7 +137,7 @@
         match self {
             Self::OwnWrites => "own_writes",
             Self::PrimaryPosition => "fresh",
-            // No sample is that young, so only the primary can answer.
+            // No position sample is that recent, so only the primary can answer.
             Self::Primary => "0",
         }
     }
@@ -170,7 +172,7 @@
     cluster
 }
 
-/// Prints the share for one lag and mode.
+/// Measures one lag and mode, and prints a table row.
 ///
 /// # Panics
 ///
--- a/testing/testutils/src/experiments/stats.rs
+++ b/testing/testutils/src/experiments/stats.rs
@@ -1,8 +1,8 @@
-//! Order statistics and straight lines.
+//! Quantiles and linear regression.
 
 use std::time::Duration;
 
-/// The value below which `share` of the sorted values lie.
+/// The quantile `share`, between 0 and 1, of sorted values; zero if there are none.
 #[must_use]
 pub fn quantile(sorted: &[Duration], share: f64) -> Duration {
     if sorted.is_empty() {
@@ -26,19 +26,19 @@
     format!("{:.1} / {:.1} / {:.1}", ms(0.0), ms(0.5), ms(0.99))
 }
 
-/// A straight line through measured points, by least squares.
+/// A straight line fitted to measured points by least squares.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Line {
     /// Value at zero.
     pub base: f64,
-    /// Growth for each unit.
+    /// Increase of the value for each unit.
     pub slope: f64,
     /// Largest distance of a point from the line.
     pub residual: f64,
 }
 
 impl Line {
-    /// Fits a line.
+    /// Fits a line to points.
     #[must_use]
     #[allow(clippy::cast_precision_loss, reason = "a handful of points")]
     pub fn fit(points: &[(f64, f64)]) -> Self {
--- a/testing/testutils/src/experiments/usage.rs
+++ b/testing/testutils/src/experiments/usage.rs
@@ -1,6 +1,6 @@
-//! Processor time and memory of a process, as the kernel counts them.
+//! Processor time and memory of a process, read from `/proc`.
 
-/// What a process has used.
+/// Resources that a process has used.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Usage {
     /// Processor time in seconds.
@@ -9,18 +9,18 @@
     pub memory_bytes: f64,
 }
 
-/// Clock ticks a second in `/proc`; fixed on Linux.
+/// Clock ticks per second in `/proc`, a fixed value on Linux.
 const TICKS_PER_S: f64 = 100.0;
 
 impl Usage {
-    /// Reads the counters of a process; zero if it is gone.
+    /// Reads the counters of a process; all are zero if the process does not exist.
     #[must_use]
     pub fn of(process: u32) -> Self {
         let read = |file: &str| {
             std::fs::read_to_string(format!("/proc/{process}/{file}")).unwrap_or_default()
         };
         let stat = read("stat");
-        // The fields after the name, which may hold blanks itself.
+        // The fields after the name in parentheses, since the name can contain spaces.
         let fields: Vec<&str> = stat
             .rsplit_once(')')
             .map(|(_, rest)| rest.split_whitespace().collect())
--- a/testing/testutils/src/lib.rs
+++ b/testing/testutils/src/lib.rs
@@ -1,4 +1,6 @@
-//! A whole deployment of real processes for tests, each behind fault proxies.
+//! Test utilities: deployments of real processes (database servers, instances,
+//! command-line tool) behind fault proxies, client workloads with consistency checks, a
+//! fault matrix, and performance experiments.
 
 pub mod callers;
 pub mod checker;
--- a/testing/testutils/src/matrix.rs
+++ b/testing/testutils/src/matrix.rs
@@ -1,5 +1,6 @@
-//! The fault matrix: every fault at every step, each cell in a deployment of
-//! its own, with a check of what every caller was told.
+//! The fault matrix: injects every fault at every step of processing a request or taking
+//! over a database. Each cell runs in its own deployment and ends with a consistency
+//! check.
 
 use std::fmt;
 use std::sync::Arc;
@@ -23,31 +24,31 @@
 use crate::cluster::Shape;
 use crate::process::signal;
 
-/// A step, told by bytes that pass at it.
+/// A step of processing, recognized by bytes that pass a fault proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Step {
-    /// Its name in the table.
+    /// Name in the table of results.
     pub name: &'static str,
     place: Place,
     direction: Direction,
     bytes: &'static [u8],
-    /// The fault comes once the bytes have passed.
+    /// Whether the fault is injected after the bytes have passed, instead of before.
     after: bool,
     style: Style,
-    /// The primary is killed first, to bring a takeover about.
+    /// Whether the primary is suspended first, to cause a takeover.
     in_takeover: bool,
 }
 
-/// Where the bytes pass.
+/// The network link that the bytes pass.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Place {
-    /// Between callers and the owner's entry.
+    /// Between clients and the owner.
     Callers,
     /// Between other instances and the owner.
     Owner,
-    /// Between the owner and the primary.
+    /// Between instances and the primary.
     Primary,
-    /// Between the owner and a replica.
+    /// Between instances and a replica.
     Replica,
     /// Between the primary and its replicas.
     Log,
@@ -75,7 +76,7 @@
 use Direction::Down;
 use Direction::Up;
 
-/// All steps.
+/// All steps of the matrix.
 pub const STEPS: [Step; 17] = [
     step("write: accept", Place::Callers, Up, b"INSERT INTO marks", false),
     step("write: forward", Place::Owner, Up, b"INSERT INTO marks", false),
@@ -105,43 +106,43 @@
 /// A fault of the matrix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The primary's process is killed.
+    /// The process of the primary is killed.
     KillPrimary,
-    /// The primary stands still for a while.
+    /// The process of the primary is suspended for [`FAULT_TIME`].
     FreezePrimary,
-    /// The primary's connections are closed and refused for a while.
+    /// Connections to the primary are closed and refused for [`FAULT_TIME`].
     CutPrimary,
-    /// The primary hears, but nobody hears it, for a while.
+    /// Bytes that the primary sends are dropped for [`FAULT_TIME`], while it still receives.
     OneWayPrimary,
-    /// Open connections to the primary go silent for good.
+    /// The open connections to the primary become unresponsive for good.
     ForgetPrimary,
-    /// The owner's process is killed.
+    /// The process of the owner is killed.
     KillOwner,
-    /// The owner stands still for longer than its currency.
+    /// The process of the owner is suspended for longer than its confirmation of ownership is valid.
     FreezeOwner,
-    /// Links to the owner are closed and refused for a while.
+    /// Links from other instances to the owner are closed and refused for [`FAULT_TIME`].
     CutOwner,
-    /// Open links to the owner go silent for good.
+    /// The open links from other instances to the owner become unresponsive for good.
     ForgetOwner,
-    /// Answers of the owner come late.
+    /// Bytes between other instances and the owner are delayed by 150 ms for [`FAULT_TIME`].
     LateOwner,
-    /// Replicas apply two seconds late.
+    /// Replicas apply entries after [`REPLICA_LAG`].
     LagReplicas,
-    /// The store is down for a while.
+    /// The store is down for [`FAULT_TIME`].
     StoreDown,
-    /// Every call to the store takes a second longer for a while.
+    /// Every call to the store takes 1 s longer for [`FAULT_TIME`].
     StoreSlow,
-    /// The store loses the answers to updates.
+    /// The store executes updates, but the next five answers are lost.
     StoreLosesAnswers,
-    /// Two at once.
+    /// Both `KillPrimary` and `KillOwner`.
     KillPrimaryAndOwner,
-    /// Two at once.
+    /// Both `FreezePrimary` and `StoreDown`.
     FreezePrimaryStoreDown,
-    /// Two at once.
+    /// Both `KillOwner` and `StoreDown`.
     KillOwnerStoreDown,
 }
 
-/// All faults.
+/// All faults of the matrix.
 pub const FAULTS: [Fault; 17] = [
     Fault::KillPrimary,
     Fault::FreezePrimary,
@@ -162,14 +163,14 @@
     Fault::KillOwnerStoreDown,
 ];
 
-/// How a cell ended.
+/// The result of a cell.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Everything held.
+    /// All guarantees held and all writers made progress afterwards.
     Held,
-    /// Something did not.
+    /// A guarantee was violated, or a writer made no progress afterwards.
     Violated(String),
-    /// The step did not come about.
+    /// The step did not occur, so that no fault was injected.
     NotRun(String),
 }
 
@@ -183,23 +184,24 @@
     }
 }
 
-/// Writes each writer must have acknowledged before and after the fault.
+/// Writes that each writer has to get acknowledged before the fault, and again after it.
 const PROGRESS: usize = 8;
 
 /// Longest wait for the bytes of a step.
 const STEP_LIMIT: Duration = Duration::from_secs(10);
 
-/// How long a passing fault lasts: beyond detection and currency.
+/// Duration of a temporary fault, longer than its detection takes and than a confirmation
+/// of ownership is valid.
 const FAULT_TIME: Duration = Duration::from_millis(2500);
 
-/// Lag of the replicas in the column that has one.
+/// Replication delay of [`Fault::LagReplicas`].
 const REPLICA_LAG: Duration = Duration::from_secs(2);
 
-/// Longest wait until all callers get on again.
+/// Longest wait until all writers make progress again after the fault.
 const RECOVERY_LIMIT: Duration = Duration::from_secs(40);
 
-/// Everything a fault can act on, detached from the deployment so that it can
-/// be brought about in the middle of passing bytes.
+/// Handles to everything a fault acts on. They are independent of the `Cluster`, so that
+/// a fault proxy can inject the fault from its own task while bytes pass.
 #[derive(Clone)]
 struct Levers {
     primary_process: u32,
@@ -212,7 +214,7 @@
 
 impl Levers {
     fn apply(&self, fault: Fault) {
-        // A process that an earlier fault of the cell has ended gets no more.
+        // The signal fails if an earlier fault of the cell has ended the process.
         let signal = |process, number| {
             let _ = signal(process, number);
         };
@@ -229,7 +231,7 @@
             Fault::CutOwner => self.owner_peer.set(Behaviour::cut()),
             Fault::ForgetOwner => self.owner_peer.forget_open_connections(),
             Fault::LateOwner => self.owner_peer.set(Behaviour::delayed(Duration::from_millis(150))),
-            // Set before the callers start.
+            // The lag is set before the workload starts.
             Fault::LagReplicas => {}
             Fault::StoreDown => {
                 self.store.set_faults(StoreFaults { down: true, ..StoreFaults::default() });
@@ -260,7 +262,7 @@
         self.primary_log.set(behaviour);
     }
 
-    /// Ends what passes by itself.
+    /// Ends the temporary faults.
     fn relieve(&self) {
         signal(self.primary_process, libc::SIGCONT);
         signal(self.owner_process, libc::SIGCONT);
@@ -311,7 +313,7 @@
 
 /// Runs one cell.
 pub async fn run_cell(step: Step, fault: Fault) -> Verdict {
-    // A runtime of its own: what one cell leaves behind ends with it.
+    // Each cell has its own runtime, which ends the tasks that the cell leaves behind.
     let cell = tokio::task::spawn_blocking(move || {
         let runtime = tokio::runtime::Runtime::new().expect("threads can be started");
         runtime.block_on(run_cell_inner(step, fault))
@@ -343,7 +345,7 @@
     };
     let fired = arm(&cluster, step, fault, &levers, owner, primary);
     if step.in_takeover {
-        // Frozen, not killed: the cell's own fault may need it alive.
+        // The primary is suspended and not killed, since the fault of the cell may need its process.
         signal(levers.primary_process, libc::SIGSTOP);
     }
     if !wait(STEP_LIMIT, || fired.load(Ordering::SeqCst)).await {
@@ -365,7 +367,8 @@
     Verdict::Held
 }
 
-/// Takes the dead out of the books, so that the check asks the living.
+/// Forgets the processes of instances that have exited, so that the check does not use
+/// them.
 fn forget_dead(cluster: &mut Cluster) {
     for node in &mut cluster.instances {
         let dead = node.process.as_mut().is_some_and(|process| process.exit_code().is_some());
--- a/testing/testutils/src/process.rs
+++ b/testing/testutils/src/process.rs
@@ -1,4 +1,4 @@
-//! A child process of a test, ended by its id when dropped.
+//! Child processes of tests, which are killed when they are dropped.
 
 use std::collections::HashMap;
 use std::io::BufRead;
@@ -12,19 +12,19 @@
 /// A running process.
 pub struct Process {
     child: Child,
-    /// What its first line said, as `name=value`.
+    /// The `name=value` pairs of the first line that the process printed.
     pub ready: HashMap<String, String>,
 }
 
-/// Where cargo puts the programs: next to the tests.
+/// Path of a binary of the package under test, in the target directory of cargo.
 ///
 /// # Panics
 ///
-/// When the test does not run from cargo's target folder.
+/// When the binary is not built, or the test does not run from the target directory.
 #[must_use]
 pub fn program(name: &str) -> PathBuf {
     let test = std::env::current_exe().expect("a test knows its own path");
-    // Tests lie in target/profile/deps, programs one folder above.
+    // Test binaries are in target/PROFILE/deps, other binaries in target/PROFILE.
     let folder = test.parent().expect("a program lies in a folder");
     let folder = if folder.ends_with("deps") { folder.parent().unwrap_or(folder) } else { folder };
     let path = folder.join(name);
@@ -32,15 +32,15 @@
     path
 }
 
-/// Sends a signal to a child of ours. Returns whether it was there to get it.
+/// Sends a signal to a child process of this process. Returns whether the child still
+/// existed.
 ///
 /// # Panics
 ///
-/// Never: process ids fit.
+/// Never, since a process id fits into `pid_t`.
 pub fn signal(process: u32, number: libc::c_int) -> bool {
     let id = libc::pid_t::try_from(process).expect("process ids are small");
-    // SAFETY: kill takes no pointers. The process is a child of this one that
-    // has not been waited for, so its id cannot have been given away.
+    // SAFETY: `kill` takes no pointers. The process is a child of this one that has not been waited for, so the system cannot have reused its id.
     unsafe { libc::kill(id, number) == 0 }
 }
 
@@ -50,11 +50,11 @@
 }
 
 impl Process {
-    /// Starts a program and waits for its line `ready name=value …`.
+    /// Starts a program and waits until it prints the line `ready name=value …`. Its standard error is appended to the log file.
     ///
     /// # Panics
     ///
-    /// When it cannot be started or ends before that line.
+    /// When the program cannot be started, or ends or prints something else before that line.
     #[must_use]
     pub fn start(program: &Path, arguments: &[&str], log: &Path) -> Self {
         let log = append_to(log);
@@ -77,12 +77,11 @@
         Self { child, ready }
     }
 
-    /// Starts a program that says nothing of its own when it is ready. What it
-    /// prints goes to the log.
+    /// Starts a program that prints no `ready` line. Its output is appended to the log file.
     ///
     /// # Panics
     ///
-    /// When it cannot be started.
+    /// When the program cannot be started.
     #[must_use]
     pub fn start_quiet(program: &Path, arguments: &[&str], log: &Path) -> Self {
         let child = Command::new(program)
@@ -99,42 +98,42 @@
         assert!(signal(self.child.id(), number), "signal {number} to our own child");
     }
 
-    /// Ends it at once.
+    /// Kills the process and waits until it has ended.
     ///
     /// # Panics
     ///
-    /// When it cannot be waited for.
+    /// When the process has exited and was waited for already, or cannot be waited for.
     pub fn kill(&mut self) {
         self.signal(libc::SIGKILL);
         self.child.wait().expect("a killed child ends");
     }
 
-    /// Stops it in its tracks.
+    /// Suspends the process with SIGSTOP.
     pub fn freeze(&self) {
         self.signal(libc::SIGSTOP);
     }
 
-    /// Lets it go on.
+    /// Resumes the process with SIGCONT.
     pub fn thaw(&self) {
         self.signal(libc::SIGCONT);
     }
 
-    /// Asks it to end.
+    /// Sends SIGTERM to the process.
     pub fn terminate(&self) {
         self.signal(libc::SIGTERM);
     }
 
-    /// Whether it has ended, and with which exit code.
+    /// The exit code of the process, or -1 if a signal ended it; `None` while it runs.
     ///
     /// # Panics
     ///
-    /// When its state cannot be read.
+    /// When the state of the process cannot be read.
     pub fn exit_code(&mut self) -> Option<i32> {
         let status = self.child.try_wait().expect("a child can be asked");
         status.map(|status| status.code().unwrap_or(-1))
     }
 
-    /// Its process id.
+    /// Process id.
     #[must_use]
     pub fn id(&self) -> u32 {
         self.child.id()
--- a/testing/testutils/src/tool.rs
+++ b/testing/testutils/src/tool.rs
@@ -8,14 +8,14 @@
 use crate::cluster::Cluster;
 use crate::process::program;
 
-/// What a run of the tool gave.
+/// The result of a run of the tool.
 #[derive(Clone, Debug)]
 pub struct ToolRun {
-    /// Its exit code.
+    /// Exit code, or -1 if a signal ended the tool.
     pub code: i32,
-    /// What it printed.
+    /// Standard output.
     pub output: String,
-    /// What it complained about.
+    /// Standard error.
     pub errors: String,
 }
 
@@ -24,7 +24,7 @@
     ///
     /// # Panics
     ///
-    /// When it cannot be started.
+    /// When the tool cannot be started.
     pub async fn tool(&self, arguments: &[&str]) -> ToolRun {
         let run = tokio::process::Command::new(program("test-chervilwharf"))
             .arg("--store")
@@ -42,11 +42,11 @@
         }
     }
 
-    /// Writes a configuration to a file in the deployment's folder.
+    /// Writes a configuration to a file in the directory of the deployment.
     ///
     /// # Panics
     ///
-    /// When it cannot be written.
+    /// When the file cannot be written.
     #[must_use]
     pub fn write_text(&self, name: &str, config: &Config) -> PathBuf {
         let path = self.folder().join(name);
--- a/testing/testutils/tests/test_failover.rs
+++ b/testing/testutils/tests/test_failover.rs
@@ -1,4 +1,5 @@
-//! What must hold when a primary or an owner fails, with callers at work.
+//! Failover of primaries and owners under a client workload. The owner of a database is
+//! the instance that serves it; the primary is the server that executes its writes.
 
 use chervilwharf_standin::fault_proxy::Behaviour;
 use chervilwharf_standin::fault_proxy::Flow;
@@ -11,11 +12,11 @@
 use chervilwharf_testutils::cluster::Shape;
 use chervilwharf_testutils::cluster::wait_for;
 
-/// Writes each writer must have acknowledged before and after the fault.
+/// Writes that each writer has to get acknowledged before the fault, and again after it.
 const PROGRESS: usize = 20;
 
-/// Runs callers, brings a fault about, waits until all of them get on, and
-/// compares what they heard with what is there.
+/// Starts a workload, injects a fault, waits until all writers make progress again, and
+/// compares the outcomes reported to the clients with the contents of the database.
 async fn survive(style: Style, fault: impl AsyncFnOnce(&mut Cluster)) -> Cluster {
     let mut cluster = Cluster::start(Shape::default()).await;
     let workload = Workload::start(&cluster, style).await;
@@ -37,9 +38,8 @@
     cluster.serving("db1").await.expect("served").0
 }
 
-/// Symptom: writes hang or are lost. Sequence: the primary's process is
-/// killed between two writes. Cause: nobody promotes a replica, or the wrong
-/// one.
+/// Guards against writes that hang or are lost after the process of the primary is
+/// killed, because no replica or the wrong one is promoted.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_killed_primary_is_replaced_and_nothing_acknowledged_is_lost() {
     let cluster = survive(Style::Statement, async |cluster| {
@@ -51,9 +51,9 @@
     assert!(term > 1);
 }
 
-/// Symptom: a transaction is half there, or there twice. Sequence: the
-/// primary is killed while transactions are open. Cause: COMMIT repeated
-/// without the ledger, or told as "not run" when it ran.
+/// Guards against transactions that are stored in part or twice after the primary is
+/// killed while they are open. This happens if a COMMIT is repeated without a look-up in
+/// the ledger, or reported as "not run" although it ran.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_killed_primary_leaves_transactions_whole() {
     survive(Style::Transaction, async |cluster| {
@@ -63,9 +63,9 @@
     .await;
 }
 
-/// Symptom: a write acknowledged by the old primary is missing later.
-/// Sequence: the primary freezes, a replica is promoted, the primary goes on.
-/// Cause: the old primary still takes writes in its old term.
+/// Guards against the loss of writes that the old primary acknowledges: the primary is
+/// suspended, a replica is promoted, the old primary resumes and still accepts writes in
+/// its old term.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_frozen_primary_cannot_acknowledge_after_it_goes_on() {
     survive(Style::Statement, async |cluster| {
@@ -81,9 +81,9 @@
     .await;
 }
 
-/// Symptom: callers wait for ever. Sequence: all packets to and from the
-/// primary vanish while its connections stay open. Cause: silence is not
-/// taken for a failure.
+/// Guards against clients that wait forever when all packets to and from the primary are
+/// dropped while its connections stay open, because missing answers are not treated as a
+/// failure.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_silent_primary_is_replaced() {
     survive(Style::Statement, async |cluster| {
@@ -94,9 +94,9 @@
     .await;
 }
 
-/// Symptom: every write times out although the primary answers. Sequence: the
-/// primary is cut off from its replicas, not from the owner. Cause: only the
-/// primary's own answers are watched.
+/// Guards against writes that all time out although the primary answers: the primary is
+/// cut off from its replicas but not from the owner, and the owner monitors only the
+/// answers of the primary.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_primary_that_no_replica_hears_is_replaced() {
     survive(Style::Statement, async |cluster| {
@@ -106,9 +106,9 @@
     .await;
 }
 
-/// Symptom: doubled writes. Sequence: answers of the primary vanish, so that
-/// COMMITs succeed and nobody hears of it. Cause: a write whose answer is
-/// missing is sent again without asking the ledger.
+/// Guards against duplicate writes when the answers of the primary are dropped, so that
+/// COMMITs succeed without an answer: a write without an answer is sent again without a
+/// look-up in the ledger.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_primary_whose_answers_vanish_doubles_nothing() {
     survive(Style::Statement, async |cluster| {
@@ -119,9 +119,9 @@
     .await;
 }
 
-/// Symptom: writes are lost or doubled. Sequence: the owner is killed with
-/// requests in progress. Cause: its successor starts without fencing, or an
-/// entry repeats a request that ran.
+/// Guards against lost or duplicate writes after the owner is killed with requests in
+/// progress, because its successor starts without fencing, or an entry instance repeats a
+/// request that ran.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_killed_owner_is_succeeded() {
     survive(Style::Statement, async |cluster| {
@@ -132,10 +132,10 @@
     .await;
 }
 
-/// Symptom: requests hang until their deadline and end unknown though a new
-/// owner serves within a second. Sequence: the owner is killed with requests
-/// of other entries in progress. Cause: an entry waits for an answer on a link
-/// that has just ended.
+/// Guards against requests that hang until their deadline and end with an unknown
+/// outcome, although a new owner serves within a second: the owner is killed with
+/// requests of other entry instances in progress, and these wait for an answer on a link
+/// that has ended.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_requests_at_a_killed_owner_are_settled_by_its_successor() {
     let mut cluster = Cluster::start(Shape::default()).await;
@@ -151,7 +151,7 @@
     assert!(unknown.is_empty(), "{unknown:?}");
 }
 
-/// As above, with the platform's store down the whole time.
+/// As [`test_killed_owner_is_replaced`], with the platform's store down the whole time.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_killed_owner_is_succeeded_while_the_store_is_down() {
     survive(Style::Statement, async |cluster| {
@@ -163,9 +163,9 @@
     .await;
 }
 
-/// Symptom: a stale read, or a write acknowledged by two owners. Sequence:
-/// the owner is paused for longer than its currency, another takes over, the
-/// old one goes on. Cause: the old owner answers before it looks again.
+/// Guards against stale reads and writes acknowledged by two owners: the owner is paused
+/// for longer than its confirmation of ownership is valid, another instance takes over,
+/// and the old owner resumes and answers before it checks its ownership again.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_paused_owner_answers_nothing_stale_when_it_goes_on() {
     survive(Style::Statement, async |cluster| {
@@ -181,9 +181,9 @@
     .await;
 }
 
-/// Symptom: a caller's request is cut off by a planned stop. Sequence: the
-/// owner gets SIGTERM under load. Cause: it ends before its databases are
-/// handed over and its requests answered.
+/// Guards against requests that a planned stop interrupts: the owner receives SIGTERM
+/// under load, and exits before it has handed over its databases and answered its
+/// requests.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_planned_stop_of_the_owner_hands_over() {
     let mut cluster = survive(Style::Statement, async |cluster| {
@@ -200,9 +200,9 @@
     let _ = cluster.instances.pop();
 }
 
-/// Symptom: requests hang until their deadline though the server is well.
-/// Sequence: something between owner and primary loses track of the open
-/// connections; new ones work. Cause: an open connection is trusted for ever.
+/// Guards against requests that hang until their deadline although the server works: a
+/// network device between owner and primary loses the state of the open connections,
+/// while new ones work, and the owner never replaces an open connection.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_connections_that_went_silent_are_replaced() {
     survive(Style::Statement, async |cluster| {
@@ -212,7 +212,7 @@
     .await;
 }
 
-/// The same for the links between instances.
+/// As [`test_unresponsive_connections_are_replaced`], for the links between instances.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_links_that_went_silent_are_replaced() {
     survive(Style::Statement, async |cluster| {
@@ -223,9 +223,9 @@
     .await;
 }
 
-/// Symptom: callers see errors when a server is taken out. Sequence: the
-/// primary is marked as leaving, under load. Cause: it is dropped instead of
-/// replaced after its writes have reached a replica.
+/// Guards against errors when a server is removed: the primary is marked as leaving under
+/// load, and is dropped at once instead of replaced after its writes have reached a
+/// replica.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_leaving_primary_is_replaced_without_an_error() {
     let mut cluster = Cluster::start(Shape::default()).await;
@@ -246,7 +246,7 @@
     assert!(errors.is_empty(), "{errors:?}");
     let violations = checker::check(&cluster, &history, stale).await;
     assert_eq!(violations, Violations::default());
-    // What left gets nothing new, not even reads.
+    // The leaving server receives no new requests, not even reads.
     let (owner, _, _) = cluster.serving("db1").await.unwrap();
     let status = cluster.status(owner).await.unwrap();
     let servers = status["databases"]["db1"]["serving_here"]["servers"].as_array().unwrap();
@@ -254,10 +254,10 @@
     assert_eq!(server["usable"], false);
 }
 
-/// Symptom: a server that came back answers old data, or is never used again.
-/// Sequence: the primary is killed with a tail that no replica has, another is
-/// promoted, the old one starts again with its log. Cause: its tail is not cut
-/// back, or nobody fences it and makes it follow.
+/// Guards against a restarted server that answers stale data or is never used again: the
+/// primary is killed with entries in its log that no replica has, another server is
+/// promoted, and the old one restarts with its log. The fault occurs if these entries are
+/// not truncated, or if the server is not fenced and made a replica.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_returned_primary_follows_and_loses_its_tail() {
     let mut cluster = Cluster::start(Shape { durable: true, ..Shape::default() }).await;
@@ -265,7 +265,7 @@
     workload.wait_for_progress(PROGRESS).await;
     let index = primary(&cluster).await;
     let (_, before, _) = cluster.serving("db1").await.unwrap();
-    // Its last commits reach no replica.
+    // The last commits of the primary reach no replica.
     cluster.targets[index].log_proxy.set(Behaviour::silent());
     tokio::time::sleep(std::time::Duration::from_millis(100)).await;
     cluster.targets[index].process.as_mut().unwrap().kill();
--- a/testing/testutils/tests/test_load.rs
+++ b/testing/testutils/tests/test_load.rs
@@ -1,4 +1,4 @@
-//! What happens when more is asked than the servers can do.
+//! Behaviour when clients request more than the servers can execute.
 
 use std::time::Duration;
 
@@ -6,19 +6,20 @@
 use chervilwharf_testutils::cluster::Cluster;
 use chervilwharf_testutils::cluster::Shape;
 
-/// Availability checks at the same time, far more than the slots can serve.
+/// Number of clients that check availability at the same time, far more than the slots of
+/// a server.
 const CHECKERS: usize = 80;
 
-/// Requests of each caller.
+/// Number of requests of each client.
 const REQUESTS: usize = 4;
 
-/// What a statement costs: more than the time a check has, so that no check
-/// can succeed, however slow the callers of the test are.
+/// Time that a server takes for a statement. It is longer than the deadline of a check,
+/// so that no check can succeed, however slowly the test sends them.
 const STATEMENT_COST: Duration = Duration::from_millis(150);
 
-/// Symptom: bookings fail when the call centre checks availability. Sequence:
-/// many checks that only the primary can answer fill its queue. Cause: the
-/// queue knows no priority, or holds what cannot make its deadline.
+/// Guards against high-priority requests (bookings) that fail under many low-priority
+/// ones (availability checks): checks that only the primary can answer fill its queue,
+/// and the queue ignores priorities or keeps requests that cannot meet their deadlines.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_overload_by_checks_is_refused_with_a_time_and_spares_bookings() {
     let shape = Shape { statement_cost: STATEMENT_COST, ..Shape::default() };
--- a/testing/testutils/tests/test_matrix.rs
+++ b/testing/testutils/tests/test_matrix.rs
@@ -1,12 +1,13 @@
-//! A part of the fault matrix; the whole of it is run by
-//! `cargo run --release -p chervilwharf-testutils --bin matrix`.
+//! A part of the fault matrix. `cargo run --release -p chervilwharf-testutils --bin
+//! matrix` runs all of it.
 
 use chervilwharf_testutils::matrix::Fault;
 use chervilwharf_testutils::matrix::STEPS;
 use chervilwharf_testutils::matrix::Verdict;
 use chervilwharf_testutils::matrix::run_cell;
 
-/// One cell of each step, so that every trigger and most faults are used.
+/// Selected steps, each with one fault: on every network link and with most kinds of
+/// faults.
 const CELLS: [(&str, Fault); 9] = [
     ("write: forward", Fault::KillOwner),
     ("write: statement", Fault::ForgetPrimary),
--- a/testing/testutils/tests/test_path.rs
+++ b/testing/testutils/tests/test_path.rs
@@ -1,4 +1,4 @@
-//! The whole path, from a caller's SQL to a replicated database.
+//! The complete path of requests, from the SQL of a client to a replicated database.
 
 use std::time::Duration;
 
@@ -9,7 +9,8 @@
 use chervilwharf_testutils::cluster::wait_for;
 use tokio_postgres::types::Type;
 
-/// Far above what a read takes, so that replicas lack what was just written.
+/// Replication lag, far longer than a read takes, so that replicas lack the latest
+/// writes.
 const LAG: Duration = Duration::from_millis(500);
 
 #[tokio::test(flavor = "multi_thread")]
@@ -100,11 +101,11 @@
     let reused = "INSERT INTO t VALUES (2) /*request_id='charge-1'*/";
     let error = client.batch_execute(reused).await.unwrap_err();
     assert_eq!(sqlstate(&error), "22023");
-    // Another account's id of the same name is another request.
+    // The same id of another account identifies another request.
     let stranger = cluster.connect(0, "tenant2").await;
     cluster.set_lag(LAG).await;
     stranger.batch_execute(reused).await.unwrap();
-    // Who wrote the second row sees both at once; others when replicas have it.
+    // The account that wrote the second row sees both rows at once; other accounts see them when replicas have them.
     let count = stranger.simple_query("SELECT count(*) FROM t").await.unwrap();
     assert_eq!(first_value(&count).as_deref(), Some("2"));
     wait_for("replicas have both rows", async || {
@@ -142,7 +143,7 @@
     neighbour.batch_execute("SELECT 1").await.unwrap();
 }
 
-/// Slots in use at the primary.
+/// Number of execution slots in use at the primary.
 async fn slots_in_use(cluster: &Cluster) -> u64 {
     let (owner, _, primary) = cluster.serving("db1").await.unwrap();
     let status = cluster.status(owner).await.unwrap();
@@ -151,9 +152,9 @@
     primary.unwrap()["slots_in_use"].as_u64().unwrap()
 }
 
-/// Symptom: a caller gets the answer of a request it never made. Sequence: a
-/// request waits for a lock; another with the same id and another statement
-/// arrives. Cause: copies in progress are told apart by their id alone.
+/// Guards against a client that gets the answer of another request: a request waits for a
+/// lock, another one with the same id but a different statement arrives, and the two are
+/// matched by their id alone.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_id_of_a_request_in_progress_is_refused_for_another_statement() {
     let cluster = Cluster::start(Shape::default()).await;
@@ -174,10 +175,9 @@
     waiting.await.unwrap().unwrap();
 }
 
-/// Symptom: transactions stand still until their deadlines. Sequence: one
-/// holds a lock, others wait for it in all slots of the primary, and the next
-/// statement of the first waits for a slot. Cause: an open transaction has to
-/// queue behind those who wait for it.
+/// Guards against a deadlock until the deadlines of the transactions: one holds a lock,
+/// others wait for it in all slots of the primary, and the next statement of the first
+/// has to wait for a slot behind them.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_open_transaction_does_not_wait_behind_those_who_wait_for_it() {
     let cluster = Cluster::start(Shape::default()).await;
@@ -201,10 +201,10 @@
     }
 }
 
-/// Symptom: a transaction is acknowledged, and its first statements are
-/// missing. Sequence: the link between entry and owner goes silent between two
-/// statements; the owner rolls back; the next statement comes over a new link.
-/// Cause: the owner takes it for the first of a new transaction.
+/// Guards against an acknowledged transaction whose first statements are missing: the
+/// link between entry instance and owner becomes unresponsive between two statements, the
+/// owner rolls back, and it takes the next statement, which arrives on a new link, for
+/// the first one of a new transaction.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_transaction_whose_link_was_lost_does_not_go_on_in_a_new_one() {
     let cluster = Cluster::start(Shape::default()).await;
@@ -214,8 +214,7 @@
     client.batch_execute("BEGIN").await.unwrap();
     client.batch_execute("INSERT INTO t VALUES (1)").await.unwrap();
     cluster.instances[owner].peer_proxy.forget_open_connections();
-    // The heartbeats notice, and the owner rolls back with the old link; or
-    // another instance succeeds it first, whose term fences the transaction.
+    // The heartbeats detect the unresponsive link, and the owner rolls the transaction back; or another instance takes over first, and its term fences the transaction.
     wait_for("the owner holds no transaction", async || {
         let status = cluster.status(owner).await.unwrap();
         let serving = &status["databases"]["db1"]["serving_here"];
--- a/testing/testutils/tests/test_requests_in_doubt.rs
+++ b/testing/testutils/tests/test_requests_in_doubt.rs
@@ -1,4 +1,5 @@
-//! Writes whose owner is lost or replaced while their COMMIT is under way.
+//! Writes whose owner fails or is replaced while their COMMIT is in progress, so that
+//! their outcome is in doubt.
 
 use chervilwharf_standin::fault_proxy::Behaviour;
 use chervilwharf_standin::fault_proxy::Direction;
@@ -11,13 +12,15 @@
 use chervilwharf_testutils::process::signal;
 use tokio_postgres::Client;
 
-/// A deadline that outlasts any takeover, on a busy machine too.
+/// Deadline in milliseconds that is longer than any takeover, also on a heavily loaded
+/// machine.
 const LONG_MS: u64 = 55_000;
 
-/// A deadline beyond what a request waits for a primary, which is 3 s.
+/// Deadline in milliseconds that is longer than the time a request waits for a primary,
+/// which is 3 s.
 const BEYOND_THE_GAP_MS: u64 = 9_000;
 
-/// The write of these tests.
+/// The statement of the write, with a request id and a deadline.
 fn write(deadline_ms: u64) -> String {
     format!("INSERT INTO t VALUES (1) /*request_id='the-write',deadline_ms='{deadline_ms}'*/")
 }
@@ -32,11 +35,11 @@
     first_value(&messages)
 }
 
-/// Symptom: a caller is told "unknown" (40003) although its write is there and
-/// another owner could say so. Sequence: the owner stands still while the
-/// answer to a COMMIT is on its way to it, another instance takes over, the old
-/// owner goes on. Cause: the old owner, which may not look into the ledger any
-/// more, gave a final answer instead of sending the entry to its successor.
+/// Guards against the outcome "unknown" (40003) for a write that is stored, and that
+/// another owner could confirm. The owner is suspended while it waits for the answer to a
+/// COMMIT, another instance takes over, and the old owner resumes. The old owner may not
+/// read the ledger any more, and must refer the entry instance to its successor instead
+/// of giving a final answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_write_of_an_owner_that_was_succeeded_is_settled_by_its_successor() {
     let cluster = Cluster::start(Shape::default()).await;
@@ -60,9 +63,9 @@
     assert_eq!(count(&reader).await.as_deref(), Some("1"));
 }
 
-/// Kills the owner when a COMMIT of a caller at the `offset`th instance after
-/// it is answered, cuts all servers off until the caller has heard something,
-/// and checks that this was not "not run".
+/// Lets a client at the instance `offset` places after the owner write. Kills the owner
+/// when the primary answers the COMMIT, makes all servers unreachable until the client
+/// gets an answer, and checks that the answer is not "not run".
 async fn lose_owner_and_servers(offset: usize) {
     let mut cluster = Cluster::start(Shape::default()).await;
     with_table(&cluster).await;
@@ -90,17 +93,17 @@
     assert_eq!(told(&error), Told::Unknown, "{error:?}");
 }
 
-/// Symptom: a caller is told "not run", and its write is there. Sequence: the
-/// owner is killed while the answer to a COMMIT is on its way to it, and its
-/// successor reaches no server for longer than a takeover lasts. Cause: the
-/// successor, which had not looked into the ledger, answered for itself alone
-/// that nothing had run, and the entry passed that on.
+/// Guards against the answer "not run" for a write that is stored. The owner is killed
+/// while the answer to a COMMIT is on its way to it, and its successor reaches no server
+/// for longer than a takeover lasts. The successor has not read the ledger and can report
+/// only that it has not run the write itself, which the entry instance must not return as
+/// the outcome.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_write_of_a_killed_owner_is_not_called_not_run_by_one_successor() {
     lose_owner_and_servers(1).await;
 }
 
-/// As above, at the other instance: one of the two is the successor.
+/// As above, with the client at the other instance: one of the two is the successor.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_write_of_a_killed_owner_is_not_called_not_run_by_the_other_successor() {
     lose_owner_and_servers(2).await;
--- a/testing/testutils/tests/test_tool.rs
+++ b/testing/testutils/tests/test_tool.rs
@@ -1,4 +1,4 @@
-//! The command-line tool against a whole deployment.
+//! The command-line tool against a deployment of real processes.
 
 use chervilwharf_standin::fault_proxy::Behaviour;
 use chervilwharf_standin::store::StoreFaults;
@@ -36,9 +36,9 @@
     assert_eq!(history[1]["author"], "test");
 }
 
-/// Symptom: an operator's change disappears. Sequence: two operators start
-/// from the same version and apply one after the other. Cause: the later one
-/// overwrites without looking.
+/// Guards against lost updates of the configuration: two operators start from the same
+/// version and apply their changes one after the other, and the second one overwrites the
+/// first without a check of the version.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_loser_of_a_race_is_told_who_won_and_what_differs() {
     let mut cluster = Cluster::start(Shape::default()).await;
@@ -58,9 +58,9 @@
     assert!(stored.contains("\\\"priority\\\": 7"));
 }
 
-/// Symptom: a change is applied twice, or reported as failed though it is in
-/// force. Sequence: the store takes the update and its answer is lost. Cause:
-/// the tool trusts the missing answer instead of reading back.
+/// Guards against a change that is applied twice, or reported as failed although it is in
+/// force: the store executes the update but its answer is lost, and the tool treats this
+/// as a failure instead of reading the configuration back.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_lost_answer_of_the_store_is_settled() {
     let cluster = Cluster::start(Shape::default()).await;
@@ -105,12 +105,12 @@
     assert!(run.output.contains("ran once"), "{run:?}");
     let run = ask("never").await;
     assert_eq!(run.code, 3, "{run:?}");
-    // What is told once stays true: the id cannot run any more.
+    // The answer is final: a request with this id can no longer run.
     let late = client.batch_execute("INSERT INTO t VALUES (2) /*request_id='never'*/").await;
     let error = late.unwrap_err();
     assert_eq!(error.code().unwrap().code(), "57014");
     assert_eq!(ask("never").await.code, 3);
-    // No replica receives anything: a write stays in flight.
+    // No replica receives anything, so the write stays in flight.
     for target in &cluster.targets {
         target.log_proxy.set(Behaviour::silent());
     }
@@ -152,9 +152,8 @@
     assert!(text.output.contains("database db1: owner entry-"), "{text:?}");
 }
 
-/// Symptom: after an outage of the platform no instance can be replaced.
-/// Sequence: the store is down, an instance starts anew. Cause: it knows the
-/// configuration from the store only.
+/// Guards against an instance that cannot start during an outage of the store, because it
+/// gets the configuration only from the store and not from its peers.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_instance_started_while_the_store_is_down_learns_from_its_peers() {
     let mut cluster = Cluster::start(Shape::default()).await;
@@ -170,9 +169,9 @@
     client.batch_execute("SELECT 1").await.unwrap();
 }
 
-/// Symptom: an accepted change is reverted. Sequence: the store comes back
-/// from a backup that holds an older version. Cause: what the store says is
-/// taken without a look at the version.
+/// Guards against a reverted change: the store is restored from a backup with an older
+/// version of the configuration, and an instance applies it without a check of the
+/// version.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_store_restored_to_an_older_version_reverts_nothing() {
     let mut cluster = Cluster::start(Shape::default()).await;
