--- a/soak/src/deployment.rs
+++ b/soak/src/deployment.rs
@@ -93,7 +93,8 @@
 }
 
 impl Instance {
-    /// Number of the current incarnation, which is the number of times the process was started.
+    /// Number of the current incarnation, which is the number of times the process was
+    /// started.
     #[must_use]
     pub fn incarnation(&self) -> u64 {
         self.incarnation.load(Ordering::SeqCst)
@@ -135,7 +136,9 @@
         runs
     }
 
-    /// Waits until the process has exited, as it does after [`Self::terminate`]. A suspended process does not exit by itself and is killed when the time to stop is over.
+    /// Waits until the process has exited, as it does after [`Self::terminate`]. A
+    /// suspended process does not exit by itself and is killed when the time to stop is
+    /// over.
     pub async fn wait_for_end(&self) {
         let until = Instant::now() + Duration::from_secs_f64(STOP_GRACE_S);
         while self.is_running() && Instant::now() < until {
@@ -273,7 +276,8 @@
         self.write_configuration();
     }
 
-    /// Drops all traffic between instances and the store. Connections that are open now stay unresponsive even after [`Self::restore_store_network`].
+    /// Drops all traffic between instances and the store. Connections that are open now
+    /// stay unresponsive even after [`Self::restore_store_network`].
     pub fn make_store_unresponsive(&self) {
         self.forget_store_connections();
         for instance in &self.instances {
@@ -281,7 +285,8 @@
         }
     }
 
-    /// Lets new connections to the store work again. Connections that are open now stay unresponsive.
+    /// Lets new connections to the store work again. Connections that are open now stay
+    /// unresponsive.
     pub fn restore_store_network(&self) {
         self.forget_store_connections();
         for instance in &self.instances {
@@ -289,7 +294,8 @@
         }
     }
 
-    /// Makes the open connections to the store unresponsive for the rest of the run. New connections work.
+    /// Makes the open connections to the store unresponsive for the rest of the run.
+    /// New connections work.
     pub fn forget_store_connections(&self) {
         self.outages.fetch_add(1, Ordering::SeqCst);
         for instance in &self.instances {
@@ -304,10 +310,12 @@
         let outages = self.outages.load(Ordering::SeqCst);
         let deployment = self.clone();
         tokio::spawn(async move {
-            // The time is recorded even if some instances did not serve the database before the timeout; the check then reports the delay.
+            // The time is recorded even if some instances did not serve the database
+            // before the timeout; the check then reports the delay.
             let _without_database =
                 deployment.instances_without_database(number, added_at + PATIENCE).await;
-            // If the connections were made unresponsive again meanwhile, the time says nothing about this outage.
+            // If the connections were made unresponsive again meanwhile, the time says
+            // nothing about this outage.
             if deployment.outages.load(Ordering::SeqCst) == outages {
                 let mut measured =
                     deployment.history.in_force_after.lock().expect("never poisoned");
@@ -362,7 +370,8 @@
         self.backups.lock().expect("never poisoned").push_back(self.store.copy());
     }
 
-    /// Takes the store down for a moment and restores the oldest backup. Afterwards the simulated operator and servers repeat the writes that were lost.
+    /// Takes the store down for a moment and restores the oldest backup. Afterwards the
+    /// simulated operator and servers repeat the writes that were lost.
     pub async fn restore_store(&self) {
         let backup = self.backups.lock().expect("never poisoned").pop_front();
         let backup = backup.expect("a backup was taken at the beginning of the fault");
--- a/soak/src/fault.rs
+++ b/soak/src/fault.rs
@@ -22,7 +22,8 @@
     StopInstance(usize),
     /// Connections between an instance and the store are closed, and new ones refused.
     CutFromStore(usize),
-    /// The open connections of an instance to the store become unresponsive for the rest of the run.
+    /// The open connections of an instance to the store become unresponsive for the
+    /// rest of the run.
     ForgetStoreConnections(usize),
     /// A server closes all connections and accepts no new ones.
     CrashServer(usize),
@@ -60,9 +61,11 @@
     Configuration,
     /// A backup of the store is taken when the fault begins, and restored when it ends.
     StoreComesBack,
-    /// All traffic to the store is dropped. When the fault ends, a configuration is written and only new connections work; those from before stay unresponsive.
+    /// All traffic to the store is dropped. When the fault ends, a configuration is
+    /// written and only new connections work; those from before stay unresponsive.
     StoreSwallows,
-    /// The open connections of all instances to the store become unresponsive for the rest of the run, just before a configuration is written.
+    /// The open connections of all instances to the store become unresponsive for the
+    /// rest of the run, just before a configuration is written.
     ForgetAllStoreConnections,
 }
 
--- a/soak/src/history.rs
+++ b/soak/src/history.rs
@@ -16,7 +16,8 @@
 }
 
 impl ReportedOutcome {
-    /// Returns the outcome that an answer code to a write or COMMIT stands for. `None` stands for a connection that ended without an answer.
+    /// Returns the outcome that an answer code to a write or COMMIT stands for. `None`
+    /// stands for a connection that ended without an answer.
     #[must_use]
     pub fn from_code(code: Option<&str>) -> Self {
         match code {
@@ -116,7 +117,8 @@
     pub dropped_requests: Mutex<Vec<DroppedRequest>>,
     /// Planned stops of instances.
     pub stops: Mutex<Vec<Stop>>,
-    /// For each configuration that was written after an outage of the store: the time until it was in force at all instances.
+    /// For each configuration that was written after an outage of the store: the time
+    /// until it was in force at all instances.
     pub in_force_after: Mutex<Vec<Duration>>,
 }
 
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -18,7 +18,10 @@
     /// number of seeds (default: 10)
     #[argh(option, default = "10")]
     seeds: u64,
-    /// faults: any (default), planned (only planned operations: stops of instances, draining servers, configurations), copies (any, and the store is restored from backups), or silences (the store or connections to it become unresponsive, besides planned operations)
+    /// faults: any (default), planned (only planned operations: stops of instances,
+    /// draining servers, configurations), copies (any, and the store is restored from
+    /// backups), or silences (the store or connections to it become unresponsive,
+    /// besides planned operations)
     #[argh(option, default = "Selection::Any", from_str_fn(selection))]
     faults: Selection,
     /// check time limits too; a heavily loaded machine can exceed them
--- a/soak/src/schedule.rs
+++ b/soak/src/schedule.rs
@@ -30,7 +30,8 @@
     PlannedOperations,
     /// As `Any`, and the store is restored from backups.
     StoreRestores,
-    /// The store or connections to it become unresponsive, besides draining servers and new configurations.
+    /// The store or connections to it become unresponsive, besides draining servers and
+    /// new configurations.
     StoreOutages,
 }
 
--- a/soak/src/soak.rs
+++ b/soak/src/soak.rs
@@ -46,7 +46,8 @@
     pub reads: usize,
     /// Number of promotions that the platform executed.
     pub promotions: usize,
-    /// For each configuration that was written after an outage of the store: the time until it was in force at all instances, unless another outage began meanwhile.
+    /// For each configuration that was written after an outage of the store: the time
+    /// until it was in force at all instances, unless another outage began meanwhile.
     pub in_force_after: Vec<Duration>,
     /// Violations of guarantees, one line each.
     pub violations: Vec<String>,
@@ -118,7 +119,8 @@
         });
     }
     while running.join_next().await.is_some() {}
-    // With overlapping faults, one fault can start an instance before another one kills or suspends it. All instances are resumed and started once more.
+    // With overlapping faults, one fault can start an instance before another one kills
+    // or suspends it. All instances are resumed and started once more.
     for number in 0..deployment.instances.len() {
         deployment.instances[number].thaw();
         deployment.start(number);
--- a/testing/testutils/src/checker.rs
+++ b/testing/testutils/src/checker.rs
@@ -190,7 +190,8 @@
 }
 
 impl Workload {
-    /// Creates the table and starts one writer and one reader for each account of [`WRITERS`].
+    /// Creates the table and starts one writer and one reader for each account of
+    /// [`WRITERS`].
     pub async fn start(cluster: &Cluster, style: Style) -> Self {
         Self::start_with(cluster, style, Duration::from_millis(2)).await
     }
@@ -249,7 +250,8 @@
         }));
     }
 
-    /// Spawns a reader, which reads what the account has written and compares it with the writes that were acknowledged before the read began.
+    /// Spawns a reader, which reads what the account has written and compares it with
+    /// the writes that were acknowledged before the read began.
     fn spawn_reader(&mut self, mut roamer: Roamer, writer: &str) {
         let (stop, history) = (self.stop.clone(), self.history.clone());
         let (stale, reads) = (self.stale.clone(), self.reads.clone());
@@ -273,7 +275,8 @@
                 let seen: BTreeSet<_> = rows(&messages).into_iter().collect();
                 let missing = acknowledged.iter().filter(|id| !seen.contains(*id));
                 stale.lock().expect("never poisoned").extend(missing.cloned());
-                // The next read goes to another instance, as sessions can move between instances.
+                // The next read goes to another instance, as sessions can move between
+                // instances.
                 roamer.drop_client();
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
@@ -316,7 +319,8 @@
         .await;
     }
 
-    /// Stops all clients, and returns the outcomes of the writes and the ids of writes that stale reads missed.
+    /// Stops all clients, and returns the outcomes of the writes and the ids of writes
+    /// that stale reads missed.
     ///
     /// # Panics
     ///
@@ -394,7 +398,8 @@
 /// Compares the outcomes reported to all clients with the contents of the database.
 pub async fn check(cluster: &Cluster, history: &History, stale: Vec<String>) -> Violations {
     let mut violations = Violations { stale, ..Violations::default() };
-    // Unknown outcomes are resolved before the rows are read, so that an inquiry that changes the state of its request is detected.
+    // Unknown outcomes are resolved before the rows are read, so that an inquiry that
+    // changes the state of its request is detected.
     let mut settled: BTreeMap<String, String> = BTreeMap::new();
     for (writer, marks) in history {
         for mark in marks.iter().filter(|mark| mark.heard == Heard::Unknown) {
--- a/testing/testutils/src/cluster.rs
+++ b/testing/testutils/src/cluster.rs
@@ -116,7 +116,10 @@
     pub config: Config,
     /// Login at the servers, peer key of the instances and part of all passwords.
     ///
-    /// Deployments of other tests run at the same time, and the operating system can assign the port of a process that they killed to a process of this deployment. The secret is unique to the deployment, so that connections meant for another deployment are rejected.
+    /// Deployments of other tests run at the same time, and the operating system can
+    /// assign the port of a process that they killed to a process of this deployment.
+    /// The secret is unique to the deployment, so that connections meant for another
+    /// deployment are rejected.
     pub secret: String,
     shape: Shape,
     folder: PathBuf,
@@ -311,7 +314,8 @@
         }
     }
 
-    /// Index of the instance that serves a database, with the term and the name of the primary. With several, the one of the highest term.
+    /// Index of the instance that serves a database, with the term and the name of the
+    /// primary. With several, the one of the highest term.
     pub async fn serving(&self, database: &str) -> Option<(usize, u64, String)> {
         let mut best: Option<(usize, u64, String)> = None;
         for index in 0..self.instances.len() {
--- a/testing/testutils/src/experiments/capacity.rs
+++ b/testing/testutils/src/experiments/capacity.rs
@@ -236,7 +236,8 @@
         }
         let after = Usage::of(std::process::id()).memory_bytes;
         memory.push((databases as f64, (after - before) / MB));
-        // Measures the first tick after a change of membership, and then the average of 20 ticks that follow.
+        // Measures the first tick after a change of membership, and then the average of
+        // 20 ticks that follow.
         let began = Instant::now();
         instance.handle(start + Duration::from_millis(20), InstanceEvent::Tick);
         change.push((databases as f64, began.elapsed().as_secs_f64() * 1000.0));
@@ -309,7 +310,8 @@
     row("memory: control, sum", base + known_memory + owner_memory, "MB", "128");
     row("memory: idle callers, not control", callers[0].line.slope * CALLERS, "MB", "");
     let probes = owned[2].line.slope * per_node;
-    // The measurement used the heartbeat interval of a small fleet; a large fleet uses a longer one.
+    // The measurement used the heartbeat interval of a small fleet; a large fleet uses
+    // a longer one.
     let timing = MembershipTiming::default();
     let pace =
         timing.heartbeat_interval.as_secs_f64() / timing.heartbeat_interval_of_many.as_secs_f64();
--- a/testing/testutils/src/experiments/gap.rs
+++ b/testing/testutils/src/experiments/gap.rs
@@ -82,7 +82,8 @@
 /// The result of one run. The phases are zero if the owner's log does not contain them.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Gap {
-    /// Time from the last write acknowledged before the fault to the first one acknowledged after it.
+    /// Time from the last write acknowledged before the fault to the first one
+    /// acknowledged after it.
     pub gap: Duration,
     /// Time from the fault to the decision of the owner to take over.
     pub detect: Duration,
--- a/testing/testutils/src/experiments/log_line.rs
+++ b/testing/testutils/src/experiments/log_line.rs
@@ -144,7 +144,8 @@
     let written = time_of(|| {
         black_box(event.line(1_771_966_443_123, "instance"));
     });
-    // The 200,000 events are emitted in less than a second, so almost all exceed the limit of lines per second and are dropped.
+    // The 200,000 events are emitted in less than a second, so almost all exceed the
+    // limit of lines per second and are dropped.
     let left_out = time_of(|| event_log::emit(&event));
     println!("| the event with nine fields | {} |", built.as_nanos());
     println!("| its line as text | {} |", written.as_nanos());
--- a/testing/testutils/src/experiments/share.rs
+++ b/testing/testutils/src/experiments/share.rs
@@ -34,7 +34,8 @@
 #[derive(Default)]
 struct Counts {
     reads: usize,
-    /// Reads of accounts whose last write was longer ago than the lag, so that a replica can serve them.
+    /// Reads of accounts whose last write was longer ago than the lag, so that a
+    /// replica can serve them.
     eligible: usize,
     stale: usize,
     failed: usize,
--- a/testing/testutils/src/matrix.rs
+++ b/testing/testutils/src/matrix.rs
@@ -112,19 +112,22 @@
     FreezePrimary,
     /// Connections to the primary are closed and refused for [`FAULT_TIME`].
     CutPrimary,
-    /// Bytes that the primary sends are dropped for [`FAULT_TIME`], while it still receives.
+    /// Bytes that the primary sends are dropped for [`FAULT_TIME`], while it still
+    /// receives.
     OneWayPrimary,
     /// The open connections to the primary become unresponsive for good.
     ForgetPrimary,
     /// The process of the owner is killed.
     KillOwner,
-    /// The process of the owner is suspended for longer than its confirmation of ownership is valid.
+    /// The process of the owner is suspended for longer than its confirmation of
+    /// ownership is valid.
     FreezeOwner,
     /// Links from other instances to the owner are closed and refused for [`FAULT_TIME`].
     CutOwner,
     /// The open links from other instances to the owner become unresponsive for good.
     ForgetOwner,
-    /// Bytes between other instances and the owner are delayed by 150 ms for [`FAULT_TIME`].
+    /// Bytes between other instances and the owner are delayed by 150 ms for
+    /// [`FAULT_TIME`].
     LateOwner,
     /// Replicas apply entries after [`REPLICA_LAG`].
     LagReplicas,
@@ -345,7 +348,8 @@
     };
     let fired = arm(&cluster, step, fault, &levers, owner, primary);
     if step.in_takeover {
-        // The primary is suspended and not killed, since the fault of the cell may need its process.
+        // The primary is suspended and not killed, since the fault of the cell may need
+        // its process.
         signal(levers.primary_process, libc::SIGSTOP);
     }
     if !wait(STEP_LIMIT, || fired.load(Ordering::SeqCst)).await {
--- a/testing/testutils/src/process.rs
+++ b/testing/testutils/src/process.rs
@@ -40,7 +40,8 @@
 /// Never, since a process id fits into `pid_t`.
 pub fn signal(process: u32, number: libc::c_int) -> bool {
     let id = libc::pid_t::try_from(process).expect("process ids are small");
-    // SAFETY: `kill` takes no pointers. The process is a child of this one that has not been waited for, so the system cannot have reused its id.
+    // SAFETY: `kill` takes no pointers. The process is a child of this one that has not
+    // been waited for, so the system cannot have reused its id.
     unsafe { libc::kill(id, number) == 0 }
 }
 
@@ -50,11 +51,13 @@
 }
 
 impl Process {
-    /// Starts a program and waits until it prints the line `ready name=value …`. Its standard error is appended to the log file.
+    /// Starts a program and waits until it prints the line `ready name=value …`. Its
+    /// standard error is appended to the log file.
     ///
     /// # Panics
     ///
-    /// When the program cannot be started, or ends or prints something else before that line.
+    /// When the program cannot be started, or ends or prints something else before that
+    /// line.
     #[must_use]
     pub fn start(program: &Path, arguments: &[&str], log: &Path) -> Self {
         let log = append_to(log);
@@ -77,7 +80,8 @@
         Self { child, ready }
     }
 
-    /// Starts a program that prints no `ready` line. Its output is appended to the log file.
+    /// Starts a program that prints no `ready` line. Its output is appended to the log
+    /// file.
     ///
     /// # Panics
     ///
--- a/testing/testutils/tests/test_path.rs
+++ b/testing/testutils/tests/test_path.rs
@@ -105,7 +105,8 @@
     let stranger = cluster.connect(0, "tenant2").await;
     cluster.set_lag(LAG).await;
     stranger.batch_execute(reused).await.unwrap();
-    // The account that wrote the second row sees both rows at once; other accounts see them when replicas have them.
+    // The account that wrote the second row sees both rows at once; other accounts see
+    // them when replicas have them.
     let count = stranger.simple_query("SELECT count(*) FROM t").await.unwrap();
     assert_eq!(first_value(&count).as_deref(), Some("2"));
     wait_for("replicas have both rows", async || {
@@ -214,7 +215,8 @@
     client.batch_execute("BEGIN").await.unwrap();
     client.batch_execute("INSERT INTO t VALUES (1)").await.unwrap();
     cluster.instances[owner].peer_proxy.forget_open_connections();
-    // The heartbeats detect the unresponsive link, and the owner rolls the transaction back; or another instance takes over first, and its term fences the transaction.
+    // The heartbeats detect the unresponsive link, and the owner rolls the transaction
+    // back; or another instance takes over first, and its term fences the transaction.
     wait_for("the owner holds no transaction", async || {
         let status = cluster.status(owner).await.unwrap();
         let serving = &status["databases"]["db1"]["serving_here"];
