--- a/testing/testutils/tests/test_failover.rs
+++ b/testing/testutils/tests/test_failover.rs
@@ -55,7 +55,7 @@
 /// killed while they are open. This happens if a COMMIT is repeated without a look-up in
 /// the ledger, or reported as "not run" although it ran.
 #[tokio::test(flavor = "multi_thread")]
-async fn test_killed_primary_leaves_transactions_whole() {
+async fn test_killed_primary_leaves_transactions_atomic() {
     survive(Style::Transaction, async |cluster| {
         let index = primary(cluster).await;
         cluster.targets[index].process.as_mut().unwrap().kill();
@@ -67,7 +67,7 @@
 /// suspended, a replica is promoted, the old primary resumes and still accepts writes in
 /// its old term.
 #[tokio::test(flavor = "multi_thread")]
-async fn test_frozen_primary_cannot_acknowledge_after_it_goes_on() {
+async fn test_frozen_primary_cannot_acknowledge_after_it_resumes() {
     survive(Style::Statement, async |cluster| {
         let (_, before, _) = cluster.serving("db1").await.unwrap();
         let index = primary(cluster).await;
@@ -85,7 +85,7 @@
 /// dropped while its connections stay open, because missing answers are not treated as a
 /// failure.
 #[tokio::test(flavor = "multi_thread")]
-async fn test_silent_primary_is_replaced() {
+async fn test_unresponsive_primary_is_replaced() {
     survive(Style::Statement, async |cluster| {
         let index = primary(cluster).await;
         cluster.targets[index].sql_proxy.set(Behaviour::silent());
@@ -110,7 +110,7 @@
 /// COMMITs succeed without an answer: a write without an answer is sent again without a
 /// look-up in the ledger.
 #[tokio::test(flavor = "multi_thread")]
-async fn test_primary_whose_answers_vanish_doubles_nothing() {
+async fn test_lost_answers_of_the_primary_duplicate_no_write() {
     survive(Style::Statement, async |cluster| {
         let index = primary(cluster).await;
         let one_way = Behaviour { down: Flow::Swallow, ..Behaviour::default() };
@@ -123,7 +123,7 @@
 /// progress, because its successor starts without fencing, or an entry instance repeats a
 /// request that ran.
 #[tokio::test(flavor = "multi_thread")]
-async fn test_killed_owner_is_succeeded() {
+async fn test_killed_owner_is_replaced() {
     survive(Style::Statement, async |cluster| {
         let index = owner(cluster).await;
         cluster.instances[index].process.as_mut().unwrap().kill();
@@ -137,7 +137,7 @@
 /// requests of other entry instances in progress, and these wait for an answer on a link
 /// that has ended.
 #[tokio::test(flavor = "multi_thread")]
-async fn test_requests_at_a_killed_owner_are_settled_by_its_successor() {
+async fn test_requests_at_a_killed_owner_are_resolved_by_its_successor() {
     let mut cluster = Cluster::start(Shape::default()).await;
     let workload = Workload::start(&cluster, Style::Statement).await;
     workload.wait_for_progress(PROGRESS).await;
@@ -153,7 +153,7 @@
 
 /// As [`test_killed_owner_is_replaced`], with the platform's store down the whole time.
 #[tokio::test(flavor = "multi_thread")]
-async fn test_killed_owner_is_succeeded_while_the_store_is_down() {
+async fn test_killed_owner_is_replaced_while_the_store_is_down() {
     survive(Style::Statement, async |cluster| {
         cluster.store.set_faults(StoreFaults { down: true, ..StoreFaults::default() });
         let index = owner(cluster).await;
@@ -167,7 +167,7 @@
 /// for longer than its confirmation of ownership is valid, another instance takes over,
 /// and the old owner resumes and answers before it checks its ownership again.
 #[tokio::test(flavor = "multi_thread")]
-async fn test_paused_owner_answers_nothing_stale_when_it_goes_on() {
+async fn test_paused_owner_answers_nothing_stale_after_it_resumes() {
     survive(Style::Statement, async |cluster| {
         let (index, before, _) = cluster.serving("db1").await.unwrap();
         cluster.instances[index].process.as_ref().unwrap().freeze();
@@ -204,7 +204,7 @@
 /// network device between owner and primary loses the state of the open connections,
 /// while new ones work, and the owner never replaces an open connection.
 #[tokio::test(flavor = "multi_thread")]
-async fn test_connections_that_went_silent_are_replaced() {
+async fn test_unresponsive_connections_are_replaced() {
     survive(Style::Statement, async |cluster| {
         let index = primary(cluster).await;
         cluster.targets[index].sql_proxy.forget_open_connections();
@@ -214,7 +214,7 @@
 
 /// As [`test_unresponsive_connections_are_replaced`], for the links between instances.
 #[tokio::test(flavor = "multi_thread")]
-async fn test_links_that_went_silent_are_replaced() {
+async fn test_unresponsive_links_are_replaced() {
     survive(Style::Statement, async |cluster| {
         for node in &cluster.instances {
             node.peer_proxy.forget_open_connections();
@@ -259,7 +259,7 @@
 /// promoted, and the old one restarts with its log. The fault occurs if these entries are
 /// not truncated, or if the server is not fenced and made a replica.
 #[tokio::test(flavor = "multi_thread")]
-async fn test_returned_primary_follows_and_loses_its_tail() {
+async fn test_restarted_primary_follows_and_discards_unreplicated_entries() {
     let mut cluster = Cluster::start(Shape { durable: true, ..Shape::default() }).await;
     let workload = Workload::start(&cluster, Style::Statement).await;
     workload.wait_for_progress(PROGRESS).await;
--- a/testing/testutils/tests/test_load.rs
+++ b/testing/testutils/tests/test_load.rs
@@ -21,7 +21,7 @@
 /// ones (availability checks): checks that only the primary can answer fill its queue,
 /// and the queue ignores priorities or keeps requests that cannot meet their deadlines.
 #[tokio::test(flavor = "multi_thread")]
-async fn test_overload_by_checks_is_refused_with_a_time_and_spares_bookings() {
+async fn test_overload_by_checks_is_refused_with_a_retry_time_and_does_not_affect_bookings() {
     let shape = Shape { statement_cost: STATEMENT_COST, ..Shape::default() };
     let cluster = Cluster::start(shape).await;
     let setup = cluster.connect(0, "tenant").await;
--- a/testing/testutils/tests/test_requests_in_doubt.rs
+++ b/testing/testutils/tests/test_requests_in_doubt.rs
@@ -41,7 +41,7 @@
 /// read the ledger any more, and must refer the entry instance to its successor instead
 /// of giving a final answer.
 #[tokio::test(flavor = "multi_thread")]
-async fn test_write_of_an_owner_that_was_succeeded_is_settled_by_its_successor() {
+async fn test_write_of_a_replaced_owner_is_resolved_by_its_successor() {
     let cluster = Cluster::start(Shape::default()).await;
     with_table(&cluster).await;
     let (owner, before, primary) = cluster.serving("db1").await.unwrap();
@@ -99,12 +99,12 @@
 /// only that it has not run the write itself, which the entry instance must not return as
 /// the outcome.
 #[tokio::test(flavor = "multi_thread")]
-async fn test_write_of_a_killed_owner_is_not_called_not_run_by_one_successor() {
+async fn test_write_of_a_killed_owner_is_not_reported_as_not_run_by_one_successor() {
     lose_owner_and_servers(1).await;
 }
 
 /// As above, with the client at the other instance: one of the two is the successor.
 #[tokio::test(flavor = "multi_thread")]
-async fn test_write_of_a_killed_owner_is_not_called_not_run_by_the_other_successor() {
+async fn test_write_of_a_killed_owner_is_not_reported_as_not_run_by_the_other_successor() {
     lose_owner_and_servers(2).await;
 }
