--- a/soak/src/deployment.rs
+++ b/soak/src/deployment.rs
@@ -21,7 +21,7 @@
 use chervilwharf_standin::platform::store::Mode;
 use chervilwharf_standin::platform::store::Store;
 use chervilwharf_standin::platform::store::StoreCopy;
-use chervilwharf_testutils::cluster::PATIENCE;
+use chervilwharf_testutils::cluster::WAIT_TIMEOUT;
 use chervilwharf_testutils::cluster::wait_for;
 use chervilwharf_testutils::process::Process;
 use chervilwharf_testutils::process::program;
@@ -69,7 +69,7 @@
 
 impl Ports {
     fn reserve() -> Self {
-        let any = || TcpListener::bind("127.0.0.1:0").expect("a port can be had");
+        let any = || TcpListener::bind("127.0.0.1:0").expect("a port is available");
         Self { internal: any(), client: any(), readiness: any() }
     }
 }
@@ -150,7 +150,7 @@
     /// Whether the readiness endpoint reports that the instance accepts clients.
     pub async fn is_ready(&self) -> bool {
         let client = reqwest::Client::builder().no_proxy().timeout(Duration::from_secs(1));
-        let client = client.build().expect("no unusual options");
+        let client = client.build().expect("the HTTP client can be built");
         let answer = client.get(format!("http://{}/-/ready", self.readiness_address)).send().await;
         answer.is_ok_and(|answer| answer.status().is_success())
     }
@@ -188,7 +188,7 @@
         tokio::spawn(servers::apply_for_ever(group.clone()));
         let mut server_proxies = Vec::new();
         for number in 0..options.servers {
-            let proxy = FaultProxy::start().await.expect("a port can be had");
+            let proxy = FaultProxy::start().await.expect("a port is available");
             proxy.set_upstream(group.address(number));
             group.set_address(number, proxy.address);
             server_proxies.push(proxy);
@@ -198,7 +198,7 @@
         let ports = Ports::reserve();
         let folder =
             std::env::temp_dir().join(format!("chervilwharf-soak-{}", uuid::Uuid::now_v7()));
-        std::fs::create_dir_all(&folder).expect("a temporary folder can be made");
+        std::fs::create_dir_all(&folder).expect("a temporary directory can be created");
         let mut instances = Vec::new();
         for number in 0..options.instances {
             instances.push(prepare_instance(number, &ports, &store).await);
@@ -242,10 +242,11 @@
         }
         let path = self.folder.join(format!("{}.json", instance.name));
         std::fs::write(&path, self.settings(instance).to_string())
-            .expect("the folder can be written");
+            .expect("the directory is writable");
         let log = self.folder.join(format!("{}.log", instance.name));
         let arguments = ["--settings", &path.display().to_string()];
-        let process = Process::start_quiet(&program("soak-instance"), &arguments, &log);
+        let process =
+            Process::start_without_ready_line(&program("soak-instance"), &arguments, &log);
         instance.incarnation.fetch_add(1, Ordering::SeqCst);
         *instance.process.lock().expect("never poisoned") = Some(process);
     }
@@ -313,7 +314,7 @@
             // The time is recorded even if some instances did not serve the database
             // before the timeout; the check then reports the delay.
             let _without_database =
-                deployment.instances_without_database(number, added_at + PATIENCE).await;
+                deployment.instances_without_database(number, added_at + WAIT_TIMEOUT).await;
             // If the connections were made unresponsive again meanwhile, the time says
             // nothing about this outage.
             if deployment.outages.load(Ordering::SeqCst) == outages {
@@ -440,7 +441,7 @@
 async fn prepare_instance(number: usize, ports: &Ports, store: &Store) -> Instance {
     let last = u8::try_from(number + 2).expect("there are few instances");
     let ip = IpAddr::from([127, 0, 0, last]);
-    let store_proxy = FaultProxy::start().await.expect("a port can be had");
+    let store_proxy = FaultProxy::start().await.expect("a port is available");
     store_proxy.set_upstream(store.address);
     Instance {
         name: format!("instance-{number}"),
--- a/soak/src/soak.rs
+++ b/soak/src/soak.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use chervilwharf_testutils::cluster::PATIENCE;
+use chervilwharf_testutils::cluster::WAIT_TIMEOUT;
 use tokio::task::JoinSet;
 
 use crate::checks;
@@ -136,7 +136,7 @@
             .collect::<Vec<_>>()
     };
     let before = counts();
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + WAIT_TIMEOUT;
     loop {
         let behind =
             counts().iter().zip(&before).filter(|(now, old)| **now < **old + PROGRESS).count();
@@ -156,7 +156,9 @@
 async fn wait_for_configuration(deployment: &Deployment, violations: &mut Vec<String>) {
     deployment.add_database();
     let number = deployment.added_count();
-    for instance in deployment.instances_without_database(number, Instant::now() + PATIENCE).await {
+    for instance in
+        deployment.instances_without_database(number, Instant::now() + WAIT_TIMEOUT).await
+    {
         violations.push(format!(
             "{} does not serve {}",
             instance.name,
--- a/testing/testutils/src/bin/experiment.rs
+++ b/testing/testutils/src/bin/experiment.rs
@@ -6,11 +6,11 @@
 
 use argh::FromArgs;
 use chervilwharf_testutils::experiments::capacity;
-use chervilwharf_testutils::experiments::gap;
+use chervilwharf_testutils::experiments::failover;
 use chervilwharf_testutils::experiments::latency;
 use chervilwharf_testutils::experiments::log_line;
 use chervilwharf_testutils::experiments::share;
-use chervilwharf_testutils::experiments::share::Mode;
+use chervilwharf_testutils::experiments::share::ReadMode;
 
 /// Runs performance experiments.
 #[derive(FromArgs)]
@@ -105,7 +105,7 @@
     let page = std::fs::read_to_string(path)?;
     let replaced = replace_tables(&page, &tables);
     let replaced =
-        replaced.ok_or_else(|| std::io::Error::other("the page has no place for them"))?;
+        replaced.ok_or_else(|| std::io::Error::other("the file has no markers for the tables"))?;
     std::fs::write(path, replaced)
 }
 
@@ -116,7 +116,8 @@
     let arguments: Arguments = argh::from_env();
     match arguments.command {
         Command::Gap(command) => {
-            gap::run(&command.deployment, &command.fault, command.store_down, command.runs).await;
+            failover::run(&command.deployment, &command.fault, command.store_down, command.runs)
+                .await;
         }
         Command::Latency(command) => latency::run(&command.deployment).await,
         Command::Throughput(_) => latency::throughput().await,
@@ -124,7 +125,7 @@
         Command::Capacity(command) => capacity(&command).await?,
         Command::Share(command) => {
             let lags = command.lag_ms.map_or(LAGS_MS.to_vec(), |lag| vec![lag]);
-            for mode in [Mode::OwnWrites, Mode::PrimaryPosition, Mode::Primary] {
+            for mode in [ReadMode::OwnWrites, ReadMode::PrimaryPosition, ReadMode::Primary] {
                 for lag_ms in &lags {
                     share::run(Duration::from_millis(*lag_ms), mode).await;
                 }
--- a/testing/testutils/src/bin/matrix.rs
+++ b/testing/testutils/src/bin/matrix.rs
@@ -26,7 +26,7 @@
 #[tokio::main]
 async fn main() -> std::process::ExitCode {
     let arguments: Arguments = argh::from_env();
-    let places = Arc::new(Semaphore::new(arguments.parallel));
+    let permits = Arc::new(Semaphore::new(arguments.parallel));
     let mut cells = Vec::new();
     for step in STEPS.into_iter().filter(|step| step.name.contains(&arguments.step)) {
         for fault in FAULTS {
@@ -34,9 +34,9 @@
             if !name.contains(&arguments.fault) {
                 continue;
             }
-            let places = places.clone();
+            let permits = permits.clone();
             let cell = tokio::spawn(async move {
-                let _place = places.acquire().await;
+                let _permit = permits.acquire().await;
                 let verdict = matrix::run_cell(step, fault).await;
                 eprintln!("{} / {fault:?}: {verdict}", step.name);
                 verdict
--- a/testing/testutils/src/checker.rs
+++ b/testing/testutils/src/checker.rs
@@ -17,8 +17,8 @@
 use tokio_postgres::NoTls;
 use tokio_postgres::SimpleQueryMessage;
 
-use crate::callers::Told;
-use crate::callers::told;
+use crate::clients::ErrorOutcome;
+use crate::clients::error_outcome;
 use crate::cluster::Cluster;
 use crate::cluster::password;
 use crate::cluster::wait_for;
@@ -34,11 +34,11 @@
 const DEADLINE_MS: u64 = 4000;
 
 /// Time after which a client abandons a connection that has not answered.
-const CALLER_PATIENCE: Duration = Duration::from_secs(8);
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// The outcome of a write as it was reported to its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum ReportedOutcome {
     /// The write was acknowledged.
     Acknowledged,
     /// The write was reported as not run.
@@ -49,11 +49,11 @@
 
 /// One write and its reported outcome.
 #[derive(Clone, Debug)]
-pub struct Mark {
+pub struct WriteRecord {
     /// Request id, which is also the value that is written.
     pub id: String,
     /// The reported outcome.
-    pub heard: Heard,
+    pub reported: ReportedOutcome,
     /// The error message; empty if the write succeeded.
     pub error: String,
     /// When the client received the outcome.
@@ -63,11 +63,11 @@
 }
 
 /// All writes with their outcomes, by writer.
-pub type History = BTreeMap<String, Vec<Mark>>;
+pub type History = BTreeMap<String, Vec<WriteRecord>>;
 
 /// How a writer executes its writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Style {
+pub enum WriteKind {
     /// Each write is a single statement.
     Statement,
     /// Each write is a transaction of an INSERT and a SELECT.
@@ -89,11 +89,11 @@
     /// Writes that were acknowledged but are not in the database.
     pub lost: Vec<String>,
     /// Writes that are in the database more than once.
-    pub doubled: Vec<String>,
+    pub duplicated: Vec<String>,
     /// Writes that were reported as "not run" but are in the database.
-    pub ran_after_all: Vec<String>,
+    pub ran_despite_not_run: Vec<String>,
     /// Writes of unknown outcome for which the inquiry gave no answer or a wrong one.
-    pub unsettled: Vec<String>,
+    pub unresolved: Vec<String>,
     /// Acknowledged writes that a later read of the same account did not return.
     pub stale: Vec<String>,
 }
@@ -122,25 +122,25 @@
 }
 
 /// A client that connects to the next instance whenever its connection is lost.
-struct Roamer {
-    entries: Vec<SocketAddr>,
-    next: usize,
+struct RoamingClient {
+    addresses: Vec<SocketAddr>,
+    next_address: usize,
     account: String,
     secret: String,
     client: Option<Client>,
 }
 
-impl Roamer {
+impl RoamingClient {
     async fn client(&mut self) -> &Client {
         while self.client.as_ref().is_none_or(Client::is_closed) {
-            let address = self.entries[self.next % self.entries.len()];
-            self.next += 1;
+            let address = self.addresses[self.next_address % self.addresses.len()];
+            self.next_address += 1;
             self.client = connect(address, &self.account, &self.secret).await;
             if self.client.is_none() {
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
         }
-        self.client.as_ref().expect("connected just now")
+        self.client.as_ref().expect("the connection was just made")
     }
 
     fn drop_client(&mut self) {
@@ -148,23 +148,28 @@
     }
 }
 
-async fn write_mark(roamer: &mut Roamer, style: Style, writer: &str, id: &str) -> (Heard, String) {
+async fn execute_write(
+    roaming_client: &mut RoamingClient,
+    kind: WriteKind,
+    writer: &str,
+    id: &str,
+) -> (ReportedOutcome, String) {
     let hints = format!("/*request_id='{id}',deadline_ms='{DEADLINE_MS}'*/");
     let insert = format!("INSERT INTO marks VALUES ('{writer}', '{id}')");
-    let client = roamer.client().await;
-    let result = match style {
-        Style::Statement => {
+    let client = roaming_client.client().await;
+    let result = match kind {
+        WriteKind::Statement => {
             let text = format!("{insert} {hints}");
-            tokio::time::timeout(CALLER_PATIENCE, client.batch_execute(&text)).await
+            tokio::time::timeout(CLIENT_TIMEOUT, client.batch_execute(&text)).await
         }
-        Style::Transaction => {
+        WriteKind::Transaction => {
             let run = async {
                 client.batch_execute("BEGIN").await?;
                 client.batch_execute(&insert).await?;
                 client.simple_query("SELECT count(*) FROM marks").await?;
                 client.batch_execute(&format!("COMMIT {hints}")).await
             };
-            tokio::time::timeout(CALLER_PATIENCE, run).await
+            tokio::time::timeout(CLIENT_TIMEOUT, run).await
         }
     };
     let error = match &result {
@@ -173,27 +178,29 @@
             Some(error) => format!("{} {}", error.code().code(), error.message()),
             None => error.to_string(),
         },
-        Err(_) => "the caller gave up".into(),
+        Err(_) => "the client timed out".into(),
     };
-    let heard = match &result {
-        Ok(Ok(())) => Heard::Acknowledged,
-        Ok(Err(error)) => match told(error) {
-            Told::NotRun => Heard::NotRun,
-            Told::Unknown => Heard::Unknown,
+    let reported = match &result {
+        Ok(Ok(())) => ReportedOutcome::Acknowledged,
+        Ok(Err(error)) => match error_outcome(error) {
+            ErrorOutcome::NotRun => ReportedOutcome::NotRun,
+            ErrorOutcome::Unknown => ReportedOutcome::Unknown,
         },
-        Err(_) => Heard::Unknown,
+        Err(_) => ReportedOutcome::Unknown,
     };
-    if heard != Heard::Acknowledged && (style == Style::Transaction || heard == Heard::Unknown) {
-        roamer.drop_client();
+    if reported != ReportedOutcome::Acknowledged
+        && (kind == WriteKind::Transaction || reported == ReportedOutcome::Unknown)
+    {
+        roaming_client.drop_client();
     }
-    (heard, error)
+    (reported, error)
 }
 
 impl Workload {
     /// Creates the table and starts one writer and one reader for each account of
     /// [`WRITERS`].
-    pub async fn start(cluster: &Cluster, style: Style) -> Self {
-        Self::start_with(cluster, style, Duration::from_millis(2)).await
+    pub async fn start(cluster: &Cluster, kind: WriteKind) -> Self {
+        Self::start_with_pause(cluster, kind, Duration::from_millis(2)).await
     }
 
     /// As [`Self::start`], with a given pause between two writes of a writer.
@@ -201,7 +208,7 @@
     /// # Panics
     ///
     /// When the table cannot be created.
-    pub async fn start_with(cluster: &Cluster, style: Style, pause: Duration) -> Self {
+    pub async fn start_with_pause(cluster: &Cluster, kind: WriteKind, pause: Duration) -> Self {
         let client = cluster.connect(0, "writer1").await;
         client.batch_execute(CREATE_TABLE).await.expect("the table can be created");
         let mut workload = Self {
@@ -211,23 +218,29 @@
             reads: Arc::default(),
             tasks: Vec::new(),
         };
-        let entries: Vec<_> =
+        let addresses: Vec<_> =
             cluster.instances.iter().map(|node| node.client_proxy.address).collect();
         for (number, writer) in WRITERS.iter().enumerate() {
-            let roamer = |offset: usize| Roamer {
-                entries: entries.clone(),
-                next: number + offset,
+            let roaming_client = |offset: usize| RoamingClient {
+                addresses: addresses.clone(),
+                next_address: number + offset,
                 account: (*writer).to_owned(),
                 secret: cluster.secret.clone(),
                 client: None,
             };
-            workload.spawn_writer(roamer(0), style, writer, pause);
-            workload.spawn_reader(roamer(1), writer);
+            workload.spawn_writer(roaming_client(0), kind, writer, pause);
+            workload.spawn_reader(roaming_client(1), writer);
         }
         workload
     }
 
-    fn spawn_writer(&mut self, mut roamer: Roamer, style: Style, writer: &str, pause: Duration) {
+    fn spawn_writer(
+        &mut self,
+        mut roaming_client: RoamingClient,
+        kind: WriteKind,
+        writer: &str,
+        pause: Duration,
+    ) {
         let (stop, history) = (self.stop.clone(), self.history.clone());
         let writer = writer.to_owned();
         self.tasks.push(tokio::spawn(async move {
@@ -236,15 +249,16 @@
                 count += 1;
                 let id = format!("{writer}-{count}");
                 let began = Instant::now();
-                let (heard, error) = write_mark(&mut roamer, style, &writer, &id).await;
+                let (reported, error) =
+                    execute_write(&mut roaming_client, kind, &writer, &id).await;
                 let at = Instant::now();
-                let mark = Mark { id, heard, error, at, took: at - began };
+                let write = WriteRecord { id, reported, error, at, took: at - began };
                 history
                     .lock()
                     .expect("never poisoned")
                     .entry(writer.clone())
                     .or_default()
-                    .push(mark);
+                    .push(write);
                 tokio::time::sleep(pause).await;
             }
         }));
@@ -252,7 +266,7 @@
 
     /// Spawns a reader, which reads what the account has written and compares it with
     /// the writes that were acknowledged before the read began.
-    fn spawn_reader(&mut self, mut roamer: Roamer, writer: &str) {
+    fn spawn_reader(&mut self, mut roaming_client: RoamingClient, writer: &str) {
         let (stop, history) = (self.stop.clone(), self.history.clone());
         let (stale, reads) = (self.stale.clone(), self.reads.clone());
         let writer = writer.to_owned();
@@ -260,15 +274,17 @@
             while !stop.load(Ordering::Relaxed) {
                 let acknowledged: Vec<String> = {
                     let history = history.lock().expect("never poisoned");
-                    let marks = history.get(&writer).map(Vec::as_slice).unwrap_or_default();
-                    let heard = marks.iter().filter(|mark| mark.heard == Heard::Acknowledged);
-                    heard.map(|mark| mark.id.clone()).collect()
+                    let writes = history.get(&writer).map(Vec::as_slice).unwrap_or_default();
+                    let acknowledged = writes
+                        .iter()
+                        .filter(|write| write.reported == ReportedOutcome::Acknowledged);
+                    acknowledged.map(|write| write.id.clone()).collect()
                 };
                 let text = format!("SELECT id FROM marks WHERE writer = '{writer}'");
-                let client = roamer.client().await;
-                let read = tokio::time::timeout(CALLER_PATIENCE, client.simple_query(&text)).await;
+                let client = roaming_client.client().await;
+                let read = tokio::time::timeout(CLIENT_TIMEOUT, client.simple_query(&text)).await;
                 let Ok(Ok(messages)) = read else {
-                    roamer.drop_client();
+                    roaming_client.drop_client();
                     continue;
                 };
                 reads.fetch_add(1, Ordering::Relaxed);
@@ -277,7 +293,7 @@
                 stale.lock().expect("never poisoned").extend(missing.cloned());
                 // The next read goes to another instance, as sessions can move between
                 // instances.
-                roamer.drop_client();
+                roaming_client.drop_client();
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         }));
@@ -291,8 +307,8 @@
     #[must_use]
     pub fn acknowledged(&self) -> usize {
         let history = self.history.lock().expect("never poisoned");
-        let marks = history.values().flatten();
-        marks.filter(|mark| mark.heard == Heard::Acknowledged).count()
+        let writes = history.values().flatten();
+        writes.filter(|write| write.reported == ReportedOutcome::Acknowledged).count()
     }
 
     /// Number of reads answered so far.
@@ -301,20 +317,23 @@
         self.reads.load(Ordering::Relaxed)
     }
 
-    /// Waits until each writer has got `marks` more writes acknowledged.
-    pub async fn wait_for_progress(&self, marks: usize) {
+    /// Waits until each writer has got `writes` more writes acknowledged.
+    pub async fn wait_for_progress(&self, writes: usize) {
         let count = || -> BTreeMap<String, usize> {
             let history = self.history.lock().expect("never poisoned");
-            let acknowledged = |marks: &Vec<Mark>| {
-                marks.iter().filter(|mark| mark.heard == Heard::Acknowledged).count()
+            let acknowledged = |writes: &Vec<WriteRecord>| {
+                writes
+                    .iter()
+                    .filter(|write| write.reported == ReportedOutcome::Acknowledged)
+                    .count()
             };
-            history.iter().map(|(writer, marks)| (writer.clone(), acknowledged(marks))).collect()
+            history.iter().map(|(writer, writes)| (writer.clone(), acknowledged(writes))).collect()
         };
         let before = count();
         wait_for("every writer makes progress", async || {
             let now = count();
             now.len() == WRITERS.len()
-                && now.iter().all(|(w, n)| *n >= before.get(w).copied().unwrap_or(0) + marks)
+                && now.iter().all(|(w, n)| *n >= before.get(w).copied().unwrap_or(0) + writes)
         })
         .await;
     }
@@ -328,7 +347,7 @@
     pub async fn stop(self) -> (History, Vec<String>) {
         self.stop.store(true, Ordering::Relaxed);
         for task in self.tasks {
-            task.await.expect("callers do not panic");
+            task.await.expect("clients do not panic");
         }
         let history = self.history.lock().expect("never poisoned").clone();
         let stale = self.stale.lock().expect("never poisoned").clone();
@@ -356,15 +375,15 @@
     let admin = cluster.instances[instance].admin;
     let url = format!("http://{admin}/request?database=db1&account={account}&id={id}");
     let client = reqwest::Client::builder().no_proxy().timeout(Duration::from_secs(10));
-    let client = client.build().expect("no unusual options");
+    let client = client.build().expect("the HTTP client can be built");
     let body: Value = client.get(url).send().await.ok()?.json().await.ok()?;
     Some(body["state"].as_str()?.to_owned())
 }
 
 /// Reads all rows of the writers with fresh reads, which return every acknowledged write.
-async fn marks_at_primary(cluster: &Cluster) -> Vec<String> {
+async fn read_all_ids(cluster: &Cluster) -> Vec<String> {
     let mut found = None;
-    wait_for("the marks can be read", async || {
+    wait_for("the rows can be read", async || {
         for index in 0..cluster.instances.len() {
             if cluster.instances[index].process.is_none() {
                 continue;
@@ -392,7 +411,7 @@
             found = client.simple_query("SELECT id FROM marks").await.ok().map(|m| rows(&m));
         }
     }
-    found.expect("read a moment ago")
+    found.expect("the rows were read a moment ago")
 }
 
 /// Compares the outcomes reported to all clients with the contents of the database.
@@ -400,30 +419,32 @@
     let mut violations = Violations { stale, ..Violations::default() };
     // Unknown outcomes are resolved before the rows are read, so that an inquiry that
     // changes the state of its request is detected.
-    let mut settled: BTreeMap<String, String> = BTreeMap::new();
-    for (writer, marks) in history {
-        for mark in marks.iter().filter(|mark| mark.heard == Heard::Unknown) {
-            let state = settle(cluster, writer, &mark.id).await;
-            settled.insert(mark.id.clone(), state);
+    let mut resolved: BTreeMap<String, String> = BTreeMap::new();
+    for (writer, writes) in history {
+        for write in writes.iter().filter(|write| write.reported == ReportedOutcome::Unknown) {
+            let state = resolve(cluster, writer, &write.id).await;
+            resolved.insert(write.id.clone(), state);
         }
     }
     let mut counts: BTreeMap<String, usize> = BTreeMap::new();
-    for id in marks_at_primary(cluster).await {
+    for id in read_all_ids(cluster).await {
         *counts.entry(id).or_default() += 1;
     }
-    for mark in history.values().flatten() {
-        let count = counts.get(&mark.id).copied().unwrap_or(0);
+    for write in history.values().flatten() {
+        let count = counts.get(&write.id).copied().unwrap_or(0);
         if count > 1 {
-            violations.doubled.push(mark.id.clone());
+            violations.duplicated.push(write.id.clone());
         }
-        match mark.heard {
-            Heard::Acknowledged if count == 0 => violations.lost.push(mark.id.clone()),
-            Heard::NotRun if count > 0 => violations.ran_after_all.push(mark.id.clone()),
-            Heard::Unknown => {
-                let state = settled.get(&mark.id).map_or("", String::as_str);
+        match write.reported {
+            ReportedOutcome::Acknowledged if count == 0 => violations.lost.push(write.id.clone()),
+            ReportedOutcome::NotRun if count > 0 => {
+                violations.ran_despite_not_run.push(write.id.clone())
+            }
+            ReportedOutcome::Unknown => {
+                let state = resolved.get(&write.id).map_or("", String::as_str);
                 let fits = matches!((state, count), ("ran_once", 1) | ("did_not_run", 0));
                 if !fits {
-                    violations.unsettled.push(format!("{} {state} but {count} rows", mark.id));
+                    violations.unresolved.push(format!("{} {state} but {count} rows", write.id));
                 }
             }
             _ => {}
@@ -432,9 +453,9 @@
     violations
 }
 
-async fn settle(cluster: &Cluster, writer: &str, id: &str) -> String {
+async fn resolve(cluster: &Cluster, writer: &str, id: &str) -> String {
     let answer = Mutex::new(String::new());
-    wait_for("an inquiry is answered for good", async || {
+    wait_for("an inquiry gets a final answer", async || {
         for index in 0..cluster.instances.len() {
             if cluster.instances[index].process.is_none() {
                 continue;
--- a/testing/testutils/src/callers.rs
+++ b/testing/testutils/src/clients.rs
@@ -63,7 +63,7 @@
 
 /// What an error reports about the execution of the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum ErrorOutcome {
     /// The request did not run.
     NotRun,
     /// The request may have run.
@@ -73,10 +73,10 @@
 /// Returns what the DETAIL field of an error reports about the request. A broken
 /// connection has none and leaves the outcome unknown.
 #[must_use]
-pub fn told(error: &Error) -> Told {
+pub fn error_outcome(error: &Error) -> ErrorOutcome {
     let detail = error.as_db_error().and_then(tokio_postgres::error::DbError::detail);
     match detail {
-        Some(detail) if detail.starts_with("outcome=not run") => Told::NotRun,
-        _ => Told::Unknown,
+        Some(detail) if detail.starts_with("outcome=not run") => ErrorOutcome::NotRun,
+        _ => ErrorOutcome::Unknown,
     }
 }
--- a/testing/testutils/src/cluster.rs
+++ b/testing/testutils/src/cluster.rs
@@ -28,11 +28,11 @@
 
 /// Longest wait for a condition before a test fails. It is far longer than any condition
 /// takes, so that a test gives the same result on a slow machine.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Size and properties of a deployment.
 #[derive(Clone, Debug)]
-pub struct Shape {
+pub struct ClusterOptions {
     /// Number of failure domains.
     pub domains: usize,
     /// Number of databases, with three servers each.
@@ -51,7 +51,7 @@
     pub durable: bool,
 }
 
-impl Default for Shape {
+impl Default for ClusterOptions {
     fn default() -> Self {
         Self {
             domains: 3,
@@ -121,7 +121,7 @@
     /// The secret is unique to the deployment, so that connections meant for another
     /// deployment are rejected.
     pub secret: String,
-    shape: Shape,
+    options: ClusterOptions,
     folder: PathBuf,
 }
 
@@ -129,22 +129,22 @@
     (Ipv4Addr::LOCALHOST, 0).into()
 }
 
-async fn proxy(shape: &Shape) -> FaultProxy {
-    let proxy = FaultProxy::start().await.expect("a port can be had");
-    if !shape.delay.is_zero() {
-        proxy.set(chervilwharf_standin::fault_proxy::Behaviour::delayed(shape.delay));
+async fn proxy(options: &ClusterOptions) -> FaultProxy {
+    let proxy = FaultProxy::start().await.expect("a port is available");
+    if !options.delay.is_zero() {
+        proxy.set(chervilwharf_standin::fault_proxy::Behaviour::delayed(options.delay));
     }
     proxy
 }
 
 fn address(process: &Process, name: &str) -> SocketAddr {
-    process.ready[name].parse().expect("programs print their addresses")
+    process.ready[name].parse().expect("the program prints its addresses")
 }
 
 impl Cluster {
     /// Starts a deployment and waits until all databases are served.
-    pub async fn start(shape: Shape) -> Self {
-        let mut cluster = Self::start_cold(shape).await;
+    pub async fn start(options: ClusterOptions) -> Self {
+        let mut cluster = Self::start_without_instances(options).await;
         cluster.store_configuration("test");
         for index in 0..cluster.instances.len() {
             cluster.start_instance(index);
@@ -155,42 +155,42 @@
     }
 
     /// Starts the servers and the store, but no instance.
-    pub async fn start_cold(shape: Shape) -> Self {
+    pub async fn start_without_instances(options: ClusterOptions) -> Self {
         let name = format!("chervilwharf-test-{}", uuid::Uuid::now_v7());
         let folder = std::env::temp_dir().join(name);
-        std::fs::create_dir_all(&folder).expect("a temporary folder can be made");
-        let store = Store::start(any_port()).await.expect("a port can be had");
+        std::fs::create_dir_all(&folder).expect("a temporary directory can be created");
+        let store = Store::start(any_port()).await.expect("a port is available");
         let mut targets = Vec::new();
-        for database in 0..shape.databases {
+        for database in 0..options.databases {
             for letter in ["a", "b", "c"] {
                 let id = format!("db{}{letter}", database + 1);
-                let log_file = shape.durable.then(|| folder.join(format!("{id}.log")));
+                let log_file = options.durable.then(|| folder.join(format!("{id}.log")));
                 targets.push(TargetNode {
                     id,
                     process: None,
-                    sql_proxy: proxy(&shape).await,
-                    log_proxy: proxy(&shape).await,
+                    sql_proxy: proxy(&options).await,
+                    log_proxy: proxy(&options).await,
                     log_file,
                 });
             }
         }
         let mut instances = Vec::new();
-        for number in 0..shape.instances {
-            let store_proxy = FaultProxy::start().await.expect("a port can be had");
+        for number in 0..options.instances {
+            let store_proxy = FaultProxy::start().await.expect("a port is available");
             store_proxy.set_upstream(store.address);
             instances.push(InstanceNode {
                 id: format!("entry-{}", number + 1),
-                domain: format!("domain-{}", number % shape.domains + 1),
+                domain: format!("domain-{}", number % options.domains + 1),
                 process: None,
-                client_proxy: FaultProxy::start().await.expect("a port can be had"),
-                peer_proxy: proxy(&shape).await,
+                client_proxy: FaultProxy::start().await.expect("a port is available"),
+                peer_proxy: proxy(&options).await,
                 admin: any_port(),
                 store_proxy,
             });
         }
         let secret = uuid::Uuid::now_v7().to_string();
-        let config = configuration(&shape, &targets, &secret);
-        let mut cluster = Self { store, targets, instances, config, secret, shape, folder };
+        let config = configuration(&options, &targets, &secret);
+        let mut cluster = Self { store, targets, instances, config, secret, options, folder };
         for index in 0..cluster.targets.len() {
             cluster.start_target(index);
         }
@@ -199,8 +199,8 @@
 
     /// Starts or restarts a server.
     pub fn start_target(&mut self, index: usize) {
-        let connect_cost_ms = self.shape.connect_cost.as_millis().to_string();
-        let statement_cost_ms = self.shape.statement_cost.as_millis().to_string();
+        let connect_cost_ms = self.options.connect_cost.as_millis().to_string();
+        let statement_cost_ms = self.options.statement_cost.as_millis().to_string();
         let log = self.folder.join("targets.txt");
         let target = &mut self.targets[index];
         let mut arguments = vec!["target", "--id", &target.id, "--login", &self.secret];
@@ -244,7 +244,7 @@
             "seeds": seeds,
         });
         let path = self.folder.join(format!("{}.json", node.id));
-        std::fs::write(&path, settings.to_string()).expect("the folder can be written");
+        std::fs::write(&path, settings.to_string()).expect("the directory is writable");
         let log = self.folder.join(format!("{}.txt", node.id));
         let path = path.display().to_string();
         let process = Process::start(&program("test-chervilwharfd"), &["--settings", &path], &log);
@@ -260,10 +260,10 @@
             update_id: uuid::Uuid::now_v7().to_string(),
             author: author.to_owned(),
             at_ms: 0,
-            text: serde_json::to_string_pretty(&self.config).expect("plain data"),
+            text: serde_json::to_string_pretty(&self.config).expect("the value can be serialized"),
             history: Vec::new(),
         };
-        let value = serde_json::to_string(&stored).expect("plain data");
+        let value = serde_json::to_string(&stored).expect("the value can be serialized");
         self.store.put(CONFIGURATION_KEY, &value)
     }
 
@@ -288,15 +288,16 @@
     pub async fn status(&self, index: usize) -> Option<Value> {
         let url = format!("http://{}/status", self.instances[index].admin);
         let client = reqwest::Client::builder().no_proxy().timeout(Duration::from_secs(2));
-        let client = client.build().expect("no unusual options");
+        let client = client.build().expect("the HTTP client can be built");
         client.get(url).send().await.ok()?.json().await.ok()
     }
 
     /// Metrics of an instance in the text format of Prometheus.
     pub async fn metrics(&self, index: usize) -> String {
         let url = format!("http://{}/metrics", self.instances[index].admin);
-        let client = reqwest::Client::builder().no_proxy().build().expect("no unusual options");
-        let response = client.get(url).send().await.expect("the instance is up");
+        let client =
+            reqwest::Client::builder().no_proxy().build().expect("the HTTP client can be built");
+        let response = client.get(url).send().await.expect("the instance is running");
         response.text().await.expect("metrics are text")
     }
 
@@ -306,11 +307,13 @@
     ///
     /// When a server is down.
     pub async fn set_lag(&self, lag: Duration) {
-        let client = reqwest::Client::builder().no_proxy().build().expect("no unusual options");
+        let client =
+            reqwest::Client::builder().no_proxy().build().expect("the HTTP client can be built");
         for target in &self.targets {
-            let address = &target.process.as_ref().expect("up").ready["replication"];
+            let address =
+                &target.process.as_ref().expect("the process is running").ready["replication"];
             let url = format!("http://{address}/lag/{}", lag.as_millis());
-            client.post(url).send().await.expect("the server is up");
+            client.post(url).send().await.expect("the server is running");
         }
     }
 
@@ -377,11 +380,11 @@
 ///
 /// # Panics
 ///
-/// When it does not hold within [`PATIENCE`].
+/// When it does not hold within [`WAIT_TIMEOUT`].
 pub async fn wait_for(what: &str, condition: impl AsyncFn() -> bool) {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while !condition().await {
-        assert!(Instant::now() < deadline, "never came true: {what}");
+        assert!(Instant::now() < deadline, "timed out waiting until {what}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
@@ -392,15 +395,15 @@
     format!("{account}-{secret}")
 }
 
-fn configuration(shape: &Shape, targets: &[TargetNode], secret: &str) -> Config {
-    let databases: Vec<String> = (1..=shape.databases).map(|n| format!("db{n}")).collect();
+fn configuration(options: &ClusterOptions, targets: &[TargetNode], secret: &str) -> Config {
+    let databases: Vec<String> = (1..=options.databases).map(|n| format!("db{n}")).collect();
     let server = |(index, node): (usize, &TargetNode)| Server {
         id: node.id.as_str().into(),
         address: node.sql_proxy.address.to_string().into(),
         replication_address: Some(node.log_proxy.address.to_string().into()),
-        failure_domain: format!("domain-{}", index % shape.domains + 1).into(),
+        failure_domain: format!("domain-{}", index % options.domains + 1).into(),
         slots: 3,
-        connections: shape.connections,
+        connections: options.connections,
         leaving: false,
     };
     let group = |(number, name): (usize, &String)| {
@@ -437,7 +440,7 @@
         ("availability".into(), service(6, DefaultFreshness::MaxAgeMs(2000))),
     ]);
     Config {
-        failure_domains: (1..=shape.domains).map(|n| format!("domain-{n}").into()).collect(),
+        failure_domains: (1..=options.domains).map(|n| format!("domain-{n}").into()).collect(),
         databases: databases.iter().enumerate().map(group).collect(),
         services,
         accounts: BTreeMap::from([
--- a/testing/testutils/src/experiments/capacity.rs
+++ b/testing/testutils/src/experiments/capacity.rs
@@ -16,24 +16,24 @@
 use chervilwharf_lib::ownership_types::OwnershipTiming;
 
 use crate::cluster::Cluster;
-use crate::cluster::Shape;
+use crate::cluster::ClusterOptions;
 use crate::experiments::stats::Line;
 use crate::experiments::usage::Usage;
 
 /// Time over which the resource use of a running deployment is measured.
-const WATCH_TIME: Duration = Duration::from_secs(6);
+const MEASUREMENT_TIME: Duration = Duration::from_secs(6);
 
 /// Time to wait before a measurement, until a deployment is idle.
-const REST_TIME: Duration = Duration::from_secs(2);
+const SETTLE_TIME: Duration = Duration::from_secs(2);
 
 /// Number of instances of the fleet that the results are extrapolated to.
-pub const NODES: f64 = 6100.0;
+pub const FLEET_INSTANCES: f64 = 6100.0;
 
 /// Number of databases of that fleet.
-pub const DATABASES: f64 = 13_000.0;
+pub const FLEET_DATABASES: f64 = 13_000.0;
 
 /// Number of clients of one instance of that fleet.
-pub const CALLERS: f64 = 24e6 / NODES;
+pub const FLEET_CLIENTS_PER_INSTANCE: f64 = 24e6 / FLEET_INSTANCES;
 
 /// Average resource use per instance of a deployment.
 #[derive(Clone, Copy, Debug, Default)]
@@ -62,7 +62,8 @@
         let text = cluster.metrics(index).await;
         control_bytes += metric(&text, "chervilwharf_control_bytes_total");
     }
-    let processes = cluster.instances.iter().map(|n| n.process.as_ref().expect("up").id());
+    let processes =
+        cluster.instances.iter().map(|n| n.process.as_ref().expect("the process is running").id());
     Counters {
         usage: processes.map(Usage::of).collect(),
         control_bytes,
@@ -71,10 +72,10 @@
 }
 
 #[allow(clippy::cast_precision_loss, reason = "a handful of instances")]
-async fn watch(cluster: &Cluster) -> Sample {
-    tokio::time::sleep(REST_TIME).await;
+async fn measure(cluster: &Cluster) -> Sample {
+    tokio::time::sleep(SETTLE_TIME).await;
     let (before, began) = (counters(cluster).await, Instant::now());
-    tokio::time::sleep(WATCH_TIME).await;
+    tokio::time::sleep(MEASUREMENT_TIME).await;
     let (after, elapsed) = (counters(cluster).await, began.elapsed().as_secs_f64());
     let count = cluster.instances.len() as f64;
     let pairs = after.usage.iter().zip(&before.usage);
@@ -112,11 +113,12 @@
 
 /// Measures three instances with a growing number of databases.
 #[allow(clippy::cast_precision_loss, reason = "a handful of databases")]
-async fn owned(report: &mut String) -> [Slope; 3] {
+async fn measure_owned_databases(report: &mut String) -> [Slope; 3] {
     let (mut cpu, mut memory, mut bytes) = (Vec::new(), Vec::new(), Vec::new());
     for databases in [1, 3, 6, 12] {
-        let cluster = Cluster::start(Shape { databases, ..Shape::default() }).await;
-        let sample = watch(&cluster).await;
+        let cluster =
+            Cluster::start(ClusterOptions { databases, ..ClusterOptions::default() }).await;
+        let sample = measure(&cluster).await;
         let owned = databases as f64 / cluster.instances.len() as f64;
         cpu.push((owned, sample.cpu_share * 100.0));
         memory.push((owned, sample.memory_bytes / MB));
@@ -132,11 +134,12 @@
 /// Measures a growing number of instances with one database. Each instance watches all
 /// others, up to a limit of the library.
 #[allow(clippy::cast_precision_loss, reason = "a handful of instances")]
-async fn instances(report: &mut String) -> [Slope; 2] {
+async fn measure_watched_instances(report: &mut String) -> [Slope; 2] {
     let (mut cpu, mut bytes) = (Vec::new(), Vec::new());
     for instances in [3, 5, 7, 9] {
-        let cluster = Cluster::start(Shape { instances, ..Shape::default() }).await;
-        let sample = watch(&cluster).await;
+        let cluster =
+            Cluster::start(ClusterOptions { instances, ..ClusterOptions::default() }).await;
+        let sample = measure(&cluster).await;
         let watched = (instances - 1) as f64;
         cpu.push((watched, sample.cpu_share * 100.0));
         bytes.push((watched, sample.peer_bytes_per_s / KB));
@@ -149,23 +152,23 @@
 
 /// Measures one instance with a growing number of idle clients.
 #[allow(clippy::cast_precision_loss, reason = "a few thousand callers")]
-async fn callers(report: &mut String) -> [Slope; 2] {
-    let cluster = Cluster::start(Shape::default()).await;
-    let process = cluster.instances[0].process.as_ref().expect("up").id();
+async fn measure_idle_clients(report: &mut String) -> [Slope; 2] {
+    let cluster = Cluster::start(ClusterOptions::default()).await;
+    let process = cluster.instances[0].process.as_ref().expect("the process is running").id();
     let (mut memory, mut cpu, mut clients) = (Vec::new(), Vec::new(), Vec::new());
     for wanted in [0, 300, 600, 900] {
         while clients.len() < wanted {
             let account = ["tenant", "tenant2", "kiosk", "writer1"][clients.len() % 4];
             let client = cluster.connect(0, account).await;
-            client.batch_execute("SELECT 1").await.expect("runs");
+            client.batch_execute("SELECT 1").await.expect("the statement runs");
             clients.push(client);
         }
-        tokio::time::sleep(REST_TIME).await;
+        tokio::time::sleep(SETTLE_TIME).await;
         let before = Usage::of(process);
-        tokio::time::sleep(WATCH_TIME / 2).await;
+        tokio::time::sleep(MEASUREMENT_TIME / 2).await;
         let after = Usage::of(process);
         memory.push((wanted as f64, after.memory_bytes / MB));
-        let share = (after.cpu_s - before.cpu_s) / (WATCH_TIME / 2).as_secs_f64();
+        let share = (after.cpu_s - before.cpu_s) / (MEASUREMENT_TIME / 2).as_secs_f64();
         cpu.push((wanted as f64, share * 100.0));
     }
     [
@@ -185,7 +188,7 @@
     }
 }
 
-fn text_of(databases: usize) -> String {
+fn configuration_text(databases: usize) -> String {
     let mut text = String::from("{\"failure_domains\": [");
     let domains: Vec<_> = (0..12).map(|n| format!("\"domain-{n}\"")).collect();
     text.push_str(&domains.join(", "));
@@ -212,17 +215,17 @@
 /// Measures the state machine of one instance, in this process, with a growing number of
 /// databases that other instances own.
 #[allow(clippy::cast_precision_loss, reason = "thousands")]
-fn known(report: &mut String) -> [Slope; 4] {
+fn measure_known_databases(report: &mut String) -> [Slope; 4] {
     let (mut memory, mut text_size) = (Vec::new(), Vec::new());
     let (mut tick, mut change) = (Vec::new(), Vec::new());
     let mut kept = Vec::new();
     for databases in [500, 1000, 2000, 4000] {
         // The ratio of instances to databases is that of the fleet.
         let peers = databases * 6100 / 13_000;
-        let text = text_of(databases);
+        let text = configuration_text(databases);
         text_size.push((databases as f64, text.len() as f64 / MB));
         let before = Usage::of(std::process::id()).memory_bytes;
-        let config: Config = serde_json::from_str(&text).expect("a valid text");
+        let config: Config = serde_json::from_str(&text).expect("the configuration is valid");
         let instance =
             Instance::new(peer(0), "life", MembershipTiming::default(), OwnershipTiming::default());
         let start = Instant::now();
@@ -263,61 +266,66 @@
         "| slope | unit | points | for each | at zero | largest residual |\n\
          | --- | --- | --- | --- | --- | --- |\n",
     );
-    let known = known(&mut report);
-    let owned = owned(&mut report).await;
-    let instances = instances(&mut report).await;
-    let callers = callers(&mut report).await;
+    let known = measure_known_databases(&mut report);
+    let owned = measure_owned_databases(&mut report).await;
+    let instances = measure_watched_instances(&mut report).await;
+    let idle_clients = measure_idle_clients(&mut report).await;
     report.push('\n');
-    extrapolate(&mut report, &known, &owned, &instances, &callers);
+    extrapolate(&mut report, &known, &owned, &instances, &idle_clients);
     report
 }
 
 /// Number of instances that one instance exchanges heartbeats with in the fleet: for each
 /// database that it owns, two successors watch it; it watches as many owners itself, and
 /// three more instances in rotation.
-const WATCHED_AT_SIZE: f64 = 2.0 * DATABASES / NODES + 3.0;
+const FLEET_WATCHED_INSTANCES: f64 = 2.0 * FLEET_DATABASES / FLEET_INSTANCES + 3.0;
 
 fn extrapolate(
     report: &mut String,
     known: &[Slope; 4],
     owned: &[Slope; 3],
     instances: &[Slope; 2],
-    callers: &[Slope; 2],
+    idle_clients: &[Slope; 2],
 ) {
-    let per_node = DATABASES / NODES;
+    let databases_per_instance = FLEET_DATABASES / FLEET_INSTANCES;
     report.push_str("| at 6,100 nodes and 13,000 databases | each node | unit | bound |\n");
     report.push_str("| --- | --- | --- | --- |\n");
     let mut row = |what: &str, value: f64, unit: &str, bound: &str| {
         let _ = writeln!(report, "| {what} | {value:.3} | {unit} | {bound} |");
     };
-    let tick_share = known[2].line.at(DATABASES) / 20.0 * 100.0;
-    let owner_cpu = owned[0].line.slope * per_node;
-    let peers_cpu = instances[0].line.slope * WATCHED_AT_SIZE;
+    let tick_share = known[2].line.at(FLEET_DATABASES) / 20.0 * 100.0;
+    let owner_cpu = owned[0].line.slope * databases_per_instance;
+    let peers_cpu = instances[0].line.slope * FLEET_WATCHED_INSTANCES;
     row("processor: ticks over all known databases", tick_share, "% of a core", "");
     row("processor: owned databases", owner_cpu, "% of a core", "");
     row("processor: heartbeats", peers_cpu, "% of a core", "");
-    let rest_cpu = owned[0].line.base;
-    row("processor: process at rest", rest_cpu, "% of a core", "");
-    let sum = rest_cpu + tick_share + owner_cpu + peers_cpu;
+    let idle_cpu = owned[0].line.base;
+    row("processor: process at rest", idle_cpu, "% of a core", "");
+    let sum = idle_cpu + tick_share + owner_cpu + peers_cpu;
     row("processor: sum", sum, "% of a core", "2.6");
-    row("tick after a change of membership", known[3].line.at(DATABASES), "ms", "");
+    row("tick after a change of membership", known[3].line.at(FLEET_DATABASES), "ms", "");
     let base = owned[1].line.base;
-    let known_memory = known[0].line.at(DATABASES);
-    let owner_memory = owned[1].line.slope * per_node;
+    let known_memory = known[0].line.at(FLEET_DATABASES);
+    let owner_memory = owned[1].line.slope * databases_per_instance;
     row("memory: process at rest", base, "MB", "");
     row("memory: known databases and instances", known_memory, "MB", "");
     row("memory: owned databases", owner_memory, "MB", "");
     row("memory: control, sum", base + known_memory + owner_memory, "MB", "128");
-    row("memory: idle callers, not control", callers[0].line.slope * CALLERS, "MB", "");
-    let probes = owned[2].line.slope * per_node;
+    row(
+        "memory: idle callers, not control",
+        idle_clients[0].line.slope * FLEET_CLIENTS_PER_INSTANCE,
+        "MB",
+        "",
+    );
+    let probes = owned[2].line.slope * databases_per_instance;
     // The measurement used the heartbeat interval of a small fleet; a large fleet uses
     // a longer one.
     let timing = MembershipTiming::default();
-    let pace =
+    let interval_ratio =
         timing.heartbeat_interval.as_secs_f64() / timing.heartbeat_interval_of_many.as_secs_f64();
-    let heartbeats = instances[1].line.slope * WATCHED_AT_SIZE * pace;
+    let heartbeats = instances[1].line.slope * FLEET_WATCHED_INSTANCES * interval_ratio;
     row("bytes: probes of idle databases, both ways", probes, "KB/s", "");
     row("bytes: heartbeats sent", heartbeats, "KB/s", "");
     row("bytes: sum", probes + heartbeats, "KB/s", "4");
-    row("text of the configuration", known[1].line.at(DATABASES), "MB", "1");
+    row("text of the configuration", known[1].line.at(FLEET_DATABASES), "MB", "1");
 }
--- a/testing/testutils/src/experiments/gap.rs
+++ b/testing/testutils/src/experiments/failover.rs
@@ -1,5 +1,5 @@
 //! Failover experiment: measures how long no write is acknowledged after a fault (the
-//! gap).
+//! write outage).
 
 use std::time::Duration;
 use std::time::Instant;
@@ -9,12 +9,12 @@
 use chervilwharf_standin::fault_proxy::Behaviour;
 use chervilwharf_standin::store::StoreFaults;
 
-use crate::checker::Heard;
 use crate::checker::History;
-use crate::checker::Style;
+use crate::checker::ReportedOutcome;
 use crate::checker::Workload;
+use crate::checker::WriteKind;
 use crate::cluster::Cluster;
-use crate::cluster::Shape;
+use crate::cluster::ClusterOptions;
 use crate::experiments::stats::summary;
 
 /// The fault that is injected.
@@ -60,20 +60,20 @@
 ///
 /// When the name is unknown.
 #[must_use]
-pub fn deployment(name: &str) -> Shape {
+pub fn reference_options(name: &str) -> ClusterOptions {
     match name {
-        "pl-mid" => Shape {
+        "pl-mid" => ClusterOptions {
             delay: Duration::from_micros(500),
             connect_cost: Duration::from_millis(10),
-            ..Shape::default()
+            ..ClusterOptions::default()
         },
-        "pnw" => Shape {
+        "pnw" => ClusterOptions {
             domains: 4,
             instances: 4,
             delay: Duration::from_micros(1500),
             connect_cost: Duration::from_millis(30),
             connections: 40,
-            ..Shape::default()
+            ..ClusterOptions::default()
         },
         _ => panic!("unknown deployment {name}, expected pl-mid or pnw"),
     }
@@ -81,14 +81,14 @@
 
 /// The result of one run. The phases are zero if the owner's log does not contain them.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Gap {
+pub struct FailoverTimes {
     /// Time from the last write acknowledged before the fault to the first one
     /// acknowledged after it.
-    pub gap: Duration,
+    pub write_outage: Duration,
     /// Time from the fault to the decision of the owner to take over.
-    pub detect: Duration,
+    pub detection: Duration,
     /// Time from that decision until the owner serves the database.
-    pub take: Duration,
+    pub takeover: Duration,
     /// Number of writes that were not acknowledged, whatever their outcome.
     pub not_acknowledged: usize,
 }
@@ -98,16 +98,17 @@
     u64::try_from(since.as_millis()).unwrap_or(0)
 }
 
-/// Injects a fault into a new deployment and measures the gap.
+/// Injects a fault into a new deployment and measures the write outage.
 ///
 /// # Panics
 ///
 /// When the deployment does not start or does not recover.
-pub async fn run_once(shape: Shape, fault: Fault, store_down: bool) -> Gap {
-    let mut cluster = Cluster::start(shape).await;
-    let workload = Workload::start_with(&cluster, Style::Statement, Duration::from_millis(1)).await;
+pub async fn run_once(options: ClusterOptions, fault: Fault, store_down: bool) -> FailoverTimes {
+    let mut cluster = Cluster::start(options).await;
+    let workload =
+        Workload::start_with_pause(&cluster, WriteKind::Statement, Duration::from_millis(1)).await;
     workload.wait_for_progress(50).await;
-    let (owner, _, primary) = cluster.serving("db1").await.expect("served");
+    let (owner, _, primary) = cluster.serving("db1").await.expect("the database is served");
     let primary = cluster.target(&primary);
     if store_down {
         cluster.store.set_faults(StoreFaults { down: true, ..StoreFaults::default() });
@@ -117,17 +118,17 @@
     workload.wait_for_progress(50).await;
     let (history, _) = workload.stop().await;
     if std::env::var_os("EXPERIMENT_TRACE").is_some() {
-        trace_slow(&history, at);
+        print_slow_writes(&history, at);
     }
-    let (detect, take) = phases(&cluster, at_ms);
-    Gap {
-        gap: gap_around(&history, at),
-        detect,
-        take,
+    let (detection, takeover) = read_phases(&cluster, at_ms);
+    FailoverTimes {
+        write_outage: longest_write_outage(&history, at),
+        detection,
+        takeover,
         not_acknowledged: history
             .values()
             .flatten()
-            .filter(|mark| mark.heard != Heard::Acknowledged)
+            .filter(|write| write.reported != ReportedOutcome::Acknowledged)
             .count(),
     }
 }
@@ -135,8 +136,8 @@
 fn apply(cluster: &mut Cluster, fault: Fault, primary: usize, owner: usize) {
     let target = &mut cluster.targets[primary];
     match fault {
-        Fault::Kill => target.process.as_mut().expect("up").kill(),
-        Fault::Freeze => target.process.as_ref().expect("up").freeze(),
+        Fault::Kill => target.process.as_mut().expect("the process is running").kill(),
+        Fault::Freeze => target.process.as_ref().expect("the process is running").freeze(),
         Fault::Cut => {
             target.sql_proxy.set(Behaviour::cut());
             target.log_proxy.set(Behaviour::cut());
@@ -146,35 +147,41 @@
             target.log_proxy.set(Behaviour::silent());
         }
         Fault::OwnerKill => {
-            cluster.instances[owner].process.as_mut().expect("up").kill();
+            cluster.instances[owner].process.as_mut().expect("the process is running").kill();
             cluster.instances[owner].process = None;
         }
-        Fault::OwnerFreeze => cluster.instances[owner].process.as_ref().expect("up").freeze(),
-        Fault::Stop => cluster.instances[owner].process.as_ref().expect("up").terminate(),
+        Fault::OwnerFreeze => {
+            cluster.instances[owner].process.as_ref().expect("the process is running").freeze()
+        }
+        Fault::Stop => {
+            cluster.instances[owner].process.as_ref().expect("the process is running").terminate()
+        }
     }
 }
 
 /// Prints the writes that were slow or not acknowledged, which shows where a gap comes
 /// from.
-fn trace_slow(history: &History, at: Instant) {
-    for mark in history.values().flatten() {
-        if mark.heard == Heard::Acknowledged && mark.took < Duration::from_millis(200) {
+fn print_slow_writes(history: &History, at: Instant) {
+    for write in history.values().flatten() {
+        if write.reported == ReportedOutcome::Acknowledged
+            && write.took < Duration::from_millis(200)
+        {
             continue;
         }
-        let end_ms = mark.at.saturating_duration_since(at).as_millis();
-        let took_ms = mark.took.as_millis();
-        let (heard, error) = (mark.heard, &mark.error);
-        eprintln!("{} {heard:?} {error} ended at {end_ms} ms after {took_ms} ms", mark.id);
+        let end_ms = write.at.saturating_duration_since(at).as_millis();
+        let took_ms = write.took.as_millis();
+        let (reported, error) = (write.reported, &write.error);
+        eprintln!("{} {reported:?} {error} ended at {end_ms} ms after {took_ms} ms", write.id);
     }
 }
 
 /// Returns the longest time without an acknowledged write that ends at `at` or later.
-fn gap_around(history: &History, at: Instant) -> Duration {
+fn longest_write_outage(history: &History, at: Instant) -> Duration {
     let mut times: Vec<_> = history
         .values()
         .flatten()
-        .filter(|mark| mark.heard == Heard::Acknowledged)
-        .map(|mark| mark.at)
+        .filter(|write| write.reported == ReportedOutcome::Acknowledged)
+        .map(|write| write.at)
         .collect();
     times.sort_unstable();
     let pairs = times.windows(2).filter(|pair| pair[1] >= at);
@@ -182,7 +189,7 @@
 }
 
 /// Reads the durations of detection and takeover from the log lines of the instances.
-fn phases(cluster: &Cluster, fault_ms: u64) -> (Duration, Duration) {
+fn read_phases(cluster: &Cluster, fault_ms: u64) -> (Duration, Duration) {
     let mut best = (Duration::ZERO, Duration::ZERO);
     for node in &cluster.instances {
         let path = cluster.folder().join(format!("{}.txt", node.id));
@@ -203,20 +210,20 @@
 /// Runs a fault several times and prints a table row with the results.
 pub async fn run(deployment_name: &str, fault_name: &str, store_down: bool, runs: usize) {
     let fault = Fault::from_name(fault_name).expect("a known fault");
-    let mut gaps = Vec::new();
+    let mut results = Vec::new();
     for _ in 0..runs {
-        gaps.push(run_once(deployment(deployment_name), fault, store_down).await);
+        results.push(run_once(reference_options(deployment_name), fault, store_down).await);
     }
-    let column = |pick: fn(&Gap) -> Duration| -> String {
-        let mut values: Vec<_> = gaps.iter().map(pick).collect();
+    let column = |pick: fn(&FailoverTimes) -> Duration| -> String {
+        let mut values: Vec<_> = results.iter().map(pick).collect();
         summary(&mut values)
     };
     let store = if store_down { "down" } else { "up" };
-    let refused: usize = gaps.iter().map(|gap| gap.not_acknowledged).sum();
+    let refused: usize = results.iter().map(|times| times.not_acknowledged).sum();
     println!(
         "| {deployment_name} | {fault_name} | {store} | {runs} | {} | {} | {} | {refused} |",
-        column(|gap| gap.gap),
-        column(|gap| gap.detect),
-        column(|gap| gap.take),
+        column(|times| times.write_outage),
+        column(|times| times.detection),
+        column(|times| times.takeover),
     );
 }
--- a/testing/testutils/src/experiments/latency.rs
+++ b/testing/testutils/src/experiments/latency.rs
@@ -10,9 +10,9 @@
 use tokio_postgres::NoTls;
 
 use crate::cluster::Cluster;
-use crate::cluster::Shape;
+use crate::cluster::ClusterOptions;
 use crate::cluster::wait_for;
-use crate::experiments::gap::deployment;
+use crate::experiments::failover::reference_options;
 use crate::experiments::stats::quantile;
 use crate::experiments::usage::Usage;
 
@@ -24,7 +24,7 @@
 const SAMPLES: usize = 600;
 
 /// Number of clients of the throughput measurement.
-const CALLERS: usize = 48;
+const CLIENTS: usize = 48;
 
 /// Duration of one throughput measurement.
 const THROUGHPUT_TIME: Duration = Duration::from_secs(8);
@@ -33,8 +33,8 @@
 /// domain as the primary, and the replicas are in others.
 fn set_delays(cluster: &Cluster, primary: usize, delay: Duration) {
     for (index, target) in cluster.targets.iter().enumerate() {
-        let way = if index == primary { Duration::ZERO } else { delay };
-        target.sql_proxy.set(Behaviour::delayed(way));
+        let one_way_delay = if index == primary { Duration::ZERO } else { delay };
+        target.sql_proxy.set(Behaviour::delayed(one_way_delay));
         target.log_proxy.set(Behaviour::delayed(delay));
     }
     for node in &cluster.instances {
@@ -44,13 +44,13 @@
 }
 
 async fn connect_direct(cluster: &Cluster, primary: usize, delay: Duration) -> Client {
-    let proxy = FaultProxy::start().await.expect("a port can be had");
-    let process = cluster.targets[primary].process.as_ref().expect("up");
+    let proxy = FaultProxy::start().await.expect("a port is available");
+    let process = cluster.targets[primary].process.as_ref().expect("the process is running");
     proxy.set_upstream(process.ready["target"].parse().expect("an address"));
     proxy.set(Behaviour::delayed(delay));
     let mut config = tokio_postgres::Config::new();
     config.host("127.0.0.1").port(proxy.address.port()).user(&cluster.secret).dbname("db1");
-    let (client, connection) = config.connect(NoTls).await.expect("the server is up");
+    let (client, connection) = config.connect(NoTls).await.expect("the server is running");
     tokio::spawn(connection);
     client
 }
@@ -81,30 +81,33 @@
 ///
 /// When a statement fails.
 pub async fn run(deployment_name: &str) {
-    let shape = deployment(deployment_name);
-    let delay = shape.delay;
-    let cluster = Cluster::start(Shape { delay: Duration::ZERO, ..shape }).await;
-    let (owner, _, primary) = cluster.serving("db1").await.expect("served");
+    let options = reference_options(deployment_name);
+    let delay = options.delay;
+    let cluster = Cluster::start(ClusterOptions { delay: Duration::ZERO, ..options }).await;
+    let (owner, _, primary) = cluster.serving("db1").await.expect("the database is served");
     let primary = cluster.target(&primary);
     let setup = cluster.connect(owner, "tenant").await;
-    setup.batch_execute("CREATE TABLE items (id INTEGER, name TEXT)").await.expect("runs");
-    setup.batch_execute("INSERT INTO items VALUES (17, 'n')").await.expect("runs");
+    setup
+        .batch_execute("CREATE TABLE items (id INTEGER, name TEXT)")
+        .await
+        .expect("the statement runs");
+    setup.batch_execute("INSERT INTO items VALUES (17, 'n')").await.expect("the statement runs");
     set_delays(&cluster, primary, delay);
     let read = |_: usize| "SELECT name FROM items WHERE id = 17".to_owned();
     let write = |number: usize| format!("INSERT INTO items VALUES ({number}, 'x')");
     let direct = connect_direct(&cluster, primary, CLIENT_DELAY).await;
     let at_owner = cluster.connect(owner, "tenant").await;
     let other = (owner + 1) % cluster.instances.len();
-    let elsewhere = cluster.connect(other, "tenant").await;
+    let at_other = cluster.connect(other, "tenant").await;
     println!("{deployment_name}: microseconds p50, p99, added p50, added p99");
     let direct_reads = time_statements(&direct, read).await;
     row("read, direct", &direct_reads, &direct_reads);
     row("read, entry is owner", &time_statements(&at_owner, read).await, &direct_reads);
-    row("read, entry is another", &time_statements(&elsewhere, read).await, &direct_reads);
+    row("read, entry is another", &time_statements(&at_other, read).await, &direct_reads);
     let direct_writes = time_statements(&direct, write).await;
     row("write, direct (not replicated)", &direct_writes, &direct_writes);
     row("write, entry is owner", &time_statements(&at_owner, write).await, &direct_writes);
-    row("write, entry is another", &time_statements(&elsewhere, write).await, &direct_writes);
+    row("write, entry is another", &time_statements(&at_other, write).await, &direct_writes);
 }
 
 /// Measures and prints how many statements the instances process per second, in total and
@@ -114,18 +117,24 @@
 ///
 /// When the deployment does not start.
 pub async fn throughput() {
-    let cluster = Cluster::start(Shape::default()).await;
+    let cluster = Cluster::start(ClusterOptions::default()).await;
     let setup = cluster.connect(0, "tenant").await;
-    setup.batch_execute("CREATE TABLE items (id INTEGER, name TEXT)").await.expect("runs");
-    setup.batch_execute("INSERT INTO items VALUES (17, 'n')").await.expect("runs");
+    setup
+        .batch_execute("CREATE TABLE items (id INTEGER, name TEXT)")
+        .await
+        .expect("the statement runs");
+    setup.batch_execute("INSERT INTO items VALUES (17, 'n')").await.expect("the statement runs");
     for (name, writes_in_ten) in [("reads only", 0), ("90 % reads", 1)] {
-        let processes: Vec<_> =
-            cluster.instances.iter().map(|n| n.process.as_ref().expect("up").id()).collect();
+        let processes: Vec<_> = cluster
+            .instances
+            .iter()
+            .map(|n| n.process.as_ref().expect("the process is running").id())
+            .collect();
         let before: Vec<_> = processes.iter().map(|id| Usage::of(*id)).collect();
         let began = Instant::now();
         let mut tasks = Vec::new();
-        for caller in 0..CALLERS {
-            let client = cluster.connect(caller % cluster.instances.len(), "tenant").await;
+        for number in 0..CLIENTS {
+            let client = cluster.connect(number % cluster.instances.len(), "tenant").await;
             tasks.push(tokio::spawn(async move {
                 let mut count = 0_usize;
                 while began.elapsed() < THROUGHPUT_TIME {
@@ -144,7 +153,7 @@
         }
         let mut statements = 0;
         for task in tasks {
-            statements += task.await.expect("callers do not panic");
+            statements += task.await.expect("clients do not panic");
         }
         let elapsed = began.elapsed().as_secs_f64();
         let after: Vec<_> = processes.iter().map(|id| Usage::of(*id)).collect();
--- a/testing/testutils/src/experiments/log_line.rs
+++ b/testing/testutils/src/experiments/log_line.rs
@@ -31,7 +31,7 @@
 use tokio::net::TcpStream;
 
 /// Number of repetitions of one measurement.
-const LINES: u32 = 200_000;
+const REPETITIONS: u32 = 200_000;
 
 /// The event of a refused request with all fields, which gives the longest of the common
 /// log lines.
@@ -48,13 +48,13 @@
         .with("reason", "overloaded")
 }
 
-/// Average time of one call over [`LINES`] calls.
+/// Average time of one call over [`REPETITIONS`] calls.
 fn time_of(mut call: impl FnMut()) -> Duration {
     let began_at = Instant::now();
-    for _ in 0..LINES {
+    for _ in 0..REPETITIONS {
         call();
     }
-    began_at.elapsed() / LINES
+    began_at.elapsed() / REPETITIONS
 }
 
 /// Number of requests that are measured while each still writes a log line. It is below
@@ -72,21 +72,21 @@
         _: Option<&AccountId>,
         _: &ServerInfo,
     ) -> Result<Box<dyn ServerConnection>, ConnectError> {
-        Err(ConnectError::Unreachable("there is none".to_owned()))
+        Err(ConnectError::Unreachable("there is no server".to_owned()))
     }
 }
 
 /// A session of an engine without servers, which answers only statements that need no
 /// server.
 async fn session() -> Session {
-    let me = InstanceRecord {
+    let own_record = InstanceRecord {
         id: "instance".into(),
         life: 1,
         peer_address: SocketAddr::from(([127, 0, 0, 1], 1)),
         failure_domain: "a".into(),
         capacity_millicores: 250,
     };
-    let engine = Arc::new(Engine::new(me, Arc::new(NoServer)));
+    let engine = Arc::new(Engine::new(own_record, Arc::new(NoServer)));
     let route = Route {
         database: "ledger-a".into(),
         group: "lease-ledger-1".into(),
@@ -101,7 +101,7 @@
     engine.know_fleet();
     let start = SessionStart { database: "ledger-a", key: KeyDigest::of("key"), client: None };
     let begun = Session::begin(engine, start).await;
-    begun.unwrap_or_else(|failure| panic!("the name is there: {failure:?}"))
+    begun.unwrap_or_else(|failure| panic!("the session cannot be started: {failure:?}"))
 }
 
 /// Average time of a successful request, and of a refused one.
@@ -111,17 +111,17 @@
         let set = Statement::Set { name: "zone".into(), value: "a".into() };
         black_box(session.run("81391e752d014b19".into(), set).await);
     }
-    let well = began_at.elapsed() / count;
+    let succeeded = began_at.elapsed() / count;
     let began_at = Instant::now();
     for _ in 0..count {
         let unknown = Statement::Execute { name: "s1".into(), arguments: "1a4".into() };
         black_box(session.run("81391e752d014b19".into(), unknown).await);
     }
-    (well, began_at.elapsed() / count)
+    (succeeded, began_at.elapsed() / count)
 }
 
-fn print_request(what: &str, (well, refused): (Duration, Duration)) {
-    println!("| a request that goes well, {what} | {} |", well.as_nanos());
+fn print_request(what: &str, (succeeded, refused): (Duration, Duration)) {
+    println!("| a request that goes well, {what} | {} |", succeeded.as_nanos());
     println!("| a request that is refused, {what} | {} |", refused.as_nanos());
 }
 
@@ -133,10 +133,11 @@
 pub async fn run() {
     println!("| step | ns |\n| --- | --- |");
     let mut session = session().await;
-    print_request("without logs", request_times(&mut session, LINES).await);
-    event_log::start_with("instance".into(), Box::new(sink())).expect("started once");
+    print_request("without logs", request_times(&mut session, REPETITIONS).await);
+    event_log::start_with("instance".into(), Box::new(sink()))
+        .expect("logging is started only once");
     print_request("each with its line", request_times(&mut session, LOGGED_REQUESTS).await);
-    print_request("lines over their budget", request_times(&mut session, LINES).await);
+    print_request("lines over their budget", request_times(&mut session, REPETITIONS).await);
     let built = time_of(|| {
         black_box(refused_request());
     });
--- a/testing/testutils/src/experiments/share.rs
+++ b/testing/testutils/src/experiments/share.rs
@@ -12,7 +12,7 @@
 use tokio_postgres::SimpleQueryMessage;
 
 use crate::cluster::Cluster;
-use crate::cluster::Shape;
+use crate::cluster::ClusterOptions;
 use crate::cluster::wait_for;
 
 /// Number of accounts.
@@ -22,14 +22,14 @@
 const MEAN_PAUSE: Duration = Duration::from_secs(1);
 
 /// On average, one request in this many is a write.
-const WRITE_ONE_IN: u64 = 10;
+const REQUESTS_PER_WRITE: u64 = 10;
 
 /// Duration of one measurement.
-const LENGTH: Duration = Duration::from_secs(20);
+const MEASUREMENT_TIME: Duration = Duration::from_secs(20);
 
 /// Time that replication takes at zero lag; it is added to the lag when eligible reads
 /// are counted.
-const SHIPPING_TIME: Duration = Duration::from_millis(10);
+const REPLICATION_TIME: Duration = Duration::from_millis(10);
 
 #[derive(Default)]
 struct Counts {
@@ -79,9 +79,9 @@
     let (mut value, mut written_at) = (0_u64, None::<Instant>);
     while Instant::now() < until {
         tokio::time::sleep(random.pause()).await;
-        let entry = usize::try_from(random.below(clients.len() as u64)).unwrap_or(0);
-        let client = &clients[entry];
-        if random.below(WRITE_ONE_IN) == 0 {
+        let index = usize::try_from(random.below(clients.len() as u64)).unwrap_or(0);
+        let client = &clients[index];
+        if random.below(REQUESTS_PER_WRITE) == 0 {
             let text = format!("UPDATE kv SET v = {} WHERE k = {number}", value + 1);
             match client.batch_execute(&text).await {
                 Ok(()) => {
@@ -101,13 +101,13 @@
         };
         counts.reads += 1;
         counts.times.push(began.elapsed());
-        let quiet = written_at.is_none_or(|at| began - at > lag + SHIPPING_TIME);
-        counts.eligible += usize::from(quiet);
+        let is_eligible = written_at.is_none_or(|at| began - at > lag + REPLICATION_TIME);
+        counts.eligible += usize::from(is_eligible);
         counts.stale += usize::from(first_number(&messages).unwrap_or(0) < value);
     }
 }
 
-async fn served_by(cluster: &Cluster) -> (f64, f64) {
+async fn reads_by_server_role(cluster: &Cluster) -> (f64, f64) {
     let (mut replica, mut primary) = (0.0, 0.0);
     for index in 0..cluster.instances.len() {
         for line in cluster.metrics(index).await.lines() {
@@ -124,7 +124,7 @@
 
 /// The freshness that reads request.
 #[derive(Clone, Copy, Debug)]
-pub enum Mode {
+pub enum ReadMode {
     /// The default of the proxy: reads return the writes of the same account.
     OwnWrites,
     /// Baseline: reads are as current as the latest position of the primary.
@@ -133,7 +133,7 @@
     Primary,
 }
 
-impl Mode {
+impl ReadMode {
     fn freshness(self) -> &'static str {
         match self {
             Self::OwnWrites => "own_writes",
@@ -145,7 +145,7 @@
 }
 
 async fn start(lag: Duration) -> Cluster {
-    let mut cluster = Cluster::start_cold(Shape::default()).await;
+    let mut cluster = Cluster::start_without_instances(ClusterOptions::default()).await;
     let salt = b"the same for all";
     let verifier: Arc<str> = verifier::make_verifier("password", salt).into();
     for number in 0..ACCOUNTS {
@@ -164,10 +164,13 @@
     cluster.list_instances();
     cluster.wait_until_served().await;
     let setup = cluster.connect(0, "tenant").await;
-    setup.batch_execute("CREATE TABLE kv (k INTEGER PRIMARY KEY, v INTEGER)").await.expect("runs");
+    setup
+        .batch_execute("CREATE TABLE kv (k INTEGER PRIMARY KEY, v INTEGER)")
+        .await
+        .expect("the statement runs");
     for number in 0..ACCOUNTS {
         let text = format!("INSERT INTO kv VALUES ({number}, 0)");
-        setup.batch_execute(&text).await.expect("runs");
+        setup.batch_execute(&text).await.expect("the statement runs");
     }
     cluster.set_lag(lag).await;
     cluster
@@ -178,7 +181,7 @@
 /// # Panics
 ///
 /// When the deployment does not start.
-pub async fn run(lag: Duration, mode: Mode) {
+pub async fn run(lag: Duration, mode: ReadMode) {
     let cluster = start(lag).await;
     wait_for("the deployment is served", async || cluster.serving("db1").await.is_some()).await;
     let counts: Arc<Mutex<Counts>> = Arc::default();
@@ -190,13 +193,13 @@
             let client = cluster.try_connect(instance, &name, "password", "db1").await;
             let client = client.expect("the login works");
             let set = format!("SET chervilwharf.freshness = '{}'", mode.freshness());
-            client.batch_execute(&set).await.expect("runs");
+            client.batch_execute(&set).await.expect("the statement runs");
             clients.push(client);
         }
         sessions.push(clients);
     }
-    let before = served_by(&cluster).await;
-    let until = Instant::now() + LENGTH;
+    let before = reads_by_server_role(&cluster).await;
+    let until = Instant::now() + MEASUREMENT_TIME;
     let tasks: Vec<_> = sessions
         .into_iter()
         .enumerate()
@@ -205,7 +208,7 @@
     for task in tasks {
         task.await.expect("accounts do not panic");
     }
-    let after = served_by(&cluster).await;
+    let after = reads_by_server_role(&cluster).await;
     let (replica, primary) = (after.0 - before.0, after.1 - before.1);
     let mut counts = counts.lock().expect("never poisoned");
     counts.times.sort_unstable();
--- a/testing/testutils/src/lib.rs
+++ b/testing/testutils/src/lib.rs
@@ -2,8 +2,8 @@
 //! command-line tool) behind fault proxies, client workloads with consistency checks, a
 //! fault matrix, and performance experiments.
 
-pub mod callers;
 pub mod checker;
+pub mod clients;
 pub mod cluster;
 pub mod experiments;
 pub mod matrix;
--- a/testing/testutils/src/matrix.rs
+++ b/testing/testutils/src/matrix.rs
@@ -17,11 +17,11 @@
 use chervilwharf_standin::store::StoreFaults;
 
 use crate::checker;
-use crate::checker::Style;
 use crate::checker::Violations;
 use crate::checker::Workload;
+use crate::checker::WriteKind;
 use crate::cluster::Cluster;
-use crate::cluster::Shape;
+use crate::cluster::ClusterOptions;
 use crate::process::signal;
 
 /// A step of processing, recognized by bytes that pass a fault proxy.
@@ -29,21 +29,21 @@
 pub struct Step {
     /// Name in the table of results.
     pub name: &'static str,
-    place: Place,
+    link: Link,
     direction: Direction,
     bytes: &'static [u8],
     /// Whether the fault is injected after the bytes have passed, instead of before.
     after: bool,
-    style: Style,
+    write_kind: WriteKind,
     /// Whether the primary is suspended first, to cause a takeover.
     in_takeover: bool,
 }
 
 /// The network link that the bytes pass.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Place {
+enum Link {
     /// Between clients and the owner.
-    Callers,
+    Clients,
     /// Between other instances and the owner.
     Owner,
     /// Between instances and the primary.
@@ -56,17 +56,17 @@
 
 const fn step(
     name: &'static str,
-    place: Place,
+    link: Link,
     direction: Direction,
     bytes: &'static [u8],
     after: bool,
 ) -> Step {
-    let style = Style::Statement;
-    Step { name, place, direction, bytes, after, style, in_takeover: false }
+    let write_kind = WriteKind::Statement;
+    Step { name, link, direction, bytes, after, write_kind, in_takeover: false }
 }
 
 const fn in_transaction(step: Step) -> Step {
-    Step { style: Style::Transaction, ..step }
+    Step { write_kind: WriteKind::Transaction, ..step }
 }
 
 const fn in_takeover(step: Step) -> Step {
@@ -78,29 +78,29 @@
 
 /// All steps of the matrix.
 pub const STEPS: [Step; 17] = [
-    step("write: accept", Place::Callers, Up, b"INSERT INTO marks", false),
-    step("write: forward", Place::Owner, Up, b"INSERT INTO marks", false),
-    step("write: statement", Place::Primary, Up, b"INSERT INTO marks", true),
-    step("write: statement answered", Place::Primary, Down, b"INSERT 0 1", false),
-    step("write: COMMIT sent", Place::Primary, Up, b"INSERT INTO chervilwharf_ledger", true),
-    step("write: COMMIT answered", Place::Primary, Down, b"COMMIT", false),
-    step("write: confirm", Place::Log, Down, b"INSERT INTO marks", false),
-    step("write: answer to entry", Place::Owner, Down, b"INSERT 0 1", false),
-    step("write: answer to caller", Place::Callers, Down, b"INSERT 0 1", false),
-    step("read: forward", Place::Owner, Up, b"SELECT id FROM marks", false),
-    step("read: at replica", Place::Replica, Up, b"SELECT id FROM marks", true),
-    step("read: answer to entry", Place::Owner, Down, b"SELECT ", false),
-    in_transaction(step("transaction: BEGIN", Place::Primary, Up, b"BEGIN", true)),
-    in_transaction(step("transaction: statement", Place::Primary, Up, b"SELECT count", true)),
+    step("write: accept", Link::Clients, Up, b"INSERT INTO marks", false),
+    step("write: forward", Link::Owner, Up, b"INSERT INTO marks", false),
+    step("write: statement", Link::Primary, Up, b"INSERT INTO marks", true),
+    step("write: statement answered", Link::Primary, Down, b"INSERT 0 1", false),
+    step("write: COMMIT sent", Link::Primary, Up, b"INSERT INTO chervilwharf_ledger", true),
+    step("write: COMMIT answered", Link::Primary, Down, b"COMMIT", false),
+    step("write: confirm", Link::Log, Down, b"INSERT INTO marks", false),
+    step("write: answer to entry", Link::Owner, Down, b"INSERT 0 1", false),
+    step("write: answer to caller", Link::Clients, Down, b"INSERT 0 1", false),
+    step("read: forward", Link::Owner, Up, b"SELECT id FROM marks", false),
+    step("read: at replica", Link::Replica, Up, b"SELECT id FROM marks", true),
+    step("read: answer to entry", Link::Owner, Down, b"SELECT ", false),
+    in_transaction(step("transaction: BEGIN", Link::Primary, Up, b"BEGIN", true)),
+    in_transaction(step("transaction: statement", Link::Primary, Up, b"SELECT count", true)),
     in_transaction(step(
         "transaction: COMMIT sent",
-        Place::Primary,
+        Link::Primary,
         Up,
         b"INSERT INTO chervilwharf_ledger",
         true,
     )),
-    in_takeover(step("takeover: fence", Place::Replica, Up, b"chervilwharf_fence", true)),
-    in_takeover(step("takeover: promote", Place::Replica, Up, b"chervilwharf_promote", true)),
+    in_takeover(step("takeover: fence", Link::Replica, Up, b"chervilwharf_fence", true)),
+    in_takeover(step("takeover: promote", Link::Replica, Up, b"chervilwharf_promote", true)),
 ];
 
 /// A fault of the matrix.
@@ -108,11 +108,11 @@
 pub enum Fault {
     /// The process of the primary is killed.
     KillPrimary,
-    /// The process of the primary is suspended for [`FAULT_TIME`].
+    /// The process of the primary is suspended for [`FAULT_DURATION`].
     FreezePrimary,
-    /// Connections to the primary are closed and refused for [`FAULT_TIME`].
+    /// Connections to the primary are closed and refused for [`FAULT_DURATION`].
     CutPrimary,
-    /// Bytes that the primary sends are dropped for [`FAULT_TIME`], while it still
+    /// Bytes that the primary sends are dropped for [`FAULT_DURATION`], while it still
     /// receives.
     OneWayPrimary,
     /// The open connections to the primary become unresponsive for good.
@@ -122,18 +122,19 @@
     /// The process of the owner is suspended for longer than its confirmation of
     /// ownership is valid.
     FreezeOwner,
-    /// Links from other instances to the owner are closed and refused for [`FAULT_TIME`].
+    /// Links from other instances to the owner are closed and refused for
+    /// [`FAULT_DURATION`].
     CutOwner,
     /// The open links from other instances to the owner become unresponsive for good.
     ForgetOwner,
     /// Bytes between other instances and the owner are delayed by 150 ms for
-    /// [`FAULT_TIME`].
+    /// [`FAULT_DURATION`].
     LateOwner,
     /// Replicas apply entries after [`REPLICA_LAG`].
     LagReplicas,
-    /// The store is down for [`FAULT_TIME`].
+    /// The store is down for [`FAULT_DURATION`].
     StoreDown,
-    /// Every call to the store takes 1 s longer for [`FAULT_TIME`].
+    /// Every call to the store takes 1 s longer for [`FAULT_DURATION`].
     StoreSlow,
     /// The store executes updates, but the next five answers are lost.
     StoreLosesAnswers,
@@ -191,22 +192,22 @@
 const PROGRESS: usize = 8;
 
 /// Longest wait for the bytes of a step.
-const STEP_LIMIT: Duration = Duration::from_secs(10);
+const STEP_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Duration of a temporary fault, longer than its detection takes and than a confirmation
 /// of ownership is valid.
-const FAULT_TIME: Duration = Duration::from_millis(2500);
+const FAULT_DURATION: Duration = Duration::from_millis(2500);
 
 /// Replication delay of [`Fault::LagReplicas`].
 const REPLICA_LAG: Duration = Duration::from_secs(2);
 
 /// Longest wait until all writers make progress again after the fault.
-const RECOVERY_LIMIT: Duration = Duration::from_secs(40);
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(40);
 
 /// Handles to everything a fault acts on. They are independent of the `Cluster`, so that
 /// a fault proxy can inject the fault from its own task while bytes pass.
 #[derive(Clone)]
-struct Levers {
+struct FaultTargets {
     primary_process: u32,
     owner_process: u32,
     primary_sql: FaultProxy,
@@ -215,7 +216,7 @@
     store: Store,
 }
 
-impl Levers {
+impl FaultTargets {
     fn apply(&self, fault: Fault) {
         // The signal fails if an earlier fault of the cell has ended the process.
         let signal = |process, number| {
@@ -224,9 +225,9 @@
         match fault {
             Fault::KillPrimary => signal(self.primary_process, libc::SIGKILL),
             Fault::FreezePrimary => signal(self.primary_process, libc::SIGSTOP),
-            Fault::CutPrimary => self.primary(Behaviour::cut()),
+            Fault::CutPrimary => self.set_primary_network(Behaviour::cut()),
             Fault::OneWayPrimary => {
-                self.primary(Behaviour { down: Flow::Swallow, ..Behaviour::default() });
+                self.set_primary_network(Behaviour { down: Flow::Swallow, ..Behaviour::default() });
             }
             Fault::ForgetPrimary => self.primary_sql.forget_open_connections(),
             Fault::KillOwner => signal(self.owner_process, libc::SIGKILL),
@@ -260,50 +261,50 @@
         }
     }
 
-    fn primary(&self, behaviour: Behaviour) {
+    fn set_primary_network(&self, behaviour: Behaviour) {
         self.primary_sql.set(behaviour);
         self.primary_log.set(behaviour);
     }
 
     /// Ends the temporary faults.
-    fn relieve(&self) {
+    fn end_faults(&self) {
         signal(self.primary_process, libc::SIGCONT);
         signal(self.owner_process, libc::SIGCONT);
-        self.primary(Behaviour::default());
+        self.set_primary_network(Behaviour::default());
         self.owner_peer.set(Behaviour::default());
         self.store.set_faults(StoreFaults::default());
     }
 }
 
-fn arm(
+fn inject_at_step(
     cluster: &Cluster,
     step: Step,
     fault: Fault,
-    levers: &Levers,
+    fault_targets: &FaultTargets,
     owner: usize,
     primary: usize,
 ) -> Arc<AtomicBool> {
     let fired = Arc::new(AtomicBool::new(false));
     let replicas = (0..cluster.targets.len()).filter(|index| *index != primary);
-    let proxies: Vec<&FaultProxy> = match step.place {
-        Place::Callers => vec![&cluster.instances[owner].client_proxy],
-        Place::Owner => vec![&cluster.instances[owner].peer_proxy],
-        Place::Primary => vec![&cluster.targets[primary].sql_proxy],
-        Place::Log => vec![&cluster.targets[primary].log_proxy],
-        Place::Replica => replicas.map(|index| &cluster.targets[index].sql_proxy).collect(),
+    let proxies: Vec<&FaultProxy> = match step.link {
+        Link::Clients => vec![&cluster.instances[owner].client_proxy],
+        Link::Owner => vec![&cluster.instances[owner].peer_proxy],
+        Link::Primary => vec![&cluster.targets[primary].sql_proxy],
+        Link::Log => vec![&cluster.targets[primary].log_proxy],
+        Link::Replica => replicas.map(|index| &cluster.targets[index].sql_proxy).collect(),
     };
     for proxy in proxies {
-        let (levers, fired) = (levers.clone(), fired.clone());
+        let (fault_targets, fired) = (fault_targets.clone(), fired.clone());
         proxy.on_bytes(step.direction, step.bytes, step.after, move || {
             if !fired.swap(true, Ordering::SeqCst) {
-                levers.apply(fault);
+                fault_targets.apply(fault);
             }
         });
     }
     fired
 }
 
-async fn wait(limit: Duration, condition: impl Fn() -> bool) -> bool {
+async fn wait_until(limit: Duration, condition: impl Fn() -> bool) -> bool {
     let deadline = Instant::now() + limit;
     while !condition() {
         if Instant::now() >= deadline {
@@ -323,60 +324,70 @@
     });
     match cell.await {
         Ok(verdict) => verdict,
-        Err(_) => Verdict::Violated("a wait of the test never ended".into()),
+        Err(_) => {
+            Verdict::Violated("the cell panicked, for example because a wait timed out".into())
+        }
     }
 }
 
 async fn run_cell_inner(step: Step, fault: Fault) -> Verdict {
-    let mut cluster = Cluster::start(Shape::default()).await;
+    let mut cluster = Cluster::start(ClusterOptions::default()).await;
     if fault == Fault::LagReplicas {
         cluster.set_lag(REPLICA_LAG).await;
     }
-    let workload = Workload::start(&cluster, step.style).await;
+    let workload = Workload::start(&cluster, step.write_kind).await;
     workload.wait_for_progress(PROGRESS).await;
     let Some((owner, _, primary)) = cluster.serving("db1").await else {
-        return Verdict::NotRun("nobody served".into());
+        return Verdict::NotRun("no instance served the database".into());
     };
     let primary = cluster.target(&primary);
-    let levers = Levers {
-        primary_process: cluster.targets[primary].process.as_ref().expect("up").id(),
-        owner_process: cluster.instances[owner].process.as_ref().expect("up").id(),
+    let fault_targets = FaultTargets {
+        primary_process: cluster.targets[primary]
+            .process
+            .as_ref()
+            .expect("the process is running")
+            .id(),
+        owner_process: cluster.instances[owner]
+            .process
+            .as_ref()
+            .expect("the process is running")
+            .id(),
         primary_sql: cluster.targets[primary].sql_proxy.clone(),
         primary_log: cluster.targets[primary].log_proxy.clone(),
         owner_peer: cluster.instances[owner].peer_proxy.clone(),
         store: cluster.store.clone(),
     };
-    let fired = arm(&cluster, step, fault, &levers, owner, primary);
+    let fired = inject_at_step(&cluster, step, fault, &fault_targets, owner, primary);
     if step.in_takeover {
         // The primary is suspended and not killed, since the fault of the cell may need
         // its process.
-        signal(levers.primary_process, libc::SIGSTOP);
+        signal(fault_targets.primary_process, libc::SIGSTOP);
     }
-    if !wait(STEP_LIMIT, || fired.load(Ordering::SeqCst)).await {
+    if !wait_until(STEP_TIMEOUT, || fired.load(Ordering::SeqCst)).await {
         return Verdict::NotRun("the bytes of the step did not pass".into());
     }
-    tokio::time::sleep(FAULT_TIME).await;
-    levers.relieve();
+    tokio::time::sleep(FAULT_DURATION).await;
+    fault_targets.end_faults();
     let progress = workload.wait_for_progress(PROGRESS);
-    let recovered = tokio::time::timeout(RECOVERY_LIMIT, progress).await.is_ok();
-    forget_dead(&mut cluster);
+    let recovered = tokio::time::timeout(RECOVERY_TIMEOUT, progress).await.is_ok();
+    forget_exited_instances(&mut cluster);
     let (history, stale) = workload.stop().await;
     let violations = checker::check(&cluster, &history, stale).await;
     if violations != Violations::default() {
         return Verdict::Violated(format!("{violations:?}"));
     }
     if !recovered {
-        return Verdict::Violated("callers did not get on again".into());
+        return Verdict::Violated("the writers made no progress after the fault".into());
     }
     Verdict::Held
 }
 
 /// Forgets the processes of instances that have exited, so that the check does not use
 /// them.
-fn forget_dead(cluster: &mut Cluster) {
+fn forget_exited_instances(cluster: &mut Cluster) {
     for node in &mut cluster.instances {
-        let dead = node.process.as_mut().is_some_and(|process| process.exit_code().is_some());
-        if dead {
+        let has_exited = node.process.as_mut().is_some_and(|process| process.exit_code().is_some());
+        if has_exited {
             node.process = None;
         }
     }
--- a/testing/testutils/src/process.rs
+++ b/testing/testutils/src/process.rs
@@ -23,9 +23,9 @@
 /// When the binary is not built, or the test does not run from the target directory.
 #[must_use]
 pub fn program(name: &str) -> PathBuf {
-    let test = std::env::current_exe().expect("a test knows its own path");
+    let test = std::env::current_exe().expect("the path of the test binary is known");
     // Test binaries are in target/PROFILE/deps, other binaries in target/PROFILE.
-    let folder = test.parent().expect("a program lies in a folder");
+    let folder = test.parent().expect("the binary is in a directory");
     let folder = if folder.ends_with("deps") { folder.parent().unwrap_or(folder) } else { folder };
     let path = folder.join(name);
     assert!(path.exists(), "{name} is not built; run the tests of the whole workspace");
@@ -39,7 +39,7 @@
 ///
 /// Never, since a process id fits into `pid_t`.
 pub fn signal(process: u32, number: libc::c_int) -> bool {
-    let id = libc::pid_t::try_from(process).expect("process ids are small");
+    let id = libc::pid_t::try_from(process).expect("process ids fit into pid_t");
     // SAFETY: `kill` takes no pointers. The process is a child of this one that has not
     // been waited for, so the system cannot have reused its id.
     unsafe { libc::kill(id, number) == 0 }
@@ -68,15 +68,19 @@
             .stdin(Stdio::null())
             .spawn()
             .expect("the program can be started");
-        let output = child.stdout.take().expect("its output is piped");
+        let output = child.stdout.take().expect("the output is piped");
         let mut line = String::new();
-        BufReader::new(output).read_line(&mut line).expect("its output can be read");
+        BufReader::new(output).read_line(&mut line).expect("the output can be read");
         let ready: HashMap<_, _> = line
             .split_whitespace()
             .filter_map(|word| word.split_once('='))
             .map(|(name, value)| (name.to_owned(), value.to_owned()))
             .collect();
-        assert!(line.starts_with("ready"), "{} said {line:?}", program.display());
+        assert!(
+            line.starts_with("ready"),
+            "{} printed {line:?} instead of a ready line",
+            program.display()
+        );
         Self { child, ready }
     }
 
@@ -87,7 +91,7 @@
     ///
     /// When the program cannot be started.
     #[must_use]
-    pub fn start_quiet(program: &Path, arguments: &[&str], log: &Path) -> Self {
+    pub fn start_without_ready_line(program: &Path, arguments: &[&str], log: &Path) -> Self {
         let child = Command::new(program)
             .args(arguments)
             .stdout(Stdio::from(append_to(log)))
@@ -99,7 +103,7 @@
     }
 
     fn signal(&self, number: libc::c_int) {
-        assert!(signal(self.child.id(), number), "signal {number} to our own child");
+        assert!(signal(self.child.id(), number), "cannot send signal {number} to the child");
     }
 
     /// Kills the process and waits until it has ended.
@@ -109,7 +113,7 @@
     /// When the process has exited and was waited for already, or cannot be waited for.
     pub fn kill(&mut self) {
         self.signal(libc::SIGKILL);
-        self.child.wait().expect("a killed child ends");
+        self.child.wait().expect("the killed child can be waited for");
     }
 
     /// Suspends the process with SIGSTOP.
@@ -133,7 +137,7 @@
     ///
     /// When the state of the process cannot be read.
     pub fn exit_code(&mut self) -> Option<i32> {
-        let status = self.child.try_wait().expect("a child can be asked");
+        let status = self.child.try_wait().expect("the state of the child can be read");
         status.map(|status| status.code().unwrap_or(-1))
     }
 
--- a/testing/testutils/src/tool.rs
+++ b/testing/testutils/src/tool.rs
@@ -50,8 +50,8 @@
     #[must_use]
     pub fn write_text(&self, name: &str, config: &Config) -> PathBuf {
         let path = self.folder().join(name);
-        let text = serde_json::to_string_pretty(config).expect("plain data");
-        std::fs::write(&path, text).expect("the folder can be written");
+        let text = serde_json::to_string_pretty(config).expect("the value can be serialized");
+        std::fs::write(&path, text).expect("the directory is writable");
         path
     }
 }
--- a/testing/testutils/tests/test_failover.rs
+++ b/testing/testutils/tests/test_failover.rs
@@ -5,11 +5,11 @@
 use chervilwharf_standin::fault_proxy::Flow;
 use chervilwharf_standin::store::StoreFaults;
 use chervilwharf_testutils::checker;
-use chervilwharf_testutils::checker::Style;
 use chervilwharf_testutils::checker::Violations;
 use chervilwharf_testutils::checker::Workload;
+use chervilwharf_testutils::checker::WriteKind;
 use chervilwharf_testutils::cluster::Cluster;
-use chervilwharf_testutils::cluster::Shape;
+use chervilwharf_testutils::cluster::ClusterOptions;
 use chervilwharf_testutils::cluster::wait_for;
 
 /// Writes that each writer has to get acknowledged before the fault, and again after it.
@@ -17,8 +17,8 @@
 
 /// Starts a workload, injects a fault, waits until all writers make progress again, and
 /// compares the outcomes reported to the clients with the contents of the database.
-async fn survive(style: Style, fault: impl AsyncFnOnce(&mut Cluster)) -> Cluster {
-    let mut cluster = Cluster::start(Shape::default()).await;
+async fn check_recovery(style: WriteKind, fault: impl AsyncFnOnce(&mut Cluster)) -> Cluster {
+    let mut cluster = Cluster::start(ClusterOptions::default()).await;
     let workload = Workload::start(&cluster, style).await;
     workload.wait_for_progress(PROGRESS).await;
     fault(&mut cluster).await;
@@ -30,19 +30,19 @@
 }
 
 async fn primary(cluster: &Cluster) -> usize {
-    let (_, _, primary) = cluster.serving("db1").await.expect("served");
+    let (_, _, primary) = cluster.serving("db1").await.expect("the database is served");
     cluster.target(&primary)
 }
 
 async fn owner(cluster: &Cluster) -> usize {
-    cluster.serving("db1").await.expect("served").0
+    cluster.serving("db1").await.expect("the database is served").0
 }
 
 /// Guards against writes that hang or are lost after the process of the primary is
 /// killed, because no replica or the wrong one is promoted.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_killed_primary_is_replaced_and_nothing_acknowledged_is_lost() {
-    let cluster = survive(Style::Statement, async |cluster| {
+    let cluster = check_recovery(WriteKind::Statement, async |cluster| {
         let index = primary(cluster).await;
         cluster.targets[index].process.as_mut().unwrap().kill();
     })
@@ -56,7 +56,7 @@
 /// the ledger, or reported as "not run" although it ran.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_killed_primary_leaves_transactions_atomic() {
-    survive(Style::Transaction, async |cluster| {
+    check_recovery(WriteKind::Transaction, async |cluster| {
         let index = primary(cluster).await;
         cluster.targets[index].process.as_mut().unwrap().kill();
     })
@@ -68,7 +68,7 @@
 /// its old term.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_frozen_primary_cannot_acknowledge_after_it_resumes() {
-    survive(Style::Statement, async |cluster| {
+    check_recovery(WriteKind::Statement, async |cluster| {
         let (_, before, _) = cluster.serving("db1").await.unwrap();
         let index = primary(cluster).await;
         cluster.targets[index].process.as_ref().unwrap().freeze();
@@ -86,7 +86,7 @@
 /// failure.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_unresponsive_primary_is_replaced() {
-    survive(Style::Statement, async |cluster| {
+    check_recovery(WriteKind::Statement, async |cluster| {
         let index = primary(cluster).await;
         cluster.targets[index].sql_proxy.set(Behaviour::silent());
         cluster.targets[index].log_proxy.set(Behaviour::silent());
@@ -99,7 +99,7 @@
 /// answers of the primary.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_primary_that_no_replica_hears_is_replaced() {
-    survive(Style::Statement, async |cluster| {
+    check_recovery(WriteKind::Statement, async |cluster| {
         let index = primary(cluster).await;
         cluster.targets[index].log_proxy.set(Behaviour::cut());
     })
@@ -111,7 +111,7 @@
 /// look-up in the ledger.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_lost_answers_of_the_primary_duplicate_no_write() {
-    survive(Style::Statement, async |cluster| {
+    check_recovery(WriteKind::Statement, async |cluster| {
         let index = primary(cluster).await;
         let one_way = Behaviour { down: Flow::Swallow, ..Behaviour::default() };
         cluster.targets[index].sql_proxy.set(one_way);
@@ -124,7 +124,7 @@
 /// request that ran.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_killed_owner_is_replaced() {
-    survive(Style::Statement, async |cluster| {
+    check_recovery(WriteKind::Statement, async |cluster| {
         let index = owner(cluster).await;
         cluster.instances[index].process.as_mut().unwrap().kill();
         cluster.instances[index].process = None;
@@ -138,15 +138,15 @@
 /// that has ended.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_requests_at_a_killed_owner_are_resolved_by_its_successor() {
-    let mut cluster = Cluster::start(Shape::default()).await;
-    let workload = Workload::start(&cluster, Style::Statement).await;
+    let mut cluster = Cluster::start(ClusterOptions::default()).await;
+    let workload = Workload::start(&cluster, WriteKind::Statement).await;
     workload.wait_for_progress(PROGRESS).await;
     let index = owner(&cluster).await;
     cluster.instances[index].process.as_mut().unwrap().kill();
     cluster.instances[index].process = None;
     workload.wait_for_progress(PROGRESS).await;
     let (history, _) = workload.stop().await;
-    let errors = history.values().flatten().map(|mark| &mark.error);
+    let errors = history.values().flatten().map(|write| &write.error);
     let unknown: Vec<_> = errors.filter(|error| error.starts_with("40003")).collect();
     assert!(unknown.is_empty(), "{unknown:?}");
 }
@@ -154,7 +154,7 @@
 /// As [`test_killed_owner_is_replaced`], with the platform's store down the whole time.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_killed_owner_is_replaced_while_the_store_is_down() {
-    survive(Style::Statement, async |cluster| {
+    check_recovery(WriteKind::Statement, async |cluster| {
         cluster.store.set_faults(StoreFaults { down: true, ..StoreFaults::default() });
         let index = owner(cluster).await;
         cluster.instances[index].process.as_mut().unwrap().kill();
@@ -168,7 +168,7 @@
 /// and the old owner resumes and answers before it checks its ownership again.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_paused_owner_answers_nothing_stale_after_it_resumes() {
-    survive(Style::Statement, async |cluster| {
+    check_recovery(WriteKind::Statement, async |cluster| {
         let (index, before, _) = cluster.serving("db1").await.unwrap();
         cluster.instances[index].process.as_ref().unwrap().freeze();
         wait_for("another instance serves", async || {
@@ -186,12 +186,12 @@
 /// requests.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_planned_stop_of_the_owner_hands_over() {
-    let mut cluster = survive(Style::Statement, async |cluster| {
+    let mut cluster = check_recovery(WriteKind::Statement, async |cluster| {
         let index = owner(cluster).await;
         cluster.instances[index].process.as_ref().unwrap().terminate();
         let process = cluster.instances[index].process.as_mut().unwrap();
         let process = std::sync::Mutex::new(process);
-        wait_for("the instance ends", async || process.lock().unwrap().exit_code() == Some(0))
+        wait_for("the instance exits", async || process.lock().unwrap().exit_code() == Some(0))
             .await;
         cluster.instances[index].process = None;
     })
@@ -205,7 +205,7 @@
 /// while new ones work, and the owner never replaces an open connection.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_unresponsive_connections_are_replaced() {
-    survive(Style::Statement, async |cluster| {
+    check_recovery(WriteKind::Statement, async |cluster| {
         let index = primary(cluster).await;
         cluster.targets[index].sql_proxy.forget_open_connections();
     })
@@ -215,7 +215,7 @@
 /// As [`test_unresponsive_connections_are_replaced`], for the links between instances.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_unresponsive_links_are_replaced() {
-    survive(Style::Statement, async |cluster| {
+    check_recovery(WriteKind::Statement, async |cluster| {
         for node in &cluster.instances {
             node.peer_proxy.forget_open_connections();
         }
@@ -228,8 +228,8 @@
 /// replica.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_leaving_primary_is_replaced_without_an_error() {
-    let mut cluster = Cluster::start(Shape::default()).await;
-    let workload = Workload::start(&cluster, Style::Statement).await;
+    let mut cluster = Cluster::start(ClusterOptions::default()).await;
+    let workload = Workload::start(&cluster, WriteKind::Statement).await;
     workload.wait_for_progress(PROGRESS).await;
     let (_, _, leaving) = cluster.serving("db1").await.unwrap();
     let servers = &mut cluster.config.databases.get_mut("db1").unwrap().servers;
@@ -242,7 +242,8 @@
     .await;
     workload.wait_for_progress(PROGRESS).await;
     let (history, stale) = workload.stop().await;
-    let errors: Vec<_> = history.values().flatten().filter(|mark| !mark.error.is_empty()).collect();
+    let errors: Vec<_> =
+        history.values().flatten().filter(|write| !write.error.is_empty()).collect();
     assert!(errors.is_empty(), "{errors:?}");
     let violations = checker::check(&cluster, &history, stale).await;
     assert_eq!(violations, Violations::default());
@@ -260,8 +261,9 @@
 /// not truncated, or if the server is not fenced and made a replica.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_restarted_primary_follows_and_discards_unreplicated_entries() {
-    let mut cluster = Cluster::start(Shape { durable: true, ..Shape::default() }).await;
-    let workload = Workload::start(&cluster, Style::Statement).await;
+    let mut cluster =
+        Cluster::start(ClusterOptions { durable: true, ..ClusterOptions::default() }).await;
+    let workload = Workload::start(&cluster, WriteKind::Statement).await;
     workload.wait_for_progress(PROGRESS).await;
     let index = primary(&cluster).await;
     let (_, before, _) = cluster.serving("db1").await.unwrap();
@@ -282,12 +284,12 @@
         let status = cluster.status(owner).await.unwrap();
         let servers = &status["databases"]["db1"]["serving_here"]["servers"];
         let servers = servers.as_array().cloned().unwrap_or_default();
-        let in_line = |server: &serde_json::Value| {
+        let has_caught_up = |server: &serde_json::Value| {
             server["usable"] == true
                 && server["term"] == term
                 && server["applied"].as_str().is_some_and(|a| a.starts_with(&format!("{term}/")))
         };
-        servers.len() == 3 && servers.iter().all(in_line)
+        servers.len() == 3 && servers.iter().all(has_caught_up)
     })
     .await;
     workload.wait_for_progress(PROGRESS).await;
--- a/testing/testutils/tests/test_load.rs
+++ b/testing/testutils/tests/test_load.rs
@@ -2,16 +2,16 @@
 
 use std::time::Duration;
 
-use chervilwharf_testutils::callers::sqlstate;
+use chervilwharf_testutils::clients::sqlstate;
 use chervilwharf_testutils::cluster::Cluster;
-use chervilwharf_testutils::cluster::Shape;
+use chervilwharf_testutils::cluster::ClusterOptions;
 
 /// Number of clients that check availability at the same time, far more than the slots of
 /// a server.
-const CHECKERS: usize = 80;
+const CHECK_CLIENTS: usize = 80;
 
 /// Number of requests of each client.
-const REQUESTS: usize = 4;
+const REQUESTS_PER_CLIENT: usize = 4;
 
 /// Time that a server takes for a statement. It is longer than the deadline of a check,
 /// so that no check can succeed, however slowly the test sends them.
@@ -22,18 +22,18 @@
 /// and the queue ignores priorities or keeps requests that cannot meet their deadlines.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_overload_by_checks_is_refused_with_a_retry_time_and_does_not_affect_bookings() {
-    let shape = Shape { statement_cost: STATEMENT_COST, ..Shape::default() };
-    let cluster = Cluster::start(shape).await;
+    let options = ClusterOptions { statement_cost: STATEMENT_COST, ..ClusterOptions::default() };
+    let cluster = Cluster::start(options).await;
     let setup = cluster.connect(0, "tenant").await;
     setup.batch_execute("CREATE TABLE t (id INTEGER)").await.unwrap();
     let mut checkers = Vec::new();
-    for number in 0..CHECKERS {
+    for number in 0..CHECK_CLIENTS {
         let client = cluster.connect(number % 3, "callcentre").await;
         client.batch_execute("SET chervilwharf.max_age_ms = '0'").await.unwrap();
         client.batch_execute("SET chervilwharf.deadline_ms = '100'").await.unwrap();
         checkers.push(tokio::spawn(async move {
             let mut refusals = Vec::new();
-            for _ in 0..REQUESTS {
+            for _ in 0..REQUESTS_PER_CLIENT {
                 if let Err(error) = client.batch_execute("SELECT count(*) FROM t").await {
                     refusals.push(error);
                 }
@@ -45,7 +45,7 @@
     for number in 0..3 {
         let client = cluster.connect(number, "tenant").await;
         bookings.push(tokio::spawn(async move {
-            for id in 0..REQUESTS {
+            for id in 0..REQUESTS_PER_CLIENT {
                 client.batch_execute(&format!("INSERT INTO t VALUES ({id})")).await?;
             }
             Ok::<(), tokio_postgres::Error>(())
--- a/testing/testutils/tests/test_path.rs
+++ b/testing/testutils/tests/test_path.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use chervilwharf_testutils::callers::first_value;
-use chervilwharf_testutils::callers::sqlstate;
+use chervilwharf_testutils::clients::first_value;
+use chervilwharf_testutils::clients::sqlstate;
 use chervilwharf_testutils::cluster::Cluster;
-use chervilwharf_testutils::cluster::Shape;
+use chervilwharf_testutils::cluster::ClusterOptions;
 use chervilwharf_testutils::cluster::wait_for;
 use tokio_postgres::types::Type;
 
@@ -15,7 +15,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn test_write_at_one_instance_is_read_at_another() {
-    let cluster = Cluster::start(Shape::default()).await;
+    let cluster = Cluster::start(ClusterOptions::default()).await;
     let writer = cluster.connect(0, "tenant").await;
     writer.batch_execute("CREATE TABLE t (id INTEGER PRIMARY KEY, name TEXT)").await.unwrap();
     for round in 0..20 {
@@ -31,7 +31,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn test_prepared_statements_with_parameters_of_each_type() {
-    let cluster = Cluster::start(Shape::default()).await;
+    let cluster = Cluster::start(ClusterOptions::default()).await;
     let client = cluster.connect(1, "tenant").await;
     client.batch_execute("CREATE TABLE p (i BIGINT, f DOUBLE, t TEXT, b BYTEA)").await.unwrap();
     let types = [Type::INT8, Type::FLOAT8, Type::TEXT, Type::BYTEA];
@@ -56,7 +56,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn test_transaction_commits_or_rolls_back_as_a_whole() {
-    let cluster = Cluster::start(Shape::default()).await;
+    let cluster = Cluster::start(ClusterOptions::default()).await;
     let mut client = cluster.connect(2, "tenant").await;
     client.batch_execute("CREATE TABLE t (id INTEGER PRIMARY KEY)").await.unwrap();
     let transaction = client.transaction().await.unwrap();
@@ -76,7 +76,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn test_text_of_several_statements_is_one_transaction() {
-    let cluster = Cluster::start(Shape::default()).await;
+    let cluster = Cluster::start(ClusterOptions::default()).await;
     let client = cluster.connect(0, "tenant").await;
     client.batch_execute("CREATE TABLE t (id INTEGER PRIMARY KEY)").await.unwrap();
     let failing = "INSERT INTO t VALUES (1); INSERT INTO t VALUES (1)";
@@ -89,7 +89,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn test_repeated_request_id_runs_once_and_gets_the_first_answer() {
-    let cluster = Cluster::start(Shape::default()).await;
+    let cluster = Cluster::start(ClusterOptions::default()).await;
     let client = cluster.connect(0, "tenant").await;
     client.batch_execute("CREATE TABLE t (n INTEGER)").await.unwrap();
     let statement = "INSERT INTO t VALUES (1) /*request_id='charge-1'*/";
@@ -102,12 +102,12 @@
     let error = client.batch_execute(reused).await.unwrap_err();
     assert_eq!(sqlstate(&error), "22023");
     // The same id of another account identifies another request.
-    let stranger = cluster.connect(0, "tenant2").await;
+    let other_account = cluster.connect(0, "tenant2").await;
     cluster.set_lag(LAG).await;
-    stranger.batch_execute(reused).await.unwrap();
+    other_account.batch_execute(reused).await.unwrap();
     // The account that wrote the second row sees both rows at once; other accounts see
     // them when replicas have them.
-    let count = stranger.simple_query("SELECT count(*) FROM t").await.unwrap();
+    let count = other_account.simple_query("SELECT count(*) FROM t").await.unwrap();
     assert_eq!(first_value(&count).as_deref(), Some("2"));
     wait_for("replicas have both rows", async || {
         let count = client.simple_query("SELECT count(*) FROM t").await.unwrap();
@@ -118,8 +118,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn test_bad_input_gets_a_clear_error_and_affects_no_other_client() {
-    let cluster = Cluster::start(Shape::default()).await;
-    let neighbour = cluster.connect(0, "tenant").await;
+    let cluster = Cluster::start(ClusterOptions::default()).await;
+    let other_client = cluster.connect(0, "tenant").await;
     let wrong = cluster.try_connect(0, "tenant", "wrong", "db1").await.err().unwrap();
     assert_eq!(sqlstate(&wrong), "28P01");
     let unknown = cluster.try_connect(0, "nobody", "nobody", "db1").await.err().unwrap();
@@ -141,7 +141,7 @@
     assert_eq!(sqlstate(&error), "42501");
     client.batch_execute("SET chervilwharf.service = 'bookings'").await.unwrap();
     client.batch_execute("SELECT 1").await.unwrap();
-    neighbour.batch_execute("SELECT 1").await.unwrap();
+    other_client.batch_execute("SELECT 1").await.unwrap();
 }
 
 /// Number of execution slots in use at the primary.
@@ -158,7 +158,7 @@
 /// matched by their id alone.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_id_of_a_request_in_progress_is_refused_for_another_statement() {
-    let cluster = Cluster::start(Shape::default()).await;
+    let cluster = Cluster::start(ClusterOptions::default()).await;
     let holder = cluster.connect(0, "tenant").await;
     holder.batch_execute("CREATE TABLE t (id INTEGER)").await.unwrap();
     holder.batch_execute("BEGIN").await.unwrap();
@@ -181,7 +181,7 @@
 /// has to wait for a slot behind them.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_open_transaction_does_not_wait_behind_requests_that_wait_for_it() {
-    let cluster = Cluster::start(Shape::default()).await;
+    let cluster = Cluster::start(ClusterOptions::default()).await;
     let holder = cluster.connect(0, "tenant").await;
     holder.batch_execute("CREATE TABLE t (id INTEGER)").await.unwrap();
     holder.batch_execute("BEGIN").await.unwrap();
@@ -208,7 +208,7 @@
 /// the first one of a new transaction.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_transaction_whose_link_was_lost_does_not_continue_in_a_new_one() {
-    let cluster = Cluster::start(Shape::default()).await;
+    let cluster = Cluster::start(ClusterOptions::default()).await;
     let (owner, _, _) = cluster.serving("db1").await.unwrap();
     let client = cluster.connect((owner + 1) % 3, "tenant").await;
     client.batch_execute("CREATE TABLE t (id INTEGER)").await.unwrap();
--- a/testing/testutils/tests/test_requests_in_doubt.rs
+++ b/testing/testutils/tests/test_requests_in_doubt.rs
@@ -3,29 +3,29 @@
 
 use chervilwharf_standin::fault_proxy::Behaviour;
 use chervilwharf_standin::fault_proxy::Direction;
-use chervilwharf_testutils::callers::Told;
-use chervilwharf_testutils::callers::first_value;
-use chervilwharf_testutils::callers::told;
+use chervilwharf_testutils::clients::ErrorOutcome;
+use chervilwharf_testutils::clients::error_outcome;
+use chervilwharf_testutils::clients::first_value;
 use chervilwharf_testutils::cluster::Cluster;
-use chervilwharf_testutils::cluster::Shape;
+use chervilwharf_testutils::cluster::ClusterOptions;
 use chervilwharf_testutils::cluster::wait_for;
 use chervilwharf_testutils::process::signal;
 use tokio_postgres::Client;
 
 /// Deadline in milliseconds that is longer than any takeover, also on a heavily loaded
 /// machine.
-const LONG_MS: u64 = 55_000;
+const LONG_DEADLINE_MS: u64 = 55_000;
 
 /// Deadline in milliseconds that is longer than the time a request waits for a primary,
 /// which is 3 s.
-const BEYOND_THE_GAP_MS: u64 = 9_000;
+const BEYOND_FAILOVER_DEADLINE_MS: u64 = 9_000;
 
 /// The statement of the write, with a request id and a deadline.
 fn write(deadline_ms: u64) -> String {
     format!("INSERT INTO t VALUES (1) /*request_id='the-write',deadline_ms='{deadline_ms}'*/")
 }
 
-async fn with_table(cluster: &Cluster) {
+async fn create_table(cluster: &Cluster) {
     let client = cluster.connect(0, "tenant").await;
     client.batch_execute("CREATE TABLE t (id INTEGER)").await.unwrap();
 }
@@ -42,16 +42,16 @@
 /// of giving a final answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_write_of_a_replaced_owner_is_resolved_by_its_successor() {
-    let cluster = Cluster::start(Shape::default()).await;
-    with_table(&cluster).await;
+    let cluster = Cluster::start(ClusterOptions::default()).await;
+    create_table(&cluster).await;
     let (owner, before, primary) = cluster.serving("db1").await.unwrap();
-    let caller = cluster.connect(owner, "tenant").await;
+    let client = cluster.connect(owner, "tenant").await;
     let owner_process = cluster.instances[owner].process.as_ref().unwrap().id();
     let primary = &cluster.targets[cluster.target(&primary)].sql_proxy;
     primary.on_bytes(Direction::Down, b"COMMIT", false, move || {
         signal(owner_process, libc::SIGSTOP);
     });
-    let writing = tokio::spawn(async move { caller.batch_execute(&write(LONG_MS)).await });
+    let writing = tokio::spawn(async move { client.batch_execute(&write(LONG_DEADLINE_MS)).await });
     wait_for("another instance serves", async || {
         let serving = cluster.serving("db1").await;
         serving.is_some_and(|(other, term, _)| other != owner && term > before)
@@ -67,11 +67,11 @@
 /// when the primary answers the COMMIT, makes all servers unreachable until the client
 /// gets an answer, and checks that the answer is not "not run".
 async fn lose_owner_and_servers(offset: usize) {
-    let mut cluster = Cluster::start(Shape::default()).await;
-    with_table(&cluster).await;
+    let mut cluster = Cluster::start(ClusterOptions::default()).await;
+    create_table(&cluster).await;
     let (owner, _, primary) = cluster.serving("db1").await.unwrap();
     let entry = (owner + offset) % 3;
-    let caller = cluster.connect(entry, "tenant").await;
+    let client = cluster.connect(entry, "tenant").await;
     let owner_process = cluster.instances[owner].process.as_ref().unwrap().id();
     let primary = cluster.target(&primary);
     let proxies: Vec<_> = cluster.targets.iter().map(|node| node.sql_proxy.clone()).collect();
@@ -81,16 +81,16 @@
             proxy.set(Behaviour::silent());
         }
     });
-    let heard = caller.batch_execute(&write(BEYOND_THE_GAP_MS)).await;
+    let result = client.batch_execute(&write(BEYOND_FAILOVER_DEADLINE_MS)).await;
     cluster.instances[owner].process = None;
     for node in &cluster.targets {
         node.sql_proxy.set(Behaviour::default());
     }
-    let error = heard.expect_err("no server could be reached");
+    let error = result.expect_err("no server could be reached");
     let reader = cluster.connect(entry, "tenant").await;
     wait_for("the database is read again", async || count(&reader).await.is_some()).await;
     assert_eq!(count(&reader).await.as_deref(), Some("1"), "the COMMIT had reached the primary");
-    assert_eq!(told(&error), Told::Unknown, "{error:?}");
+    assert_eq!(error_outcome(&error), ErrorOutcome::Unknown, "{error:?}");
 }
 
 /// Guards against the answer "not run" for a write that is stored. The owner is killed
--- a/testing/testutils/tests/test_tool.rs
+++ b/testing/testutils/tests/test_tool.rs
@@ -3,7 +3,7 @@
 use chervilwharf_standin::fault_proxy::Behaviour;
 use chervilwharf_standin::store::StoreFaults;
 use chervilwharf_testutils::cluster::Cluster;
-use chervilwharf_testutils::cluster::Shape;
+use chervilwharf_testutils::cluster::ClusterOptions;
 use chervilwharf_testutils::cluster::wait_for;
 use serde_json::Value;
 
@@ -17,7 +17,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn test_applied_configuration_is_in_force_everywhere() {
-    let mut cluster = Cluster::start(Shape::default()).await;
+    let mut cluster = Cluster::start(ClusterOptions::default()).await;
     cluster.config.services.get_mut("availability").unwrap().priority = 9;
     let file = cluster.write_text("next.json", &cluster.config);
     let base = version_of(&cluster).to_string();
@@ -41,7 +41,7 @@
 /// first without a check of the version.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_conflicting_apply_reports_the_other_author_and_the_difference() {
-    let mut cluster = Cluster::start(Shape::default()).await;
+    let mut cluster = Cluster::start(ClusterOptions::default()).await;
     let base = version_of(&cluster).to_string();
     cluster.config.services.get_mut("availability").unwrap().priority = 7;
     let first = cluster.write_text("first.json", &cluster.config);
@@ -63,7 +63,7 @@
 /// as a failure instead of reading the configuration back.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_lost_answer_of_the_store_is_resolved() {
-    let cluster = Cluster::start(Shape::default()).await;
+    let cluster = Cluster::start(ClusterOptions::default()).await;
     let file = cluster.write_text("next.json", &cluster.config);
     let base = version_of(&cluster);
     cluster.store.set_faults(StoreFaults { lose_answers: 1, ..StoreFaults::default() });
@@ -77,7 +77,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn test_invalid_configuration_is_refused_with_locations_and_changes_nothing() {
-    let mut cluster = Cluster::start(Shape::default()).await;
+    let mut cluster = Cluster::start(ClusterOptions::default()).await;
     cluster.config.accounts.get_mut("kiosk").unwrap().services = vec!["gatess".into()];
     let file = cluster.write_text("bad.json", &cluster.config);
     let base = version_of(&cluster);
@@ -92,7 +92,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn test_request_command_reports_each_of_the_three_states() {
-    let cluster = Cluster::start(Shape::default()).await;
+    let cluster = Cluster::start(ClusterOptions::default()).await;
     let client = cluster.connect(0, "tenant").await;
     client.batch_execute("CREATE TABLE t (n INTEGER)").await.unwrap();
     client.batch_execute("INSERT INTO t VALUES (1) /*request_id='ran'*/").await.unwrap();
@@ -121,15 +121,18 @@
     for target in &cluster.targets {
         target.log_proxy.set(Behaviour::default());
     }
-    let told = waiting.await.unwrap();
-    wait_for("the write is settled", async || [0, 3].contains(&ask("waits").await.code)).await;
+    let outcome = waiting.await.unwrap();
+    wait_for("the outcome of the write is known", async || {
+        [0, 3].contains(&ask("waits").await.code)
+    })
+    .await;
     let ran = ask("waits").await.code == 0;
-    assert!(told.is_err() || ran);
+    assert!(outcome.is_err() || ran);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn test_status_and_burn_report_cover_the_deployment() {
-    let cluster = Cluster::start(Shape::default()).await;
+    let cluster = Cluster::start(ClusterOptions::default()).await;
     let client = cluster.connect(0, "tenant").await;
     for _ in 0..10 {
         client.batch_execute("SELECT 1").await.unwrap();
@@ -156,7 +159,7 @@
 /// gets the configuration only from the store and not from its peers.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_instance_started_while_the_store_is_down_gets_the_configuration_from_its_peers() {
-    let mut cluster = Cluster::start(Shape::default()).await;
+    let mut cluster = Cluster::start(ClusterOptions::default()).await;
     let version = version_of(&cluster);
     cluster.instances[2].process.as_mut().unwrap().kill();
     cluster.store.set_faults(StoreFaults { down: true, ..StoreFaults::default() });
@@ -174,7 +177,7 @@
 /// version.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_store_restored_to_an_older_version_reverts_nothing() {
-    let mut cluster = Cluster::start(Shape::default()).await;
+    let mut cluster = Cluster::start(ClusterOptions::default()).await;
     let older = cluster.store.get("configuration").unwrap();
     cluster.config.services.get_mut("availability").unwrap().priority = 9;
     let version = cluster.store_configuration("later");
