--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -66,10 +66,10 @@
     }
     match reported {
         ReportedOutcome::Kept if counts[0] == 0 => {
-            violations.push(format!("acknowledged but lost: {data}"))
+            violations.push(format!("acknowledged but lost: {data}"));
         }
         ReportedOutcome::NotKept if counts[0] > 0 => {
-            violations.push(format!("reported as not stored, but stored: {data}"))
+            violations.push(format!("reported as not stored, but stored: {data}"));
         }
         _ => {}
     }
@@ -144,8 +144,8 @@
     late.map(|after| format!("a configuration came into force only after {after:.2?}")).collect()
 }
 
-/// Checks that no fencing token of a group was used to promote two servers. Each
-/// promotion is given as group, server and token.
+/// Checks that no fencing token of a group was used in accepted promotions of two
+/// servers. Each promotion is given as group, server and token.
 #[must_use]
 pub fn check_promotions(promotions: &[(String, String, u64)]) -> Vec<String> {
     let mut ordered: HashMap<(&str, u64), &str> = HashMap::new();
@@ -153,7 +153,9 @@
     for (group, server, token) in promotions {
         let before = ordered.insert((group, *token), server);
         if before.is_some_and(|before| before != server) {
-            violations.push(format!("two servers of {group} were promoted under token {token}"));
+            violations.push(format!(
+                "promotions of two servers of {group} were accepted under token {token}"
+            ));
         }
     }
     violations
--- a/soak/src/fault.rs
+++ b/soak/src/fault.rs
@@ -99,7 +99,7 @@
                 deployment.server(number).set(mute);
             }
             Self::DelayServer(number) => {
-                deployment.server(number).set(Behaviour::delayed(SERVER_DELAY))
+                deployment.server(number).set(Behaviour::delayed(SERVER_DELAY));
             }
             Self::ForgetServerConnections(number) => {
                 deployment.server(number).forget_open_connections();
--- a/soak/src/soak.rs
+++ b/soak/src/soak.rs
@@ -44,7 +44,7 @@
     pub unknown: usize,
     /// Number of reads that were answered.
     pub reads: usize,
-    /// Number of promotions that the platform executed.
+    /// Number of promotions that the platform accepted.
     pub promotions: usize,
     /// For each configuration that was written after an outage of the store: the time
     /// until it was in force at all instances, unless another outage began meanwhile.
--- a/testing/testutils/src/checker.rs
+++ b/testing/testutils/src/checker.rs
@@ -438,7 +438,7 @@
         match write.reported {
             ReportedOutcome::Acknowledged if count == 0 => violations.lost.push(write.id.clone()),
             ReportedOutcome::NotRun if count > 0 => {
-                violations.ran_despite_not_run.push(write.id.clone())
+                violations.ran_despite_not_run.push(write.id.clone());
             }
             ReportedOutcome::Unknown => {
                 let state = resolved.get(&write.id).map_or("", String::as_str);
--- a/testing/testutils/src/experiments/capacity.rs
+++ b/testing/testutils/src/experiments/capacity.rs
@@ -151,7 +151,7 @@
 }
 
 /// Measures one instance with a growing number of idle clients.
-#[allow(clippy::cast_precision_loss, reason = "a few thousand callers")]
+#[allow(clippy::cast_precision_loss, reason = "a few thousand clients")]
 async fn measure_idle_clients(report: &mut String) -> [Slope; 2] {
     let cluster = Cluster::start(ClusterOptions::default()).await;
     let process = cluster.instances[0].process.as_ref().expect("the process is running").id();
--- a/testing/testutils/src/experiments/failover.rs
+++ b/testing/testutils/src/experiments/failover.rs
@@ -151,10 +151,10 @@
             cluster.instances[owner].process = None;
         }
         Fault::OwnerFreeze => {
-            cluster.instances[owner].process.as_ref().expect("the process is running").freeze()
+            cluster.instances[owner].process.as_ref().expect("the process is running").freeze();
         }
         Fault::Stop => {
-            cluster.instances[owner].process.as_ref().expect("the process is running").terminate()
+            cluster.instances[owner].process.as_ref().expect("the process is running").terminate();
         }
     }
 }
--- a/testing/testutils/src/matrix.rs
+++ b/testing/testutils/src/matrix.rs
@@ -370,7 +370,7 @@
     fault_targets.end_faults();
     let progress = workload.wait_for_progress(PROGRESS);
     let recovered = tokio::time::timeout(RECOVERY_TIMEOUT, progress).await.is_ok();
-    forget_exited_instances(&mut cluster);
+    remove_exited_processes(&mut cluster);
     let (history, stale) = workload.stop().await;
     let violations = checker::check(&cluster, &history, stale).await;
     if violations != Violations::default() {
@@ -382,9 +382,9 @@
     Verdict::Held
 }
 
-/// Forgets the processes of instances that have exited, so that the check does not use
+/// Removes the processes of instances that have exited, so that the check does not use
 /// them.
-fn forget_exited_instances(cluster: &mut Cluster) {
+fn remove_exited_processes(cluster: &mut Cluster) {
     for node in &mut cluster.instances {
         let has_exited = node.process.as_mut().is_some_and(|process| process.exit_code().is_some());
         if has_exited {
