--- a/soak/src/soak.rs
+++ b/soak/src/soak.rs
@@ -119,8 +119,9 @@
         });
     }
     while running.join_next().await.is_some() {}
-    // With overlapping faults, one fault can start an instance before another one kills
-    // or suspends it. All instances are resumed and started once more.
+    // With overlapping faults, the end of one fault can start or resume an instance before
+    // another fault kills or suspends it. All instances are therefore resumed and started
+    // once more.
     for number in 0..deployment.instances.len() {
         deployment.instances[number].thaw();
         deployment.start(number);
--- a/testing/testutils/src/matrix.rs
+++ b/testing/testutils/src/matrix.rs
@@ -108,11 +108,11 @@
 pub enum Fault {
     /// The process of the primary is killed.
     KillPrimary,
-    /// The process of the primary is suspended for [`FAULT_DURATION`].
+    /// The process of the primary is suspended for `FAULT_DURATION`.
     FreezePrimary,
-    /// Connections to the primary are closed and refused for [`FAULT_DURATION`].
+    /// Connections to the primary are closed and refused for `FAULT_DURATION`.
     CutPrimary,
-    /// Bytes that the primary sends are dropped for [`FAULT_DURATION`], while it still
+    /// Bytes that the primary sends are dropped for `FAULT_DURATION`, while it still
     /// receives.
     OneWayPrimary,
     /// The open connections to the primary become unresponsive for good.
@@ -123,18 +123,18 @@
     /// ownership is valid.
     FreezeOwner,
     /// Links from other instances to the owner are closed and refused for
-    /// [`FAULT_DURATION`].
+    /// `FAULT_DURATION`.
     CutOwner,
     /// The open links from other instances to the owner become unresponsive for good.
     ForgetOwner,
     /// Bytes between other instances and the owner are delayed by 150 ms for
-    /// [`FAULT_DURATION`].
+    /// `FAULT_DURATION`.
     LateOwner,
-    /// Replicas apply entries after [`REPLICA_LAG`].
+    /// Replicas apply entries after `REPLICA_LAG`.
     LagReplicas,
-    /// The store is down for [`FAULT_DURATION`].
+    /// The store is down for `FAULT_DURATION`.
     StoreDown,
-    /// Every call to the store takes 1 s longer for [`FAULT_DURATION`].
+    /// Every call to the store takes 1 s longer for `FAULT_DURATION`.
     StoreSlow,
     /// The store executes updates, but the next five answers are lost.
     StoreLosesAnswers,
