--- a/daemon/src/engine/shared/accounts.rs
+++ b/daemon/src/engine/shared/accounts.rs
@@ -2,7 +2,7 @@
 
 use chervilwharf_lib::quota::QuotaTolerance;
 
-use crate::engine::caller::NewerConfiguration;
+use crate::engine::caller::LastConfigurationPull;
 use crate::engine::quota_control::QuotaControl;
 use crate::engine::shared::Engine;
 
@@ -28,7 +28,7 @@
 
     /// When others were last asked for a newer configuration.
     #[must_use]
-    pub fn newer_configuration(&self) -> &NewerConfiguration {
-        &self.newer_configuration
+    pub fn last_configuration_pull(&self) -> &LastConfigurationPull {
+        &self.last_configuration_pull
     }
 }
--- a/daemon/src/forward.rs
+++ b/daemon/src/forward.rs
@@ -29,7 +29,7 @@
 use crate::dispatch;
 use crate::inquiry;
 use crate::link::LinkError;
-use crate::owner::EXPECTED_GAP;
+use crate::owner::EXPECTED_FAILOVER_TIME;
 
 /// Pause before another look for the owner.
 const PAUSE: Duration = Duration::from_millis(10);
@@ -63,7 +63,7 @@
 fn find_owner(context: &Shared, database: &str) -> Owner {
     let here = context
         .databases
-        .with_database(database, |state| state.ownership.is_engaged())
+        .with_database(database, |state| state.ownership.owns_or_is_taking())
         .unwrap_or(false);
     if here {
         return Owner::Here;
@@ -159,7 +159,8 @@
         let too_late = now + PAUSE >= deadline;
         // Without an owner for longer than a takeover lasts, the caller is
         // better off knowing now.
-        let hopeless = now.saturating_duration_since(began) >= EXPECTED_GAP && !maybe_running;
+        let hopeless =
+            now.saturating_duration_since(began) >= EXPECTED_FAILOVER_TIME && !maybe_running;
         if too_late || hopeless {
             return Err(give_up(&submit, last, maybe_running));
         }
--- a/soak/src/deployment.rs
+++ b/soak/src/deployment.rs
@@ -20,7 +20,7 @@
 use chervilwharf_standin::platform::servers::Group;
 use chervilwharf_standin::platform::store::Mode;
 use chervilwharf_standin::platform::store::Store;
-use chervilwharf_standin::platform::store::StoreCopy;
+use chervilwharf_standin::platform::store::StoreBackup;
 use chervilwharf_testutils::cluster::WAIT_TIMEOUT;
 use chervilwharf_testutils::cluster::wait_for;
 use chervilwharf_testutils::process::Process;
@@ -172,7 +172,7 @@
     /// Number of databases added so far.
     added: AtomicU64,
     /// Backups of the store that were not restored yet, oldest first.
-    backups: Mutex<VecDeque<StoreCopy>>,
+    backups: Mutex<VecDeque<StoreBackup>>,
     /// Counts how often the connections to the store were made unresponsive.
     outages: AtomicU64,
 }
@@ -185,7 +185,7 @@
     /// When a part cannot be started, or an instance does not become ready in time.
     pub async fn new(options: SoakOptions) -> Self {
         let group = Group::start("db", options.servers, DEFAULT_LAG).await;
-        tokio::spawn(servers::apply_for_ever(group.clone()));
+        tokio::spawn(servers::run_replication(group.clone()));
         let mut server_proxies = Vec::new();
         for number in 0..options.servers {
             let proxy = FaultProxy::start().await.expect("a port is available");
@@ -216,7 +216,7 @@
             outages: AtomicU64::new(0),
         };
         if options.selection == Selection::StoreRestores {
-            deployment.store.tell_era(FIRST_ERA);
+            deployment.store.set_reported_era(FIRST_ERA);
         }
         deployment.write_configuration();
         for number in 0..options.instances {
@@ -300,7 +300,7 @@
     pub fn forget_store_connections(&self) {
         self.outages.fetch_add(1, Ordering::SeqCst);
         for instance in &self.instances {
-            instance.store_proxy.forget_open_connections();
+            instance.store_proxy.blackhole_open_connections();
         }
     }
 
@@ -381,12 +381,12 @@
         tokio::time::sleep(DOWNTIME).await;
         self.store.set_mode(Mode::Up);
         tokio::time::sleep(DOWNTIME).await;
-        self.store.write_again(&lost);
+        self.store.repeat_lost_writes(&lost);
     }
 
     /// Marks a server as draining, at the server and in the store.
     pub fn begin_draining(&self, server: usize) {
-        self.group.set_leaving(server, true);
+        self.group.set_draining(server, true);
         self.store.publish_server(&self.group, server, "draining");
         let period = DrainPeriod { server, since: Instant::now(), until: None };
         self.history.drain_periods.lock().expect("never poisoned").push(period);
@@ -397,7 +397,7 @@
         self.group.crash(server);
         tokio::time::sleep(DOWNTIME).await;
         self.group.restart(server);
-        self.group.set_leaving(server, false);
+        self.group.set_draining(server, false);
         self.store.publish_server(&self.group, server, "ready");
         let mut all = self.history.drain_periods.lock().expect("never poisoned");
         let own = all.iter_mut().filter(|period| period.server == server);
--- a/testing/testutils/src/experiments/capacity.rs
+++ b/testing/testutils/src/experiments/capacity.rs
@@ -321,8 +321,8 @@
     // The measurement used the heartbeat interval of a small fleet; a large fleet uses
     // a longer one.
     let timing = MembershipTiming::default();
-    let interval_ratio =
-        timing.heartbeat_interval.as_secs_f64() / timing.heartbeat_interval_of_many.as_secs_f64();
+    let interval_ratio = timing.heartbeat_interval.as_secs_f64()
+        / timing.heartbeat_interval_large_fleet.as_secs_f64();
     let heartbeats = instances[1].line.slope * FLEET_WATCHED_INSTANCES * interval_ratio;
     row("bytes: probes of idle databases, both ways", probes, "KB/s", "");
     row("bytes: heartbeats sent", heartbeats, "KB/s", "");
--- a/testing/testutils/src/matrix.rs
+++ b/testing/testutils/src/matrix.rs
@@ -227,13 +227,13 @@
             Fault::FreezePrimary => signal(self.primary_process, libc::SIGSTOP),
             Fault::CutPrimary => self.set_primary_network(Behaviour::cut()),
             Fault::OneWayPrimary => {
-                self.set_primary_network(Behaviour { down: Flow::Swallow, ..Behaviour::default() });
+                self.set_primary_network(Behaviour { down: Flow::Discard, ..Behaviour::default() });
             }
-            Fault::ForgetPrimary => self.primary_sql.forget_open_connections(),
+            Fault::ForgetPrimary => self.primary_sql.blackhole_open_connections(),
             Fault::KillOwner => signal(self.owner_process, libc::SIGKILL),
             Fault::FreezeOwner => signal(self.owner_process, libc::SIGSTOP),
             Fault::CutOwner => self.owner_peer.set(Behaviour::cut()),
-            Fault::ForgetOwner => self.owner_peer.forget_open_connections(),
+            Fault::ForgetOwner => self.owner_peer.blackhole_open_connections(),
             Fault::LateOwner => self.owner_peer.set(Behaviour::delayed(Duration::from_millis(150))),
             // The lag is set before the workload starts.
             Fault::LagReplicas => {}
--- a/testing/testutils/tests/test_failover.rs
+++ b/testing/testutils/tests/test_failover.rs
@@ -113,7 +113,7 @@
 async fn test_lost_answers_of_the_primary_duplicate_no_write() {
     check_recovery(WriteKind::Statement, async |cluster| {
         let index = primary(cluster).await;
-        let one_way = Behaviour { down: Flow::Swallow, ..Behaviour::default() };
+        let one_way = Behaviour { down: Flow::Discard, ..Behaviour::default() };
         cluster.targets[index].sql_proxy.set(one_way);
     })
     .await;
@@ -207,7 +207,7 @@
 async fn test_unresponsive_connections_are_replaced() {
     check_recovery(WriteKind::Statement, async |cluster| {
         let index = primary(cluster).await;
-        cluster.targets[index].sql_proxy.forget_open_connections();
+        cluster.targets[index].sql_proxy.blackhole_open_connections();
     })
     .await;
 }
@@ -217,7 +217,7 @@
 async fn test_unresponsive_links_are_replaced() {
     check_recovery(WriteKind::Statement, async |cluster| {
         for node in &cluster.instances {
-            node.peer_proxy.forget_open_connections();
+            node.peer_proxy.blackhole_open_connections();
         }
     })
     .await;
--- a/testing/testutils/tests/test_path.rs
+++ b/testing/testutils/tests/test_path.rs
@@ -214,7 +214,7 @@
     client.batch_execute("CREATE TABLE t (id INTEGER)").await.unwrap();
     client.batch_execute("BEGIN").await.unwrap();
     client.batch_execute("INSERT INTO t VALUES (1)").await.unwrap();
-    cluster.instances[owner].peer_proxy.forget_open_connections();
+    cluster.instances[owner].peer_proxy.blackhole_open_connections();
     // The heartbeats detect the unresponsive link, and the owner rolls the transaction
     // back; or another instance takes over first, and its term fences the transaction.
     wait_for("the owner holds no transaction", async || {
