--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -1,4 +1,7 @@
-//! Compares what callers were told with what servers did.
+//! The checks after a run: compare what clients observed with the log of the database
+//! servers and the statements that they ran.
+//!
+//! Every function returns violations of a guarantee, each as one line of text.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -8,155 +11,177 @@
 use chervilwharf_standin::platform::servers::Entry;
 use chervilwharf_standin::platform::servers::Run;
 
-use crate::history::Cut;
-use crate::history::Heard;
+use crate::history::DatabaseCheck;
+use crate::history::DrainPeriod;
+use crate::history::DroppedRequest;
 use crate::history::History;
-use crate::history::Leaving;
 use crate::history::Read;
-use crate::history::Sighting;
+use crate::history::ReportedOutcome;
 use crate::history::Stop;
 use crate::history::Write;
 
-/// From then on a server that leaves may get nothing new. Far below the 7 s
-/// that the platform allows, far above what a change of primary takes.
-const LEAVING_LIMIT: Duration = Duration::from_secs(2);
+/// Time after which a draining server must receive no new statement. It is far below the
+/// 7 s that the platform allows, and far above the duration of a planned change of
+/// primary.
+const DRAIN_LIMIT: Duration = Duration::from_secs(2);
 
-/// Where values are in the log, by item and value.
-type Places<'a> = HashMap<(&'a str, &'a str), Vec<usize>>;
+/// Positions in the log of each written pair of item and value.
+type LogPositions<'a> = HashMap<(&'a str, &'a str), Vec<usize>>;
 
-/// All promises that were broken, a line each.
+/// Checks the writes, reads, transactions, session values and configurations of a run.
 #[must_use]
-pub fn judge(history: &History, log: &[Entry], runs: &[Run]) -> Vec<String> {
-    let mut broken = Vec::new();
-    let mut places: Places<'_> = HashMap::new();
+pub fn check_history(history: &History, log: &[Entry], runs: &[Run]) -> Vec<String> {
+    let mut violations = Vec::new();
+    let mut log_positions: LogPositions<'_> = HashMap::new();
     for (index, entry) in log.iter().enumerate() {
-        places.entry((&entry.item, &entry.data)).or_default().push(index);
+        log_positions.entry((&entry.item, &entry.data)).or_default().push(index);
     }
     let writes = history.writes.lock().expect("never poisoned");
     for write in writes.iter() {
-        judge_write(write, &places, &mut broken);
+        check_write(write, &log_positions, &mut violations);
     }
     for read in history.reads.lock().expect("never poisoned").iter() {
-        judge_read(read, &places, &mut broken);
+        check_read(read, &log_positions, &mut violations);
     }
-    judge_connections(&writes, runs, &mut broken);
-    judge_values(runs, &mut broken);
-    judge_sightings(&history.sightings.lock().expect("never poisoned"), &mut broken);
-    broken
+    check_transactions(&writes, runs, &mut violations);
+    check_session_values(runs, &mut violations);
+    check_configuration_order(
+        &history.database_checks.lock().expect("never poisoned"),
+        &mut violations,
+    );
+    violations
 }
 
-fn judge_write(write: &Write, places: &Places<'_>, broken: &mut Vec<String>) {
-    let count = |item: &String| places.get(&(item, write.data.as_str())).map_or(0, Vec::len);
+fn check_write(write: &Write, log_positions: &LogPositions<'_>, violations: &mut Vec<String>) {
+    let count = |item: &String| log_positions.get(&(item, write.data.as_str())).map_or(0, Vec::len);
     let counts: Vec<_> = write.items.iter().map(count).collect();
-    let Write { data, heard, .. } = write;
+    let Write { data, reported, .. } = write;
     if counts.iter().any(|count| *count > 1) {
-        broken.push(format!("ran more than once: {data} {counts:?}, told {heard:?}"));
+        violations
+            .push(format!("executed more than once: {data} {counts:?}, reported as {reported:?}"));
     }
     if counts.iter().any(|count| *count != counts[0]) {
-        broken.push(format!("half of a transaction: {data} {counts:?}, told {heard:?}"));
+        violations
+            .push(format!("part of a transaction: {data} {counts:?}, reported as {reported:?}"));
     }
-    match heard {
-        Heard::Kept if counts[0] == 0 => broken.push(format!("acknowledged and lost: {data}")),
-        Heard::NotKept if counts[0] > 0 => broken.push(format!("told not kept, and kept: {data}")),
+    match reported {
+        ReportedOutcome::Kept if counts[0] == 0 => {
+            violations.push(format!("acknowledged but lost: {data}"));
+        }
+        ReportedOutcome::NotKept if counts[0] > 0 => {
+            violations.push(format!("reported as not stored, but stored: {data}"));
+        }
         _ => {}
     }
 }
 
-fn judge_read(read: &Read, places: &Places<'_>, broken: &mut Vec<String>) {
-    let place = |data: &str| places.get(&(read.item.as_str(), data)).map(|found| found[0]);
-    let saw = place(&read.saw);
-    if saw.is_none() && read.saw != "none" {
-        broken.push(format!("read what nobody wrote: {read:?}"));
+fn check_read(read: &Read, log_positions: &LogPositions<'_>, violations: &mut Vec<String>) {
+    let position =
+        |data: &str| log_positions.get(&(read.item.as_str(), data)).map(|found| found[0]);
+    let value = position(&read.value);
+    if value.is_none() && read.value != "none" {
+        violations.push(format!("read of a value that is not in the log: {read:?}"));
     }
-    // A value that is not there was reported as lost already.
-    let must_see = read.must_see.as_deref().and_then(place);
-    if must_see.is_some() && saw < must_see {
-        broken.push(format!("stale by {}: {read:?}", read.promise));
+    // A required value that is missing in the log is reported by the check of its write.
+    let required_value = read.required_value.as_deref().and_then(position);
+    if required_value.is_some() && value < required_value {
+        violations.push(format!("stale read, violates the guarantee {}: {read:?}", read.guarantee));
     }
 }
 
-/// Statements of a transaction run on one connection, and inside it.
-fn judge_connections(writes: &[Write], runs: &[Run], broken: &mut Vec<String>) {
+/// Checks that all statements of a transaction ran on one connection and inside the
+/// transaction.
+fn check_transactions(writes: &[Write], runs: &[Run], violations: &mut Vec<String>) {
     let by_id: HashMap<&str, &Run> = runs.iter().map(|run| (run.request.as_str(), run)).collect();
     for write in writes.iter().filter(|write| write.items.len() > 1) {
         let ran: Vec<_> = write.ids.iter().filter_map(|id| by_id.get(id.as_str())).collect();
         let connections: HashSet<_> = ran.iter().map(|run| (run.server, run.connection)).collect();
         if connections.len() > 1 || ran.iter().any(|run| !run.in_transaction) {
-            broken.push(format!("a transaction on several connections, or none: {}", write.data));
+            violations.push(format!(
+                "a transaction that did not run inside one transaction of one connection: {}",
+                write.data
+            ));
         }
     }
 }
 
-/// Statements run with the values of the session that sent them.
-fn judge_values(runs: &[Run], broken: &mut Vec<String>) {
+/// Checks that each statement ran with the session values (`SET`) of the client that sent
+/// it.
+fn check_session_values(runs: &[Run], violations: &mut Vec<String>) {
     for run in runs {
         let Some(number) = run.request.strip_prefix('c').and_then(|id| id.split('-').next()) else {
             continue;
         };
-        let own = format!("z{number}");
-        if run.values.get("zone") != Some(&own) {
-            broken.push(format!("with the values of another session: {run:?}"));
+        let expected = format!("z{number}");
+        if run.values.get("zone") != Some(&expected) {
+            violations.push(format!("executed with the session values of another client: {run:?}"));
         }
     }
 }
 
-/// A configuration that was in force at an instance does not go away.
-fn judge_sightings(sightings: &[Sighting], broken: &mut Vec<String>) {
+/// Checks that no incarnation of an instance falls back to an older configuration.
+fn check_configuration_order(checks: &[DatabaseCheck], violations: &mut Vec<String>) {
     let mut newest: BTreeMap<(usize, u64), u64> = BTreeMap::new();
-    for sighting in sightings {
-        let known = newest.entry((sighting.instance, sighting.life)).or_default();
-        if sighting.known {
-            *known = sighting.added.max(*known);
-        } else if sighting.added <= *known {
-            broken.push(format!("an older configuration came back: {sighting:?}, knew {known}"));
+    for check in checks {
+        let newest = newest.entry((check.instance, check.incarnation)).or_default();
+        if check.is_served {
+            *newest = check.database.max(*newest);
+        } else if check.database <= *newest {
+            violations.push(format!(
+                "fell back to an older configuration: {check:?}, served {newest} before"
+            ));
         }
     }
 }
 
-/// By then a configuration has to be in force at all instances.
+/// Time within which a configuration has to be in force at all instances.
 const CONFIGURATION_LIMIT: Duration = Duration::from_secs(3);
 
-/// A configuration that the store took after a silence is in force soon.
+/// Checks that configurations written after an outage of the store were in force in time.
 #[must_use]
-pub fn judge_configurations(in_force_after: &[Duration]) -> Vec<String> {
+pub fn check_configuration_times(in_force_after: &[Duration]) -> Vec<String> {
     let late = in_force_after.iter().filter(|after| **after >= CONFIGURATION_LIMIT);
-    late.map(|after| format!("a configuration was in force after {after:.2?}")).collect()
+    late.map(|after| format!("a configuration came into force only after {after:.2?}")).collect()
 }
 
-/// No token is used for two orders of a group: group, server, token of each.
+/// Checks that no fencing token of a group was used in accepted promotions of two
+/// servers. Each promotion is given as group, server and token.
 #[must_use]
-pub fn judge_promotions(promotions: &[(String, String, u64)]) -> Vec<String> {
+pub fn check_promotions(promotions: &[(String, String, u64)]) -> Vec<String> {
     let mut ordered: HashMap<(&str, u64), &str> = HashMap::new();
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for (group, server, token) in promotions {
         let before = ordered.insert((group, *token), server);
         if before.is_some_and(|before| before != server) {
-            broken.push(format!("two servers of {group} were ordered under token {token}"));
+            violations.push(format!(
+                "promotions of two servers of {group} were accepted under token {token}"
+            ));
         }
     }
-    broken
+    violations
 }
 
-/// A server that leaves gets nothing new. Only for series that neither hide
-/// the platform from an instance nor take other servers away.
+/// Checks that a draining server receives no new work. Valid only for schedules that
+/// neither delay platform updates to an instance nor make other servers unavailable.
 #[must_use]
-pub fn judge_leaving(leaving: &[Leaving], runs: &[Run]) -> Vec<String> {
-    let late = |left: &Leaving, run: &Run| {
-        let over = left.until.is_some_and(|until| run.at >= until);
-        run.server == left.server && run.at > left.since + LEAVING_LIMIT && !over
+pub fn check_draining(periods: &[DrainPeriod], runs: &[Run]) -> Vec<String> {
+    let late = |period: &DrainPeriod, run: &Run| {
+        let over = period.until.is_some_and(|until| run.at >= until);
+        run.server == period.server && run.at > period.since + DRAIN_LIMIT && !over
     };
     let single = runs.iter().filter(|run| !run.in_transaction);
-    let found = single.filter(|run| leaving.iter().any(|left| late(left, run)));
-    found.map(|run| format!("at a server that leaves: {run:?}")).collect()
+    let found = single.filter(|run| periods.iter().any(|period| late(period, run)));
+    found.map(|run| format!("executed at a draining server: {run:?}")).collect()
 }
 
-/// A request that was in progress when its instance was asked to stop is
-/// answered. Only for series without a fault that could have cut it.
+/// Checks that requests in progress at a planned stop of their instance are answered.
+/// Valid only for schedules without a fault that can close the connection.
 #[must_use]
-pub fn judge_stops(cuts: &[Cut], stops: &[Stop]) -> Vec<String> {
-    let in_progress = |cut: &Cut, stop: &Stop| {
-        cut.instance == stop.instance && cut.sent_at < stop.at && cut.ended_at > stop.at
+pub fn check_stops(dropped: &[DroppedRequest], stops: &[Stop]) -> Vec<String> {
+    let in_progress = |request: &DroppedRequest, stop: &Stop| {
+        request.instance == stop.instance && request.sent_at < stop.at && request.ended_at > stop.at
     };
-    let found = cuts.iter().filter(|cut| stops.iter().any(|stop| in_progress(cut, stop)));
-    found.map(|cut| format!("cut off by a planned stop: {cut:?}")).collect()
+    let found =
+        dropped.iter().filter(|request| stops.iter().any(|stop| in_progress(request, stop)));
+    found.map(|request| format!("dropped by a planned stop: {request:?}")).collect()
 }
--- a/soak/src/deployment.rs
+++ b/soak/src/deployment.rs
@@ -1,4 +1,5 @@
-//! The processes, stand-ins and proxies of one run.
+//! The deployment under test of one run: instance processes, the simulated store and
+//! database servers, and the fault proxies between them.
 
 use std::collections::VecDeque;
 use std::net::IpAddr;
@@ -20,80 +21,83 @@
 use chervilwharf_standin::platform::store::Mode;
 use chervilwharf_standin::platform::store::Store;
 use chervilwharf_standin::platform::store::StoreBackup;
-use chervilwharf_testutils::cluster::PATIENCE;
+use chervilwharf_testutils::cluster::WAIT_TIMEOUT;
 use chervilwharf_testutils::cluster::wait_for;
 use chervilwharf_testutils::process::Process;
 use chervilwharf_testutils::process::program;
 use serde_json::Value;
 use serde_json::json;
 
+use crate::history::DrainPeriod;
 use crate::history::History;
-use crate::history::Leaving;
 use crate::history::Stop;
 use crate::schedule::Selection;
-use crate::schedule::Shape;
+use crate::schedule::SoakOptions;
 
-/// Replication delay when nothing is wrong.
-const USUAL_LAG: Duration = Duration::from_millis(30);
+/// Replication delay of servers without a fault.
+const DEFAULT_LAG: Duration = Duration::from_millis(30);
 
-/// Time that a promotion takes.
-const PROMOTE_TIME: Duration = Duration::from_millis(150);
+/// Time that the platform takes to promote a server.
+const PROMOTION_TIME: Duration = Duration::from_millis(150);
 
-/// Grace of a planned stop.
-const GRACE_S: f64 = 4.0;
+/// Time in seconds that an instance may take to stop after SIGTERM.
+const STOP_GRACE_S: f64 = 4.0;
 
-/// Connections that each server takes.
-const CONNECTIONS: usize = 22;
+/// Maximum number of connections to each server.
+const MAX_SERVER_CONNECTIONS: usize = 22;
 
-/// A server that left, or a store that is about to come back, stays away for this long.
-const AWAY: Duration = Duration::from_millis(500);
+/// How long a drained server stays down, and how long a restored store stays down and
+/// then stays up before the lost writes are repeated.
+const DOWNTIME: Duration = Duration::from_millis(500);
 
-/// Era that a store tells before it came back from a copy.
+/// Era that the store reports before its first restore from a backup. Each restore starts
+/// a new era.
 const FIRST_ERA: u64 = 1;
 
-/// Pause between two looks whether something has happened.
-pub const LOOK_AGAIN: Duration = Duration::from_millis(20);
+/// Pause between two checks of a condition.
+pub const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Ports that all instances use, each on an address of its own.
+/// Ports that all instances use, each instance on its own loopback address.
 ///
-/// Held on the first address as long as the run lasts, so that the system
-/// gives them to no other run.
+/// The ports stay bound on 127.0.0.1 during the run, so that the operating system assigns
+/// them to no other run.
 struct Ports {
     internal: TcpListener,
-    front: TcpListener,
-    ready: TcpListener,
+    client: TcpListener,
+    readiness: TcpListener,
 }
 
 impl Ports {
-    fn hold() -> Self {
-        let any = || TcpListener::bind("127.0.0.1:0").expect("a port can be had");
-        Self { internal: any(), front: any(), ready: any() }
+    fn reserve() -> Self {
+        let any = || TcpListener::bind("127.0.0.1:0").expect("a port is available");
+        Self { internal: any(), client: any(), readiness: any() }
     }
 }
 
 fn port(listener: &TcpListener) -> u16 {
-    listener.local_addr().expect("it is bound").port()
+    listener.local_addr().expect("the listener is bound").port()
 }
 
-/// An instance and its way to the store.
+/// An instance and the fault proxy between it and the store.
 pub struct Instance {
-    /// Its name.
+    /// Name of the instance.
     pub name: String,
-    /// Where clients connect.
-    pub front: SocketAddr,
-    /// Between it and the store.
+    /// Address that clients connect to.
+    pub client_address: SocketAddr,
+    /// Fault proxy between the instance and the store.
     pub store_proxy: FaultProxy,
-    ready: SocketAddr,
+    readiness_address: SocketAddr,
     process: Mutex<Option<Process>>,
-    /// Counts the starts of its process.
-    life: AtomicU64,
+    /// Number of times the process was started.
+    incarnation: AtomicU64,
 }
 
 impl Instance {
-    /// Which start of its process this is.
+    /// Number of the current incarnation, which is the number of times the process was
+    /// started.
     #[must_use]
-    pub fn life(&self) -> u64 {
-        self.life.load(Ordering::SeqCst)
+    pub fn incarnation(&self) -> u64 {
+        self.incarnation.load(Ordering::SeqCst)
     }
 
     fn with_process(&self, f: impl FnOnce(&mut Process)) {
@@ -102,29 +106,29 @@
         }
     }
 
-    /// Ends its process at once.
+    /// Kills the process, if it runs.
     pub fn kill(&self) {
         let process = self.process.lock().expect("never poisoned").take();
-        // Dropped, it is killed and waited for.
+        // `Process` kills its child and waits for it when it is dropped.
         drop(process);
     }
 
-    /// Stops it in its tracks.
+    /// Suspends the process with SIGSTOP.
     pub fn freeze(&self) {
         self.with_process(|process| process.freeze());
     }
 
-    /// Lets it go on.
+    /// Resumes the process with SIGCONT.
     pub fn thaw(&self) {
         self.with_process(|process| process.thaw());
     }
 
-    /// Asks it to stop.
+    /// Sends SIGTERM to the process.
     pub fn terminate(&self) {
         self.with_process(|process| process.terminate());
     }
 
-    /// Whether its process runs.
+    /// Whether the process runs.
     #[must_use]
     pub fn is_running(&self) -> bool {
         let mut runs = false;
@@ -132,71 +136,72 @@
         runs
     }
 
-    /// Waits until its process has ended, as after [`Self::terminate`]. One
-    /// that stands still does not end by itself; it is killed after its grace.
+    /// Waits until the process has exited, as it does after [`Self::terminate`]. A
+    /// suspended process does not exit by itself and is killed when the time to stop is
+    /// over.
     pub async fn wait_for_end(&self) {
-        let until = Instant::now() + Duration::from_secs_f64(GRACE_S);
+        let until = Instant::now() + Duration::from_secs_f64(STOP_GRACE_S);
         while self.is_running() && Instant::now() < until {
-            tokio::time::sleep(LOOK_AGAIN).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         self.kill();
     }
 
-    /// Whether it says that it takes clients.
+    /// Whether the readiness endpoint reports that the instance accepts clients.
     pub async fn is_ready(&self) -> bool {
         let client = reqwest::Client::builder().no_proxy().timeout(Duration::from_secs(1));
-        let client = client.build().expect("no unusual options");
-        let answer = client.get(format!("http://{}/-/ready", self.ready)).send().await;
+        let client = client.build().expect("the HTTP client can be built");
+        let answer = client.get(format!("http://{}/-/ready", self.readiness_address)).send().await;
         answer.is_ok_and(|answer| answer.status().is_success())
     }
 }
 
-/// Everything of one run.
+/// The processes, simulators and recorded history of one run.
 pub struct Deployment {
-    /// The platform's store.
+    /// The simulated store of the platform.
     pub store: Store,
-    /// The servers.
+    /// The simulated database servers, which form one replication group.
     pub group: Group,
     /// The instances.
     pub instances: Vec<Instance>,
-    /// What was seen.
+    /// What clients observed, and when faults happened that the checks depend on.
     pub history: Arc<History>,
     server_proxies: Vec<FaultProxy>,
     ports: Ports,
     folder: PathBuf,
-    /// Databases added so far.
+    /// Number of databases added so far.
     added: AtomicU64,
-    /// Copies of the store that it has not come back from yet.
-    copies: Mutex<VecDeque<StoreBackup>>,
-    /// Counts beginnings and ends of silences.
-    silences: AtomicU64,
+    /// Backups of the store that were not restored yet, oldest first.
+    backups: Mutex<VecDeque<StoreBackup>>,
+    /// Counts how often the connections to the store were made unresponsive.
+    outages: AtomicU64,
 }
 
 impl Deployment {
-    /// Starts everything and waits until all instances take clients.
+    /// Starts all parts and waits until all instances accept clients.
     ///
     /// # Panics
     ///
-    /// When one of them never does.
-    pub async fn new(shape: Shape) -> Self {
-        let group = Group::start("db", shape.servers, USUAL_LAG).await;
+    /// When a part cannot be started, or an instance does not become ready in time.
+    pub async fn new(options: SoakOptions) -> Self {
+        let group = Group::start("db", options.servers, DEFAULT_LAG).await;
         tokio::spawn(servers::run_replication(group.clone()));
         let mut server_proxies = Vec::new();
-        for number in 0..shape.servers {
-            let proxy = FaultProxy::start().await.expect("a port can be had");
+        for number in 0..options.servers {
+            let proxy = FaultProxy::start().await.expect("a port is available");
             proxy.set_upstream(group.address(number));
             group.set_address(number, proxy.address);
             server_proxies.push(proxy);
         }
-        let store = Store::start(PROMOTE_TIME).await;
+        let store = Store::start(PROMOTION_TIME).await;
         store.add_group(&group);
-        let ports = Ports::hold();
+        let ports = Ports::reserve();
         let folder =
             std::env::temp_dir().join(format!("chervilwharf-soak-{}", uuid::Uuid::now_v7()));
-        std::fs::create_dir_all(&folder).expect("a temporary folder can be made");
+        std::fs::create_dir_all(&folder).expect("a temporary directory can be created");
         let mut instances = Vec::new();
-        for number in 0..shape.instances {
-            instances.push(instance(number, &ports, &store).await);
+        for number in 0..options.instances {
+            instances.push(prepare_instance(number, &ports, &store).await);
         }
         let deployment = Self {
             store,
@@ -207,14 +212,14 @@
             ports,
             folder,
             added: AtomicU64::new(0),
-            copies: Mutex::default(),
-            silences: AtomicU64::new(0),
+            backups: Mutex::default(),
+            outages: AtomicU64::new(0),
         };
-        if shape.selection == Selection::StoreCopies {
+        if options.selection == Selection::StoreRestores {
             deployment.store.set_reported_era(FIRST_ERA);
         }
         deployment.write_configuration();
-        for number in 0..shape.instances {
+        for number in 0..options.instances {
             deployment.start(number);
         }
         for instance in &deployment.instances {
@@ -223,13 +228,13 @@
         deployment
     }
 
-    /// The network before a server.
+    /// Fault proxy in front of a server.
     #[must_use]
     pub fn server(&self, number: usize) -> &FaultProxy {
         &self.server_proxies[number]
     }
 
-    /// Starts an instance that does not run.
+    /// Starts an instance, unless it runs already.
     pub fn start(&self, number: usize) {
         let instance = &self.instances[number];
         if instance.is_running() {
@@ -237,15 +242,16 @@
         }
         let path = self.folder.join(format!("{}.json", instance.name));
         std::fs::write(&path, self.settings(instance).to_string())
-            .expect("the folder can be written");
+            .expect("the directory is writable");
         let log = self.folder.join(format!("{}.log", instance.name));
         let arguments = ["--settings", &path.display().to_string()];
-        let process = Process::start_quiet(&program("soak-instance"), &arguments, &log);
-        instance.life.fetch_add(1, Ordering::SeqCst);
+        let process =
+            Process::start_without_ready_line(&program("soak-instance"), &arguments, &log);
+        instance.incarnation.fetch_add(1, Ordering::SeqCst);
         *instance.process.lock().expect("never poisoned") = Some(process);
     }
 
-    /// Asks an instance to stop.
+    /// Sends SIGTERM to an instance and records the planned stop.
     pub fn stop(&self, number: usize) {
         let stop = Stop { instance: number, at: Instant::now() };
         self.instances[number].terminate();
@@ -254,58 +260,64 @@
 
     fn settings(&self, instance: &Instance) -> Value {
         let internal = port(&self.ports.internal);
-        let seeds: Vec<_> = self.instances.iter().map(|other| other.front).collect();
+        let seeds: Vec<_> = self.instances.iter().map(|other| other.client_address).collect();
         let store = instance.store_proxy.address;
         json!({
-            "node": instance.name, "zone": "a", "ip": instance.front.ip(),
-            "bounds": { "grace_s": GRACE_S }, "limits": { "cpu_share": 0.25, "cores": 1 },
-            "listen": { "front": instance.front, "ready": instance.ready },
+            "node": instance.name, "zone": "a", "ip": instance.client_address.ip(),
+            "bounds": { "grace_s": STOP_GRACE_S }, "limits": { "cpu_share": 0.25, "cores": 1 },
+            "listen": { "front": instance.client_address, "ready": instance.readiness_address },
             "internal_ports": [internal, internal], "seeds": seeds,
             "platform": { "address": store }, "cloud": { "address": store },
         })
     }
 
-    /// Adds a database that was not there before.
+    /// Adds a new database to the configuration in the store.
     pub fn add_database(&self) {
         self.added.fetch_add(1, Ordering::SeqCst);
         self.write_configuration();
     }
 
-    /// All ways to the store go silent, and the connections on them for good.
-    pub fn silence_store(&self) {
+    /// Drops all traffic between instances and the store. Connections that are open now
+    /// stay unresponsive even after [`Self::restore_store_network`].
+    pub fn make_store_unresponsive(&self) {
         self.forget_store_connections();
         for instance in &self.instances {
             instance.store_proxy.set(Behaviour::silent());
         }
     }
 
-    /// New connections to the store work again.
-    pub fn end_silence_of_store(&self) {
+    /// Lets new connections to the store work again. Connections that are open now stay
+    /// unresponsive.
+    pub fn restore_store_network(&self) {
         self.forget_store_connections();
         for instance in &self.instances {
             instance.store_proxy.set(Behaviour::default());
         }
     }
 
-    /// Open connections to the store go silent for good.
+    /// Makes the open connections to the store unresponsive for the rest of the run.
+    /// New connections work.
     pub fn forget_store_connections(&self) {
-        self.silences.fetch_add(1, Ordering::SeqCst);
+        self.outages.fetch_add(1, Ordering::SeqCst);
         for instance in &self.instances {
             instance.store_proxy.blackhole_open_connections();
         }
     }
 
-    /// Adds a database, and measures when all instances know it.
-    pub fn add_measured_database(self: &Arc<Self>) {
+    /// Adds a database, and measures the time until all instances serve it.
+    pub fn add_database_and_measure(self: &Arc<Self>) {
         self.add_database();
-        let (added_at, number) = (Instant::now(), self.added());
-        let silences = self.silences.load(Ordering::SeqCst);
+        let (added_at, number) = (Instant::now(), self.added_count());
+        let outages = self.outages.load(Ordering::SeqCst);
         let deployment = self.clone();
         tokio::spawn(async move {
-            // How long it took is judged, also where some never knew it.
-            let _unaware = deployment.unaware_of(number, added_at + PATIENCE).await;
-            // Else another silence began before all could know it.
-            if deployment.silences.load(Ordering::SeqCst) == silences {
+            // The time is recorded even if some instances did not serve the database
+            // before the timeout; the check then reports the delay.
+            let _without_database =
+                deployment.instances_without_database(number, added_at + WAIT_TIMEOUT).await;
+            // If the connections were made unresponsive again meanwhile, the time says
+            // nothing about this outage.
+            if deployment.outages.load(Ordering::SeqCst) == outages {
                 let mut measured =
                     deployment.history.in_force_after.lock().expect("never poisoned");
                 measured.push(added_at.elapsed());
@@ -313,40 +325,40 @@
         });
     }
 
-    /// Instances that do not get to know an added database until a moment.
-    pub async fn unaware_of(&self, number: u64, until: Instant) -> Vec<&Instance> {
-        let database = added_name(number);
-        let mut unaware = Vec::new();
+    /// Returns the instances that do not serve an added database by `until`.
+    pub async fn instances_without_database(&self, number: u64, until: Instant) -> Vec<&Instance> {
+        let database = added_database_name(number);
+        let mut without_database = Vec::new();
         for instance in &self.instances {
-            while !knows_database(instance.front, &database).await {
+            while !serves_database(instance.client_address, &database).await {
                 if Instant::now() >= until {
-                    unaware.push(instance);
+                    without_database.push(instance);
                     break;
                 }
-                tokio::time::sleep(LOOK_AGAIN).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
-        unaware
+        without_database
     }
 
-    /// Databases added so far; the newest has this number.
+    /// Number of databases added so far, which is also the number of the newest one.
     #[must_use]
-    pub fn added(&self) -> u64 {
+    pub fn added_count(&self) -> u64 {
         self.added.load(Ordering::SeqCst)
     }
 
     fn write_configuration(&self) {
-        let added = self.added();
+        let added = self.added_count();
         let mut routes = vec![
             route("latest", "primary", 0),
-            route("bounded", "bounded", BOUNDED_MS),
-            route("own", "read_your_writes", OWN_MS),
+            route("bounded", "bounded", BOUNDED_ROUTE_STALENESS_MS),
+            route("own", "read_your_writes", OWN_ROUTE_STALENESS_MS),
         ];
-        routes.extend((1..=added).map(|number| route(&added_name(number), "primary", 0)));
+        routes.extend((1..=added).map(|number| route(&added_database_name(number), "primary", 0)));
         let spec = json!({
             "version": 10 + added, "routes": routes,
             "services": [{
-                "name": "db", "health_path": "/health", "max_conns": CONNECTIONS,
+                "name": "db", "health_path": "/health", "max_conns": MAX_SERVER_CONNECTIONS,
                 "protocol": "h1", "tls": false, "sync_replicas": 0,
             }],
             "limits": { "tx_idle_ms": 3_000 },
@@ -354,65 +366,66 @@
         self.store.put("config", "main", &spec);
     }
 
-    /// Copies what the store keeps.
-    pub fn copy_store(&self) {
-        self.copies.lock().expect("never poisoned").push_back(self.store.copy());
+    /// Takes a backup of the store.
+    pub fn back_up_store(&self) {
+        self.backups.lock().expect("never poisoned").push_back(self.store.copy());
     }
 
-    /// The store is away for a moment and comes back from a copy. The operator and the
-    /// servers write again what it lost.
+    /// Takes the store down for a moment and restores the oldest backup. Afterwards the
+    /// simulated operator and servers repeat the writes that were lost.
     pub async fn restore_store(&self) {
-        let copy = self.copies.lock().expect("never poisoned").pop_front();
-        let copy = copy.expect("it was taken at the beginning of the fault");
+        let backup = self.backups.lock().expect("never poisoned").pop_front();
+        let backup = backup.expect("a backup was taken at the beginning of the fault");
         self.store.set_mode(Mode::Down);
-        let lost = self.store.restore(&copy);
-        tokio::time::sleep(AWAY).await;
+        let lost = self.store.restore(&backup);
+        tokio::time::sleep(DOWNTIME).await;
         self.store.set_mode(Mode::Up);
-        tokio::time::sleep(AWAY).await;
+        tokio::time::sleep(DOWNTIME).await;
         self.store.repeat_lost_writes(&lost);
     }
 
-    /// A server says that it leaves.
-    pub fn begin_leaving(&self, server: usize) {
+    /// Marks a server as draining, at the server and in the store.
+    pub fn begin_draining(&self, server: usize) {
         self.group.set_draining(server, true);
         self.store.publish_server(&self.group, server, "draining");
-        let leaving = Leaving { server, since: Instant::now(), until: None };
-        self.history.leaving.lock().expect("never poisoned").push(leaving);
+        let period = DrainPeriod { server, since: Instant::now(), until: None };
+        self.history.drain_periods.lock().expect("never poisoned").push(period);
     }
 
-    /// A server that left ends, and comes back a moment later.
-    pub async fn end_leaving(&self, server: usize) {
+    /// Stops a drained server, and restarts it as ready a moment later.
+    pub async fn finish_draining(&self, server: usize) {
         self.group.crash(server);
-        tokio::time::sleep(AWAY).await;
+        tokio::time::sleep(DOWNTIME).await;
         self.group.restart(server);
         self.group.set_draining(server, false);
         self.store.publish_server(&self.group, server, "ready");
-        let mut all = self.history.leaving.lock().expect("never poisoned");
-        let own = all.iter_mut().filter(|leaving| leaving.server == server);
-        own.for_each(|leaving| leaving.until = leaving.until.or(Some(Instant::now())));
+        let mut all = self.history.drain_periods.lock().expect("never poisoned");
+        let own = all.iter_mut().filter(|period| period.server == server);
+        own.for_each(|period| period.until = period.until.or(Some(Instant::now())));
     }
 
-    /// A server is as far behind as usual again.
-    pub fn set_usual_lag(&self, server: usize) {
-        self.group.set_lag(server, USUAL_LAG);
+    /// Sets the replication delay of a server back to the default.
+    pub fn reset_lag(&self, server: usize) {
+        self.group.set_lag(server, DEFAULT_LAG);
     }
 
-    /// Folder with the settings and logs of the instances.
+    /// Directory with the settings and logs of the instances.
     #[must_use]
     pub fn folder(&self) -> &PathBuf {
         &self.folder
     }
 }
 
-/// Age that reads on the bounded route may have.
-pub const BOUNDED_MS: u64 = 1_500;
+/// Maximum staleness in milliseconds of reads on the `bounded` route.
+pub const BOUNDED_ROUTE_STALENESS_MS: u64 = 1_500;
 
-/// Age that reads of what others wrote may have, on the route of own writes.
-pub const OWN_MS: u64 = 2_500;
+/// Maximum staleness in milliseconds of reads on the `own` route, for writes of other
+/// sessions.
+pub const OWN_ROUTE_STALENESS_MS: u64 = 2_500;
 
-/// Whether sessions on a database can be begun.
-async fn knows_database(front: SocketAddr, database: &str) -> bool {
-    let Some(mut client) = Client::try_connect(front, "new").await else {
+/// Whether an instance accepts a session on a database.
+async fn serves_database(client_address: SocketAddr, database: &str) -> bool {
+    let Some(mut client) = Client::try_connect(client_address, "new").await else {
         return false;
     };
     let answer = client.start_session(database).await;
@@ -421,22 +434,22 @@
 
 /// Name of a database that was added.
 #[must_use]
-pub fn added_name(number: u64) -> String {
+pub fn added_database_name(number: u64) -> String {
     format!("added-{number}")
 }
 
-async fn instance(number: usize, ports: &Ports, store: &Store) -> Instance {
-    let last = u8::try_from(number + 2).expect("few instances");
+async fn prepare_instance(number: usize, ports: &Ports, store: &Store) -> Instance {
+    let last = u8::try_from(number + 2).expect("there are few instances");
     let ip = IpAddr::from([127, 0, 0, last]);
-    let store_proxy = FaultProxy::start().await.expect("a port can be had");
+    let store_proxy = FaultProxy::start().await.expect("a port is available");
     store_proxy.set_upstream(store.address);
     Instance {
         name: format!("instance-{number}"),
-        front: SocketAddr::new(ip, port(&ports.front)),
-        ready: SocketAddr::new(ip, port(&ports.ready)),
+        client_address: SocketAddr::new(ip, port(&ports.client)),
+        readiness_address: SocketAddr::new(ip, port(&ports.readiness)),
         store_proxy,
         process: Mutex::new(None),
-        life: AtomicU64::new(0),
+        incarnation: AtomicU64::new(0),
     }
 }
 
--- a/soak/src/fault.rs
+++ b/soak/src/fault.rs
@@ -1,4 +1,4 @@
-//! Every fault that a series can hold.
+//! The faults that a schedule can contain, and how each one is started and ended.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,76 +9,78 @@
 
 use crate::deployment::Deployment;
 
-/// A fault. Numbers name an instance or a server.
+/// A fault. The number is the index of the instance or server that it affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// An instance is killed; it starts again at the end.
+    /// An instance is killed, and started again when the fault ends.
     KillInstance(usize),
-    /// All instances are killed; they start again at the end.
+    /// All instances are killed, and started again when the fault ends.
     KillAllInstances,
-    /// An instance stands still.
+    /// The process of an instance is suspended.
     FreezeInstance(usize),
-    /// An instance is asked to stop; it starts again at the end.
+    /// An instance receives SIGTERM, and is started again when the fault ends.
     StopInstance(usize),
-    /// An instance does not reach the store.
+    /// Connections between an instance and the store are closed, and new ones refused.
     CutFromStore(usize),
-    /// Open connections of an instance to the store go silent for good.
+    /// The open connections of an instance to the store become unresponsive for the
+    /// rest of the run.
     ForgetStoreConnections(usize),
-    /// A server ends all connections and takes none.
+    /// A server closes all connections and accepts no new ones.
     CrashServer(usize),
-    /// A server is reached by nobody: all bytes vanish.
+    /// All bytes to and from a server are dropped while its connections stay open.
     SilenceServer(usize),
-    /// Nothing that a server says arrives.
+    /// All bytes that a server sends are dropped.
     MuteServer(usize),
-    /// Each byte to and from a server takes longer.
+    /// All bytes to and from a server are delayed.
     DelayServer(usize),
-    /// Open connections to a server go silent for good.
+    /// The open connections to a server become unresponsive for the rest of the run.
     ForgetServerConnections(usize),
-    /// A server runs commits and its answers are lost.
+    /// A server runs commits, and its answers to them are lost.
     LoseCommitAnswers(usize),
-    /// A server runs writes and its answers are lost.
+    /// A server runs writes, and its answers to them are lost.
     LoseWriteAnswers(usize),
-    /// A server runs commits, and ends the connection instead of an answer.
+    /// A server runs commits, and closes the connection instead of answering.
     BreakCommitAnswers(usize),
-    /// A server runs writes, and ends the connection instead of an answer.
+    /// A server runs writes, and closes the connection instead of answering.
     BreakWriteAnswers(usize),
-    /// A server refuses statements as too many.
+    /// A server refuses statements as overloaded.
     BusyServer(usize),
-    /// A server applies what it receives much later.
+    /// A server applies replicated entries with a large delay.
     LagServer(usize),
-    /// A server says that it leaves, and ends at the end of the fault.
+    /// A server is marked as draining, and restarted when the fault ends.
     LeavingServer(usize),
     /// The store refuses all calls.
     StoreDown,
-    /// The store answers nothing.
+    /// The store answers no call.
     StoreSilent,
-    /// The store does what it is asked to and does not answer.
+    /// The store executes calls, but its answers are lost.
     StoreLosesAnswers,
-    /// The store forgets its history.
+    /// The store discards the history of its changes.
     StoreForgets,
-    /// The operator writes a configuration with one more database.
+    /// A configuration with one more database is written to the store.
     Configuration,
-    /// At its end the store comes back from a copy of its beginning.
+    /// A backup of the store is taken when the fault begins, and restored when it ends.
     StoreComesBack,
-    /// The store answers nothing that it receives, nor on connections of before its
-    /// return, when the operator writes a configuration.
+    /// All traffic to the store is dropped. When the fault ends, a configuration is
+    /// written and only new connections work; those from before stay unresponsive.
     StoreSwallows,
-    /// Open connections of all instances to the store go silent for good, just before
-    /// the operator writes a configuration.
+    /// The open connections of all instances to the store become unresponsive for the
+    /// rest of the run, just before a configuration is written.
     ForgetAllStoreConnections,
 }
 
-/// One-way delay of a slow server.
-const DELAY: Duration = Duration::from_millis(80);
+/// One-way network delay of [`Fault::DelayServer`].
+const SERVER_DELAY: Duration = Duration::from_millis(80);
 
-/// Lag of a server that is far behind: beyond the age that clients allow.
-const FAR_BEHIND: Duration = Duration::from_secs(3);
+/// Replication delay of [`Fault::LagServer`], longer than the maximum staleness of any
+/// route.
+const LARGE_LAG: Duration = Duration::from_secs(3);
 
-/// Statements that a busy server refuses.
-const REFUSED_AS_BUSY: usize = 200;
+/// Number of statements that a server refuses in [`Fault::BusyServer`].
+const BUSY_REFUSALS: usize = 200;
 
 impl Fault {
-    /// Brings it about.
+    /// Starts the fault.
     pub fn begin(self, deployment: &Arc<Deployment>) {
         let instances = &deployment.instances;
         match self {
@@ -96,7 +98,9 @@
                 let mute = Behaviour { down: Flow::Discard, ..Behaviour::default() };
                 deployment.server(number).set(mute);
             }
-            Self::DelayServer(number) => deployment.server(number).set(Behaviour::delayed(DELAY)),
+            Self::DelayServer(number) => {
+                deployment.server(number).set(Behaviour::delayed(SERVER_DELAY));
+            }
             Self::ForgetServerConnections(number) => {
                 deployment.server(number).blackhole_open_connections();
             }
@@ -112,24 +116,24 @@
             Self::BreakWriteAnswers(number) => {
                 deployment.group.disconnect_on_answers_of(number, Some("WRITE"));
             }
-            Self::BusyServer(number) => deployment.group.refuse_as_busy(number, REFUSED_AS_BUSY),
-            Self::LagServer(number) => deployment.group.set_lag(number, FAR_BEHIND),
-            Self::LeavingServer(number) => deployment.begin_leaving(number),
+            Self::BusyServer(number) => deployment.group.refuse_as_busy(number, BUSY_REFUSALS),
+            Self::LagServer(number) => deployment.group.set_lag(number, LARGE_LAG),
+            Self::LeavingServer(number) => deployment.begin_draining(number),
             Self::StoreDown => deployment.store.set_mode(Mode::Down),
             Self::StoreSilent => deployment.store.set_mode(Mode::Silent),
             Self::StoreLosesAnswers => deployment.store.set_mode(Mode::AnswersLost),
             Self::StoreForgets => deployment.store.discard_history(),
             Self::Configuration => deployment.add_database(),
-            Self::StoreComesBack => deployment.copy_store(),
-            Self::StoreSwallows => deployment.silence_store(),
+            Self::StoreComesBack => deployment.back_up_store(),
+            Self::StoreSwallows => deployment.make_store_unresponsive(),
             Self::ForgetAllStoreConnections => {
                 deployment.forget_store_connections();
-                deployment.add_measured_database();
+                deployment.add_database_and_measure();
             }
         }
     }
 
-    /// Ends it.
+    /// Ends the fault.
     pub async fn end(self, deployment: &Arc<Deployment>) {
         let instances = &deployment.instances;
         match self {
@@ -152,15 +156,15 @@
                 deployment.group.disconnect_on_answers_of(number, None);
             }
             Self::BusyServer(number) => deployment.group.refuse_as_busy(number, 0),
-            Self::LagServer(number) => deployment.set_usual_lag(number),
-            Self::LeavingServer(number) => deployment.end_leaving(number).await,
+            Self::LagServer(number) => deployment.reset_lag(number),
+            Self::LeavingServer(number) => deployment.finish_draining(number).await,
             Self::StoreDown | Self::StoreSilent | Self::StoreLosesAnswers => {
                 deployment.store.set_mode(Mode::Up);
             }
             Self::StoreComesBack => deployment.restore_store().await,
             Self::StoreSwallows => {
-                deployment.end_silence_of_store();
-                deployment.add_measured_database();
+                deployment.restore_store_network();
+                deployment.add_database_and_measure();
             }
             Self::ForgetStoreConnections(_)
             | Self::ForgetServerConnections(_)
@@ -170,9 +174,9 @@
         }
     }
 
-    /// Whether it keeps instances from learning what the platform says.
+    /// Whether the fault can delay or prevent platform updates from reaching an instance.
     #[must_use]
-    pub fn hides_the_platform(self) -> bool {
+    pub fn delays_platform_updates(self) -> bool {
         matches!(
             self,
             Self::KillInstance(_)
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -1,14 +1,15 @@
-//! Runs series of faults, one after the other, and prints a line for each.
+//! Runs the fault schedules of several seeds one after the other, and prints a result
+//! line for each.
 
 use std::process::ExitCode;
 
 use argh::FromArgs;
 use chervilwharf_soak::schedule::Selection;
-use chervilwharf_soak::schedule::Shape;
-use chervilwharf_soak::schedule::series;
+use chervilwharf_soak::schedule::SoakOptions;
+use chervilwharf_soak::schedule::fault_schedule;
 use chervilwharf_soak::soak;
 
-/// Soaks instances in overlapping faults and checks what the proxy promises.
+/// Runs instances under overlapping faults and checks the guarantees of the proxy.
 #[derive(FromArgs)]
 struct Arguments {
     /// first seed (default: 1)
@@ -17,18 +18,19 @@
     /// number of seeds (default: 10)
     #[argh(option, default = "10")]
     seeds: u64,
-    /// faults: any (default), planned (only what operators do on purpose: stops, servers
-    /// that leave, configurations), copies (any, and the store comes back from copies), or
-    /// silences (the store or connections to it go silent, beside planned work)
+    /// faults: any (default), planned (only planned operations: stops of instances,
+    /// draining servers, configurations), copies (any, and the store is restored from
+    /// backups), or silences (the store or connections to it become unresponsive,
+    /// besides planned operations)
     #[argh(option, default = "Selection::Any", from_str_fn(selection))]
     faults: Selection,
-    /// check promises about time as well, which a busy machine can break
+    /// check time limits too; a heavily loaded machine can exceed them
     #[argh(switch)]
     timed: bool,
-    /// only series with a fault whose name contains this
+    /// run only seeds whose schedule has a fault whose name contains this text
     #[argh(option, default = "String::new()")]
     with: String,
-    /// show the faults of each series
+    /// print the faults of each seed
     #[argh(switch)]
     verbose: bool,
 }
@@ -36,27 +38,28 @@
 fn selection(name: &str) -> Result<Selection, String> {
     match name {
         "any" => Ok(Selection::Any),
-        "planned" => Ok(Selection::PlannedWork),
-        "copies" => Ok(Selection::StoreCopies),
-        "silences" => Ok(Selection::Silences),
-        _ => Err(format!("'{name}' is none of any, planned, copies, silences")),
+        "planned" => Ok(Selection::PlannedOperations),
+        "copies" => Ok(Selection::StoreRestores),
+        "silences" => Ok(Selection::StoreOutages),
+        _ => Err(format!("unknown selection '{name}', expected any, planned, copies or silences")),
     }
 }
 
 #[tokio::main]
 async fn main() -> ExitCode {
     let arguments: Arguments = argh::from_env();
-    let shape = Shape { selection: arguments.faults, ..Shape::default() };
+    let options = SoakOptions { selection: arguments.faults, ..SoakOptions::default() };
     let mut failed = 0;
-    let holds = |seed: &u64| {
-        let mut faults = series(*seed, shape).into_iter();
-        faults.any(|timed| format!("{:?}", timed.fault).contains(&arguments.with))
+    let has_matching_fault = |seed: &u64| {
+        let mut faults = fault_schedule(*seed, options).into_iter();
+        faults.any(|scheduled| format!("{:?}", scheduled.fault).contains(&arguments.with))
     };
     let wanted = usize::try_from(arguments.seeds).unwrap_or(usize::MAX);
-    let last = arguments.first.saturating_add(arguments.seeds.saturating_mul(SEARCHED));
-    for seed in (arguments.first..last).filter(holds).take(wanted) {
-        let report = soak::run(seed, shape, arguments.timed).await;
-        let verdict = if report.broken.is_empty() { "held" } else { "BROKEN" };
+    let last =
+        arguments.first.saturating_add(arguments.seeds.saturating_mul(SEEDS_EXAMINED_PER_MATCH));
+    for seed in (arguments.first..last).filter(has_matching_fault).take(wanted) {
+        let report = soak::run(seed, options, arguments.timed).await;
+        let verdict = if report.violations.is_empty() { "held" } else { "BROKEN" };
         let in_force = report.in_force_after.iter().max();
         let in_force = in_force.map_or_else(String::new, |after| {
             format!(
@@ -67,29 +70,32 @@
         println!(
             "seed {seed}: {verdict}; {} faults, {} writes kept, {} not, {} unknown, {} reads, \
              {} promotions{in_force}",
-            report.series.len(),
+            report.schedule.len(),
             report.kept,
             report.not_kept,
             report.unknown,
             report.reads,
             report.promotions,
         );
-        if arguments.verbose || !report.broken.is_empty() {
-            for timed in &report.series {
-                println!("    {:>6.1?} {:?} for {:.1?}", timed.at, timed.fault, timed.lasts);
+        if arguments.verbose || !report.violations.is_empty() {
+            for scheduled in &report.schedule {
+                println!(
+                    "    {:>6.1?} {:?} for {:.1?}",
+                    scheduled.starts_at, scheduled.fault, scheduled.duration
+                );
             }
         }
-        for line in report.broken.iter().take(SHOWN) {
+        for line in report.violations.iter().take(MAX_PRINTED_VIOLATIONS) {
             println!("    {line}");
         }
-        failed += u64::from(!report.broken.is_empty());
+        failed += u64::from(!report.violations.is_empty());
     }
-    println!("{} seeds, {failed} with a broken promise", arguments.seeds);
+    println!("{} seeds, {failed} with violations", arguments.seeds);
     if failed > 0 { ExitCode::FAILURE } else { ExitCode::SUCCESS }
 }
 
-/// Seeds that are looked through for each that is wanted.
-const SEARCHED: u64 = 1_000;
+/// Number of seeds that are examined for each requested one, when `--with` skips seeds.
+const SEEDS_EXAMINED_PER_MATCH: u64 = 1_000;
 
-/// Broken promises of one seed that are printed.
-const SHOWN: usize = 10;
+/// Largest number of violations that are printed for one seed.
+const MAX_PRINTED_VIOLATIONS: usize = 10;
--- a/soak/src/schedule.rs
+++ b/soak/src/schedule.rs
@@ -1,4 +1,5 @@
-//! A series of faults that overlap, decided by a seed.
+//! Fault schedules: a seed determines which faults happen in a run, when, and for how
+//! long. Faults can overlap.
 
 use std::time::Duration;
 
@@ -8,83 +9,86 @@
 
 use crate::fault::Fault;
 
-/// A fault with its time.
+/// A fault with its start time and duration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Timed {
-    /// What happens.
+pub struct ScheduledFault {
+    /// The fault.
     pub fault: Fault,
-    /// When, from the start of the series.
-    pub at: Duration,
-    /// How long.
-    pub lasts: Duration,
+    /// When the fault begins, measured from the start of the schedule.
+    pub starts_at: Duration,
+    /// How long the fault lasts.
+    pub duration: Duration,
 }
 
-/// Which faults a series can hold.
+/// Which faults a schedule can contain.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Selection {
-    /// All of them.
+    /// All faults except those that only the other selections add.
     #[default]
     Any,
-    /// Only what operators do on purpose.
-    PlannedWork,
-    /// All of them, and the store comes back from copies.
-    StoreCopies,
-    /// The store or connections to it go silent, beside planned work.
-    Silences,
+    /// Only planned operations.
+    PlannedOperations,
+    /// As `Any`, and the store is restored from backups.
+    StoreRestores,
+    /// The store or connections to it become unresponsive, besides draining servers and
+    /// new configurations.
+    StoreOutages,
 }
 
-/// How a deployment under test looks, and what is done to it.
+/// Size of the deployment under test, and which faults are injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Shape {
+pub struct SoakOptions {
     /// Number of instances.
     pub instances: usize,
-    /// Number of servers of the group.
+    /// Number of database servers.
     pub servers: usize,
-    /// How long faults begin.
-    pub length: Duration,
-    /// Which faults.
+    /// Time within which all faults begin.
+    pub injection_time: Duration,
+    /// Which faults the schedule can contain.
     pub selection: Selection,
 }
 
-impl Default for Shape {
+impl Default for SoakOptions {
     fn default() -> Self {
-        let length = Duration::from_secs(8);
-        Self { instances: 3, servers: 3, length, selection: Selection::Any }
+        let injection_time = Duration::from_secs(8);
+        Self { instances: 3, servers: 3, injection_time, selection: Selection::Any }
     }
 }
 
-/// Faults of one series, at least and at most.
-const FAULTS: std::ops::RangeInclusive<usize> = 3..=7;
+/// Number of faults of one schedule, drawn from this range.
+const FAULT_COUNT: std::ops::RangeInclusive<usize> = 3..=7;
 
-/// How long a fault lasts: from a blink to beyond all time-outs of the proxy.
-const LASTS_MS: std::ops::RangeInclusive<u64> = 200..=3_500;
+/// Duration of a fault in milliseconds, drawn from this range, which goes beyond all
+/// timeouts of the proxy.
+const FAULT_DURATION_MS: std::ops::RangeInclusive<u64> = 200..=3_500;
 
-/// Share of the faults that are copies, where there are some.
-const COPIES: f64 = 0.4;
+/// Probability that a fault is a restore of the store, in `Selection::StoreRestores`.
+const STORE_RESTORE_PROBABILITY: f64 = 0.4;
 
-/// Share of the faults that are silences, where there are some.
-const SILENCES: f64 = 0.7;
+/// Probability that a fault makes the store or its connections unresponsive, in
+/// `Selection::StoreOutages`.
+const STORE_OUTAGE_PROBABILITY: f64 = 0.7;
 
-/// The series of a seed, in order of time.
+/// Returns the fault schedule of a seed, ordered by start time.
 #[must_use]
-pub fn series(seed: u64, shape: Shape) -> Vec<Timed> {
+pub fn fault_schedule(seed: u64, options: SoakOptions) -> Vec<ScheduledFault> {
     let mut random = StdRng::seed_from_u64(seed);
-    let count = random.random_range(FAULTS);
-    let length_ms = u64::try_from(shape.length.as_millis()).unwrap_or(u64::MAX);
-    let mut series: Vec<Timed> = (0..count)
-        .map(|_| Timed {
-            fault: any_fault(&mut random, shape),
-            at: Duration::from_millis(random.random_range(0..length_ms.max(1))),
-            lasts: Duration::from_millis(random.random_range(LASTS_MS)),
+    let count = random.random_range(FAULT_COUNT);
+    let injection_time_ms = u64::try_from(options.injection_time.as_millis()).unwrap_or(u64::MAX);
+    let mut schedule: Vec<ScheduledFault> = (0..count)
+        .map(|_| ScheduledFault {
+            fault: random_fault(&mut random, options),
+            starts_at: Duration::from_millis(random.random_range(0..injection_time_ms.max(1))),
+            duration: Duration::from_millis(random.random_range(FAULT_DURATION_MS)),
         })
         .collect();
-    series.sort_by_key(|timed| timed.at);
-    series
+    schedule.sort_by_key(|scheduled| scheduled.starts_at);
+    schedule
 }
 
-fn any_fault(random: &mut StdRng, shape: Shape) -> Fault {
-    let instance = random.random_range(0..shape.instances);
-    let server = random.random_range(0..shape.servers);
+fn random_fault(random: &mut StdRng, options: SoakOptions) -> Fault {
+    let instance = random.random_range(0..options.instances);
+    let server = random.random_range(0..options.servers);
     let planned = [
         Fault::StopInstance(instance),
         Fault::StopInstance(instance),
@@ -116,17 +120,20 @@
         Fault::StoreForgets,
         Fault::Configuration,
     ];
-    if shape.selection == Selection::StoreCopies && random.random_bool(COPIES) {
+    if options.selection == Selection::StoreRestores
+        && random.random_bool(STORE_RESTORE_PROBABILITY)
+    {
         return Fault::StoreComesBack;
     }
-    if shape.selection == Selection::Silences && random.random_bool(SILENCES) {
-        let silences = [Fault::StoreSwallows, Fault::ForgetAllStoreConnections];
-        return silences[random.random_range(0..silences.len())];
+    if options.selection == Selection::StoreOutages && random.random_bool(STORE_OUTAGE_PROBABILITY)
+    {
+        let outages = [Fault::StoreSwallows, Fault::ForgetAllStoreConnections];
+        return outages[random.random_range(0..outages.len())];
     }
-    let faults = match shape.selection {
-        Selection::Any | Selection::StoreCopies => any.as_slice(),
-        Selection::PlannedWork => planned.as_slice(),
-        Selection::Silences => &[Fault::LeavingServer(server), Fault::Configuration],
+    let faults = match options.selection {
+        Selection::Any | Selection::StoreRestores => any.as_slice(),
+        Selection::PlannedOperations => planned.as_slice(),
+        Selection::StoreOutages => &[Fault::LeavingServer(server), Fault::Configuration],
     };
     faults[random.random_range(0..faults.len())]
 }
--- a/testing/testutils/src/bin/matrix.rs
+++ b/testing/testutils/src/bin/matrix.rs
@@ -1,4 +1,4 @@
-//! Runs the whole fault matrix and prints a table of its cells.
+//! Runs the fault matrix and prints a table of the results of its cells.
 
 use std::sync::Arc;
 
@@ -9,16 +9,16 @@
 use chervilwharf_testutils::matrix::Verdict;
 use tokio::sync::Semaphore;
 
-/// Brings every fault about at every step.
+/// Injects every fault at every step and checks the guarantees of the proxy.
 #[derive(FromArgs)]
 struct Arguments {
-    /// cells at the same time
+    /// number of cells that run at the same time
     #[argh(option, default = "3")]
     parallel: usize,
-    /// only steps whose name contains this
+    /// run only steps whose name contains this text
     #[argh(option, default = "String::new()")]
     step: String,
-    /// only faults whose name contains this
+    /// run only faults whose name contains this text
     #[argh(option, default = "String::new()")]
     fault: String,
 }
@@ -26,7 +26,7 @@
 #[tokio::main]
 async fn main() -> std::process::ExitCode {
     let arguments: Arguments = argh::from_env();
-    let places = Arc::new(Semaphore::new(arguments.parallel));
+    let permits = Arc::new(Semaphore::new(arguments.parallel));
     let mut cells = Vec::new();
     for step in STEPS.into_iter().filter(|step| step.name.contains(&arguments.step)) {
         for fault in FAULTS {
@@ -34,9 +34,9 @@
             if !name.contains(&arguments.fault) {
                 continue;
             }
-            let places = places.clone();
+            let permits = permits.clone();
             let cell = tokio::spawn(async move {
-                let _place = places.acquire().await;
+                let _permit = permits.acquire().await;
                 let verdict = matrix::run_cell(step, fault).await;
                 eprintln!("{} / {fault:?}: {verdict}", step.name);
                 verdict
--- a/testing/testutils/src/experiments/log_line.rs
+++ b/testing/testutils/src/experiments/log_line.rs
@@ -1,5 +1,5 @@
-//! What a log line costs the one who logs it, and what a request costs with and
-//! without logs.
+//! Log line experiment: measures the time that writing a log line takes, and the time of
+//! a request with and without logging.
 
 use std::collections::HashMap;
 use std::hint::black_box;
@@ -30,10 +30,11 @@
 use chervilwharf_lib::statement::Statement;
 use tokio::net::TcpStream;
 
-/// Lines of one measurement.
-const LINES: u32 = 200_000;
+/// Number of repetitions of one measurement.
+const REPETITIONS: u32 = 200_000;
 
-/// A refused request with all its fields, the longest of the usual lines.
+/// The event of a refused request with all fields, which gives the longest of the common
+/// log lines.
 fn refused_request() -> Event {
     Event::new(EventKind::RequestRefused)
         .with("id", "81391e752d014b19")
@@ -47,17 +48,17 @@
         .with("reason", "overloaded")
 }
 
-/// Time of one call, over many.
+/// Average time of one call over [`REPETITIONS`] calls.
 fn time_of(mut call: impl FnMut()) -> Duration {
     let began_at = Instant::now();
-    for _ in 0..LINES {
+    for _ in 0..REPETITIONS {
         call();
     }
-    began_at.elapsed() / LINES
+    began_at.elapsed() / REPETITIONS
 }
 
-/// Requests that are measured while each of them still writes a line: fewer
-/// than the budget of a second.
+/// Number of requests that are measured while each still writes a log line. It is below
+/// the number of lines that may be logged in a second.
 const LOGGED_REQUESTS: u32 = 150;
 
 struct NoServer;
@@ -71,20 +72,21 @@
         _: Option<&AccountId>,
         _: &ServerInfo,
     ) -> Result<Box<dyn ServerConnection>, ConnectError> {
-        Err(ConnectError::Unreachable("there is none".to_owned()))
+        Err(ConnectError::Unreachable("there is no server".to_owned()))
     }
 }
 
-/// A session of an engine without servers: what it answers it answers itself.
+/// A session of an engine without servers, which answers only statements that need no
+/// server.
 async fn session() -> Session {
-    let me = InstanceRecord {
+    let own_record = InstanceRecord {
         id: "instance".into(),
         life: 1,
         peer_address: SocketAddr::from(([127, 0, 0, 1], 1)),
         failure_domain: "a".into(),
         capacity_millicores: 250,
     };
-    let engine = Arc::new(Engine::new(me, Arc::new(NoServer)));
+    let engine = Arc::new(Engine::new(own_record, Arc::new(NoServer)));
     let route = Route {
         database: "ledger-a".into(),
         group: "lease-ledger-1".into(),
@@ -99,42 +101,43 @@
     engine.set_fleet_known();
     let start = SessionStart { database: "ledger-a", key: KeyDigest::of("key"), client: None };
     let begun = Session::begin(engine, start).await;
-    begun.unwrap_or_else(|failure| panic!("the name is there: {failure:?}"))
+    begun.unwrap_or_else(|failure| panic!("the session cannot be started: {failure:?}"))
 }
 
-/// Time of a request that goes well and of one that is refused.
+/// Average time of a successful request, and of a refused one.
 async fn request_times(session: &mut Session, count: u32) -> (Duration, Duration) {
     let began_at = Instant::now();
     for _ in 0..count {
         let set = Statement::Set { name: "zone".into(), value: "a".into() };
         black_box(session.run("81391e752d014b19".into(), set).await);
     }
-    let well = began_at.elapsed() / count;
+    let succeeded = began_at.elapsed() / count;
     let began_at = Instant::now();
     for _ in 0..count {
         let unknown = Statement::Execute { name: "s1".into(), arguments: "1a4".into() };
         black_box(session.run("81391e752d014b19".into(), unknown).await);
     }
-    (well, began_at.elapsed() / count)
+    (succeeded, began_at.elapsed() / count)
 }
 
-fn print_request(what: &str, (well, refused): (Duration, Duration)) {
-    println!("| a request that goes well, {what} | {} |", well.as_nanos());
+fn print_request(what: &str, (succeeded, refused): (Duration, Duration)) {
+    println!("| a request that goes well, {what} | {} |", succeeded.as_nanos());
     println!("| a request that is refused, {what} | {} |", refused.as_nanos());
 }
 
-/// Measures and prints.
+/// Runs the measurements and prints a table.
 ///
 /// # Panics
 ///
-/// When logging was started before in this process.
+/// When logging was already started in this process.
 pub async fn run() {
     println!("| step | ns |\n| --- | --- |");
     let mut session = session().await;
-    print_request("without logs", request_times(&mut session, LINES).await);
-    event_log::start_with("instance".into(), Box::new(sink())).expect("started once");
+    print_request("without logs", request_times(&mut session, REPETITIONS).await);
+    event_log::start_with("instance".into(), Box::new(sink()))
+        .expect("logging is started only once");
     print_request("each with its line", request_times(&mut session, LOGGED_REQUESTS).await);
-    print_request("lines over their budget", request_times(&mut session, LINES).await);
+    print_request("lines over their budget", request_times(&mut session, REPETITIONS).await);
     let built = time_of(|| {
         black_box(refused_request());
     });
@@ -142,7 +145,8 @@
     let written = time_of(|| {
         black_box(event.line(1_771_966_443_123, "instance"));
     });
-    // Of 200,000 in less than a second all but the budget are left out.
+    // The 200,000 events are emitted in less than a second, so almost all exceed the
+    // limit of lines per second and are dropped.
     let left_out = time_of(|| event_log::emit(&event));
     println!("| the event with nine fields | {} |", built.as_nanos());
     println!("| its line as text | {} |", written.as_nanos());
--- a/testing/testutils/src/matrix.rs
+++ b/testing/testutils/src/matrix.rs
@@ -1,5 +1,6 @@
-//! The fault matrix: every fault at every step, each cell in a deployment of
-//! its own, with a check of what every caller was told.
+//! The fault matrix: injects every fault at every step of processing a request or taking
+//! over a database. Each cell runs in its own deployment and ends with a consistency
+//! check.
 
 use std::fmt;
 use std::sync::Arc;
@@ -16,38 +17,38 @@
 use chervilwharf_standin::store::StoreFaults;
 
 use crate::checker;
-use crate::checker::Style;
 use crate::checker::Violations;
 use crate::checker::Workload;
+use crate::checker::WriteKind;
 use crate::cluster::Cluster;
-use crate::cluster::Shape;
+use crate::cluster::ClusterOptions;
 use crate::process::signal;
 
-/// A step, told by bytes that pass at it.
+/// A step of processing, recognized by bytes that pass a fault proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Step {
-    /// Its name in the table.
+    /// Name in the table of results.
     pub name: &'static str,
-    place: Place,
+    link: Link,
     direction: Direction,
     bytes: &'static [u8],
-    /// The fault comes once the bytes have passed.
+    /// Whether the fault is injected after the bytes have passed, instead of before.
     after: bool,
-    style: Style,
-    /// The primary is killed first, to bring a takeover about.
+    write_kind: WriteKind,
+    /// Whether the primary is suspended first, to cause a takeover.
     in_takeover: bool,
 }
 
-/// Where the bytes pass.
+/// The network link that the bytes pass.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Place {
-    /// Between callers and the owner's entry.
-    Callers,
+enum Link {
+    /// Between clients and the owner.
+    Clients,
     /// Between other instances and the owner.
     Owner,
-    /// Between the owner and the primary.
+    /// Between instances and the primary.
     Primary,
-    /// Between the owner and a replica.
+    /// Between instances and a replica.
     Replica,
     /// Between the primary and its replicas.
     Log,
@@ -55,17 +56,17 @@
 
 const fn step(
     name: &'static str,
-    place: Place,
+    link: Link,
     direction: Direction,
     bytes: &'static [u8],
     after: bool,
 ) -> Step {
-    let style = Style::Statement;
-    Step { name, place, direction, bytes, after, style, in_takeover: false }
+    let write_kind = WriteKind::Statement;
+    Step { name, link, direction, bytes, after, write_kind, in_takeover: false }
 }
 
 const fn in_transaction(step: Step) -> Step {
-    Step { style: Style::Transaction, ..step }
+    Step { write_kind: WriteKind::Transaction, ..step }
 }
 
 const fn in_takeover(step: Step) -> Step {
@@ -75,73 +76,77 @@
 use Direction::Down;
 use Direction::Up;
 
-/// All steps.
+/// All steps of the matrix.
 pub const STEPS: [Step; 17] = [
-    step("write: accept", Place::Callers, Up, b"INSERT INTO marks", false),
-    step("write: forward", Place::Owner, Up, b"INSERT INTO marks", false),
-    step("write: statement", Place::Primary, Up, b"INSERT INTO marks", true),
-    step("write: statement answered", Place::Primary, Down, b"INSERT 0 1", false),
-    step("write: COMMIT sent", Place::Primary, Up, b"INSERT INTO chervilwharf_ledger", true),
-    step("write: COMMIT answered", Place::Primary, Down, b"COMMIT", false),
-    step("write: confirm", Place::Log, Down, b"INSERT INTO marks", false),
-    step("write: answer to entry", Place::Owner, Down, b"INSERT 0 1", false),
-    step("write: answer to caller", Place::Callers, Down, b"INSERT 0 1", false),
-    step("read: forward", Place::Owner, Up, b"SELECT id FROM marks", false),
-    step("read: at replica", Place::Replica, Up, b"SELECT id FROM marks", true),
-    step("read: answer to entry", Place::Owner, Down, b"SELECT ", false),
-    in_transaction(step("transaction: BEGIN", Place::Primary, Up, b"BEGIN", true)),
-    in_transaction(step("transaction: statement", Place::Primary, Up, b"SELECT count", true)),
+    step("write: accept", Link::Clients, Up, b"INSERT INTO marks", false),
+    step("write: forward", Link::Owner, Up, b"INSERT INTO marks", false),
+    step("write: statement", Link::Primary, Up, b"INSERT INTO marks", true),
+    step("write: statement answered", Link::Primary, Down, b"INSERT 0 1", false),
+    step("write: COMMIT sent", Link::Primary, Up, b"INSERT INTO chervilwharf_ledger", true),
+    step("write: COMMIT answered", Link::Primary, Down, b"COMMIT", false),
+    step("write: confirm", Link::Log, Down, b"INSERT INTO marks", false),
+    step("write: answer to entry", Link::Owner, Down, b"INSERT 0 1", false),
+    step("write: answer to caller", Link::Clients, Down, b"INSERT 0 1", false),
+    step("read: forward", Link::Owner, Up, b"SELECT id FROM marks", false),
+    step("read: at replica", Link::Replica, Up, b"SELECT id FROM marks", true),
+    step("read: answer to entry", Link::Owner, Down, b"SELECT ", false),
+    in_transaction(step("transaction: BEGIN", Link::Primary, Up, b"BEGIN", true)),
+    in_transaction(step("transaction: statement", Link::Primary, Up, b"SELECT count", true)),
     in_transaction(step(
         "transaction: COMMIT sent",
-        Place::Primary,
+        Link::Primary,
         Up,
         b"INSERT INTO chervilwharf_ledger",
         true,
     )),
-    in_takeover(step("takeover: fence", Place::Replica, Up, b"chervilwharf_fence", true)),
-    in_takeover(step("takeover: promote", Place::Replica, Up, b"chervilwharf_promote", true)),
+    in_takeover(step("takeover: fence", Link::Replica, Up, b"chervilwharf_fence", true)),
+    in_takeover(step("takeover: promote", Link::Replica, Up, b"chervilwharf_promote", true)),
 ];
 
 /// A fault of the matrix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The primary's process is killed.
+    /// The process of the primary is killed.
     KillPrimary,
-    /// The primary stands still for a while.
+    /// The process of the primary is suspended for `FAULT_DURATION`.
     FreezePrimary,
-    /// The primary's connections are closed and refused for a while.
+    /// Connections to the primary are closed and refused for `FAULT_DURATION`.
     CutPrimary,
-    /// The primary hears, but nobody hears it, for a while.
+    /// Bytes that the primary sends are dropped for `FAULT_DURATION`, while it still
+    /// receives.
     OneWayPrimary,
-    /// Open connections to the primary go silent for good.
+    /// The open connections to the primary become unresponsive for good.
     ForgetPrimary,
-    /// The owner's process is killed.
+    /// The process of the owner is killed.
     KillOwner,
-    /// The owner stands still for longer than its currency.
+    /// The process of the owner is suspended for longer than its confirmation of
+    /// ownership is valid.
     FreezeOwner,
-    /// Links to the owner are closed and refused for a while.
+    /// Links from other instances to the owner are closed and refused for
+    /// `FAULT_DURATION`.
     CutOwner,
-    /// Open links to the owner go silent for good.
+    /// The open links from other instances to the owner become unresponsive for good.
     ForgetOwner,
-    /// Answers of the owner come late.
+    /// Bytes between other instances and the owner are delayed by 150 ms for
+    /// `FAULT_DURATION`.
     LateOwner,
-    /// Replicas apply two seconds late.
+    /// Replicas apply entries after `REPLICA_LAG`.
     LagReplicas,
-    /// The store is down for a while.
+    /// The store is down for `FAULT_DURATION`.
     StoreDown,
-    /// Every call to the store takes a second longer for a while.
+    /// Every call to the store takes 1 s longer for `FAULT_DURATION`.
     StoreSlow,
-    /// The store loses the answers to updates.
+    /// The store executes updates, but the next five answers are lost.
     StoreLosesAnswers,
-    /// Two at once.
+    /// Both `KillPrimary` and `KillOwner`.
     KillPrimaryAndOwner,
-    /// Two at once.
+    /// Both `FreezePrimary` and `StoreDown`.
     FreezePrimaryStoreDown,
-    /// Two at once.
+    /// Both `KillOwner` and `StoreDown`.
     KillOwnerStoreDown,
 }
 
-/// All faults.
+/// All faults of the matrix.
 pub const FAULTS: [Fault; 17] = [
     Fault::KillPrimary,
     Fault::FreezePrimary,
@@ -162,14 +167,14 @@
     Fault::KillOwnerStoreDown,
 ];
 
-/// How a cell ended.
+/// The result of a cell.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Everything held.
+    /// All guarantees held and all writers made progress afterwards.
     Held,
-    /// Something did not.
+    /// A guarantee was violated, or a writer made no progress afterwards.
     Violated(String),
-    /// The step did not come about.
+    /// The step did not occur, so that no fault was injected.
     NotRun(String),
 }
 
@@ -183,25 +188,26 @@
     }
 }
 
-/// Writes each writer must have acknowledged before and after the fault.
+/// Writes that each writer has to get acknowledged before the fault, and again after it.
 const PROGRESS: usize = 8;
 
 /// Longest wait for the bytes of a step.
-const STEP_LIMIT: Duration = Duration::from_secs(10);
+const STEP_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How long a passing fault lasts: beyond detection and currency.
-const FAULT_TIME: Duration = Duration::from_millis(2500);
+/// Duration of a temporary fault, longer than its detection takes and than a confirmation
+/// of ownership is valid.
+const FAULT_DURATION: Duration = Duration::from_millis(2500);
 
-/// Lag of the replicas in the column that has one.
+/// Replication delay of [`Fault::LagReplicas`].
 const REPLICA_LAG: Duration = Duration::from_secs(2);
 
-/// Longest wait until all callers get on again.
-const RECOVERY_LIMIT: Duration = Duration::from_secs(40);
+/// Longest wait until all writers make progress again after the fault.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// Everything a fault can act on, detached from the deployment so that it can
-/// be brought about in the middle of passing bytes.
+/// Handles to everything a fault acts on. They are independent of the `Cluster`, so that
+/// a fault proxy can inject the fault from its own task while bytes pass.
 #[derive(Clone)]
-struct Levers {
+struct FaultTargets {
     primary_process: u32,
     owner_process: u32,
     primary_sql: FaultProxy,
@@ -210,18 +216,18 @@
     store: Store,
 }
 
-impl Levers {
+impl FaultTargets {
     fn apply(&self, fault: Fault) {
-        // A process that an earlier fault of the cell has ended gets no more.
+        // The signal fails if an earlier fault of the cell has ended the process.
         let signal = |process, number| {
             let _ = signal(process, number);
         };
         match fault {
             Fault::KillPrimary => signal(self.primary_process, libc::SIGKILL),
             Fault::FreezePrimary => signal(self.primary_process, libc::SIGSTOP),
-            Fault::CutPrimary => self.primary(Behaviour::cut()),
+            Fault::CutPrimary => self.set_primary_network(Behaviour::cut()),
             Fault::OneWayPrimary => {
-                self.primary(Behaviour { down: Flow::Discard, ..Behaviour::default() });
+                self.set_primary_network(Behaviour { down: Flow::Discard, ..Behaviour::default() });
             }
             Fault::ForgetPrimary => self.primary_sql.blackhole_open_connections(),
             Fault::KillOwner => signal(self.owner_process, libc::SIGKILL),
@@ -229,7 +235,7 @@
             Fault::CutOwner => self.owner_peer.set(Behaviour::cut()),
             Fault::ForgetOwner => self.owner_peer.blackhole_open_connections(),
             Fault::LateOwner => self.owner_peer.set(Behaviour::delayed(Duration::from_millis(150))),
-            // Set before the callers start.
+            // The lag is set before the workload starts.
             Fault::LagReplicas => {}
             Fault::StoreDown => {
                 self.store.set_faults(StoreFaults { down: true, ..StoreFaults::default() });
@@ -255,50 +261,50 @@
         }
     }
 
-    fn primary(&self, behaviour: Behaviour) {
+    fn set_primary_network(&self, behaviour: Behaviour) {
         self.primary_sql.set(behaviour);
         self.primary_log.set(behaviour);
     }
 
-    /// Ends what passes by itself.
-    fn relieve(&self) {
+    /// Ends the temporary faults.
+    fn end_faults(&self) {
         signal(self.primary_process, libc::SIGCONT);
         signal(self.owner_process, libc::SIGCONT);
-        self.primary(Behaviour::default());
+        self.set_primary_network(Behaviour::default());
         self.owner_peer.set(Behaviour::default());
         self.store.set_faults(StoreFaults::default());
     }
 }
 
-fn arm(
+fn inject_at_step(
     cluster: &Cluster,
     step: Step,
     fault: Fault,
-    levers: &Levers,
+    fault_targets: &FaultTargets,
     owner: usize,
     primary: usize,
 ) -> Arc<AtomicBool> {
     let fired = Arc::new(AtomicBool::new(false));
     let replicas = (0..cluster.targets.len()).filter(|index| *index != primary);
-    let proxies: Vec<&FaultProxy> = match step.place {
-        Place::Callers => vec![&cluster.instances[owner].client_proxy],
-        Place::Owner => vec![&cluster.instances[owner].peer_proxy],
-        Place::Primary => vec![&cluster.targets[primary].sql_proxy],
-        Place::Log => vec![&cluster.targets[primary].log_proxy],
-        Place::Replica => replicas.map(|index| &cluster.targets[index].sql_proxy).collect(),
+    let proxies: Vec<&FaultProxy> = match step.link {
+        Link::Clients => vec![&cluster.instances[owner].client_proxy],
+        Link::Owner => vec![&cluster.instances[owner].peer_proxy],
+        Link::Primary => vec![&cluster.targets[primary].sql_proxy],
+        Link::Log => vec![&cluster.targets[primary].log_proxy],
+        Link::Replica => replicas.map(|index| &cluster.targets[index].sql_proxy).collect(),
     };
     for proxy in proxies {
-        let (levers, fired) = (levers.clone(), fired.clone());
+        let (fault_targets, fired) = (fault_targets.clone(), fired.clone());
         proxy.on_bytes(step.direction, step.bytes, step.after, move || {
             if !fired.swap(true, Ordering::SeqCst) {
-                levers.apply(fault);
+                fault_targets.apply(fault);
             }
         });
     }
     fired
 }
 
-async fn wait(limit: Duration, condition: impl Fn() -> bool) -> bool {
+async fn wait_until(limit: Duration, condition: impl Fn() -> bool) -> bool {
     let deadline = Instant::now() + limit;
     while !condition() {
         if Instant::now() >= deadline {
@@ -311,65 +317,77 @@
 
 /// Runs one cell.
 pub async fn run_cell(step: Step, fault: Fault) -> Verdict {
-    // A runtime of its own: what one cell leaves behind ends with it.
+    // Each cell has its own runtime, which ends the tasks that the cell leaves behind.
     let cell = tokio::task::spawn_blocking(move || {
         let runtime = tokio::runtime::Runtime::new().expect("threads can be started");
         runtime.block_on(run_cell_inner(step, fault))
     });
     match cell.await {
         Ok(verdict) => verdict,
-        Err(_) => Verdict::Violated("a wait of the test never ended".into()),
+        Err(_) => {
+            Verdict::Violated("the cell panicked, for example because a wait timed out".into())
+        }
     }
 }
 
 async fn run_cell_inner(step: Step, fault: Fault) -> Verdict {
-    let mut cluster = Cluster::start(Shape::default()).await;
+    let mut cluster = Cluster::start(ClusterOptions::default()).await;
     if fault == Fault::LagReplicas {
         cluster.set_lag(REPLICA_LAG).await;
     }
-    let workload = Workload::start(&cluster, step.style).await;
+    let workload = Workload::start(&cluster, step.write_kind).await;
     workload.wait_for_progress(PROGRESS).await;
     let Some((owner, _, primary)) = cluster.serving("db1").await else {
-        return Verdict::NotRun("nobody served".into());
+        return Verdict::NotRun("no instance served the database".into());
     };
     let primary = cluster.target(&primary);
-    let levers = Levers {
-        primary_process: cluster.targets[primary].process.as_ref().expect("up").id(),
-        owner_process: cluster.instances[owner].process.as_ref().expect("up").id(),
+    let fault_targets = FaultTargets {
+        primary_process: cluster.targets[primary]
+            .process
+            .as_ref()
+            .expect("the process is running")
+            .id(),
+        owner_process: cluster.instances[owner]
+            .process
+            .as_ref()
+            .expect("the process is running")
+            .id(),
         primary_sql: cluster.targets[primary].sql_proxy.clone(),
         primary_log: cluster.targets[primary].log_proxy.clone(),
         owner_peer: cluster.instances[owner].peer_proxy.clone(),
         store: cluster.store.clone(),
     };
-    let fired = arm(&cluster, step, fault, &levers, owner, primary);
+    let fired = inject_at_step(&cluster, step, fault, &fault_targets, owner, primary);
     if step.in_takeover {
-        // Frozen, not killed: the cell's own fault may need it alive.
-        signal(levers.primary_process, libc::SIGSTOP);
+        // The primary is suspended and not killed, since the fault of the cell may need
+        // its process.
+        signal(fault_targets.primary_process, libc::SIGSTOP);
     }
-    if !wait(STEP_LIMIT, || fired.load(Ordering::SeqCst)).await {
+    if !wait_until(STEP_TIMEOUT, || fired.load(Ordering::SeqCst)).await {
         return Verdict::NotRun("the bytes of the step did not pass".into());
     }
-    tokio::time::sleep(FAULT_TIME).await;
-    levers.relieve();
+    tokio::time::sleep(FAULT_DURATION).await;
+    fault_targets.end_faults();
     let progress = workload.wait_for_progress(PROGRESS);
-    let recovered = tokio::time::timeout(RECOVERY_LIMIT, progress).await.is_ok();
-    forget_dead(&mut cluster);
+    let recovered = tokio::time::timeout(RECOVERY_TIMEOUT, progress).await.is_ok();
+    remove_exited_processes(&mut cluster);
     let (history, stale) = workload.stop().await;
     let violations = checker::check(&cluster, &history, stale).await;
     if violations != Violations::default() {
         return Verdict::Violated(format!("{violations:?}"));
     }
     if !recovered {
-        return Verdict::Violated("callers did not get on again".into());
+        return Verdict::Violated("the writers made no progress after the fault".into());
     }
     Verdict::Held
 }
 
-/// Takes the dead out of the books, so that the check asks the living.
-fn forget_dead(cluster: &mut Cluster) {
+/// Removes the processes of instances that have exited, so that the check does not use
+/// them.
+fn remove_exited_processes(cluster: &mut Cluster) {
     for node in &mut cluster.instances {
-        let dead = node.process.as_mut().is_some_and(|process| process.exit_code().is_some());
-        if dead {
+        let has_exited = node.process.as_mut().is_some_and(|process| process.exit_code().is_some());
+        if has_exited {
             node.process = None;
         }
     }
--- a/testing/testutils/src/process.rs
+++ b/testing/testutils/src/process.rs
@@ -1,4 +1,4 @@
-//! A child process of a test, ended by its id when dropped.
+//! Child processes of tests, which are killed when they are dropped.
 
 use std::collections::HashMap;
 use std::io::BufRead;
@@ -12,35 +12,36 @@
 /// A running process.
 pub struct Process {
     child: Child,
-    /// What its first line said, as `name=value`.
+    /// The `name=value` pairs of the first line that the process printed.
     pub ready: HashMap<String, String>,
 }
 
-/// Where cargo puts the programs: next to the tests.
+/// Path of a binary of the package under test, in the target directory of cargo.
 ///
 /// # Panics
 ///
-/// When the test does not run from cargo's target folder.
+/// When the binary is not built, or the test does not run from the target directory.
 #[must_use]
 pub fn program(name: &str) -> PathBuf {
-    let test = std::env::current_exe().expect("a test knows its own path");
-    // Tests lie in target/profile/deps, programs one folder above.
-    let folder = test.parent().expect("a program lies in a folder");
+    let test = std::env::current_exe().expect("the path of the test binary is known");
+    // Test binaries are in target/PROFILE/deps, other binaries in target/PROFILE.
+    let folder = test.parent().expect("the binary is in a directory");
     let folder = if folder.ends_with("deps") { folder.parent().unwrap_or(folder) } else { folder };
     let path = folder.join(name);
     assert!(path.exists(), "{name} is not built; run the tests of the whole workspace");
     path
 }
 
-/// Sends a signal to a child of ours. Returns whether it was there to get it.
+/// Sends a signal to a child process of this process. Returns whether the child still
+/// existed.
 ///
 /// # Panics
 ///
-/// Never: process ids fit.
+/// Never, since a process id fits into `pid_t`.
 pub fn signal(process: u32, number: libc::c_int) -> bool {
-    let id = libc::pid_t::try_from(process).expect("process ids are small");
-    // SAFETY: kill takes no pointers. The process is a child of this one that
-    // has not been waited for, so its id cannot have been given away.
+    let id = libc::pid_t::try_from(process).expect("process ids fit into pid_t");
+    // SAFETY: `kill` takes no pointers. The process is a child of this one that has not
+    // been waited for, so the system cannot have reused its id.
     unsafe { libc::kill(id, number) == 0 }
 }
 
@@ -50,11 +51,13 @@
 }
 
 impl Process {
-    /// Starts a program and waits for its line `ready name=value …`.
+    /// Starts a program and waits until it prints the line `ready name=value …`. Its
+    /// standard error is appended to the log file.
     ///
     /// # Panics
     ///
-    /// When it cannot be started or ends before that line.
+    /// When the program cannot be started, or ends or prints something else before that
+    /// line.
     #[must_use]
     pub fn start(program: &Path, arguments: &[&str], log: &Path) -> Self {
         let log = append_to(log);
@@ -65,26 +68,30 @@
             .stdin(Stdio::null())
             .spawn()
             .expect("the program can be started");
-        let output = child.stdout.take().expect("its output is piped");
+        let output = child.stdout.take().expect("the output is piped");
         let mut line = String::new();
-        BufReader::new(output).read_line(&mut line).expect("its output can be read");
+        BufReader::new(output).read_line(&mut line).expect("the output can be read");
         let ready: HashMap<_, _> = line
             .split_whitespace()
             .filter_map(|word| word.split_once('='))
             .map(|(name, value)| (name.to_owned(), value.to_owned()))
             .collect();
-        assert!(line.starts_with("ready"), "{} said {line:?}", program.display());
+        assert!(
+            line.starts_with("ready"),
+            "{} printed {line:?} instead of a ready line",
+            program.display()
+        );
         Self { child, ready }
     }
 
-    /// Starts a program that says nothing of its own when it is ready. What it
-    /// prints goes to the log.
+    /// Starts a program that prints no `ready` line. Its output is appended to the log
+    /// file.
     ///
     /// # Panics
     ///
-    /// When it cannot be started.
+    /// When the program cannot be started.
     #[must_use]
-    pub fn start_quiet(program: &Path, arguments: &[&str], log: &Path) -> Self {
+    pub fn start_without_ready_line(program: &Path, arguments: &[&str], log: &Path) -> Self {
         let child = Command::new(program)
             .args(arguments)
             .stdout(Stdio::from(append_to(log)))
@@ -96,45 +103,45 @@
     }
 
     fn signal(&self, number: libc::c_int) {
-        assert!(signal(self.child.id(), number), "signal {number} to our own child");
+        assert!(signal(self.child.id(), number), "cannot send signal {number} to the child");
     }
 
-    /// Ends it at once.
+    /// Kills the process and waits until it has ended.
     ///
     /// # Panics
     ///
-    /// When it cannot be waited for.
+    /// When the process has exited and was waited for already, or cannot be waited for.
     pub fn kill(&mut self) {
         self.signal(libc::SIGKILL);
-        self.child.wait().expect("a killed child ends");
+        self.child.wait().expect("the killed child can be waited for");
     }
 
-    /// Stops it in its tracks.
+    /// Suspends the process with SIGSTOP.
     pub fn freeze(&self) {
         self.signal(libc::SIGSTOP);
     }
 
-    /// Lets it go on.
+    /// Resumes the process with SIGCONT.
     pub fn thaw(&self) {
         self.signal(libc::SIGCONT);
     }
 
-    /// Asks it to end.
+    /// Sends SIGTERM to the process.
     pub fn terminate(&self) {
         self.signal(libc::SIGTERM);
     }
 
-    /// Whether it has ended, and with which exit code.
+    /// The exit code of the process, or -1 if a signal ended it; `None` while it runs.
     ///
     /// # Panics
     ///
-    /// When its state cannot be read.
+    /// When the state of the process cannot be read.
     pub fn exit_code(&mut self) -> Option<i32> {
-        let status = self.child.try_wait().expect("a child can be asked");
+        let status = self.child.try_wait().expect("the state of the child can be read");
         status.map(|status| status.code().unwrap_or(-1))
     }
 
-    /// Its process id.
+    /// Process id.
     #[must_use]
     pub fn id(&self) -> u32 {
         self.child.id()
--- a/testing/testutils/tests/test_load.rs
+++ b/testing/testutils/tests/test_load.rs
@@ -1,38 +1,39 @@
-//! What happens when more is asked than the servers can do.
+//! Behaviour when clients request more than the servers can execute.
 
 use std::time::Duration;
 
 use chervilwharf_testutils::clients::sqlstate;
 use chervilwharf_testutils::cluster::Cluster;
-use chervilwharf_testutils::cluster::Shape;
+use chervilwharf_testutils::cluster::ClusterOptions;
 
-/// Availability checks at the same time, far more than the slots can serve.
-const CHECKERS: usize = 80;
+/// Number of clients that check availability at the same time, far more than the slots of
+/// a server.
+const CHECK_CLIENTS: usize = 80;
 
-/// Requests of each caller.
-const REQUESTS: usize = 4;
+/// Number of requests of each client.
+const REQUESTS_PER_CLIENT: usize = 4;
 
-/// What a statement costs: more than the time a check has, so that no check
-/// can succeed, however slow the callers of the test are.
+/// Time that a server takes for a statement. It is longer than the deadline of a check,
+/// so that no check can succeed, however slowly the test sends them.
 const STATEMENT_COST: Duration = Duration::from_millis(150);
 
-/// Symptom: bookings fail when the call centre checks availability. Sequence:
-/// many checks that only the primary can answer fill its queue. Cause: the
-/// queue knows no priority, or holds what cannot make its deadline.
+/// Guards against high-priority requests (bookings) that fail under many low-priority
+/// ones (availability checks): checks that only the primary can answer fill its queue,
+/// and the queue ignores priorities or keeps requests that cannot meet their deadlines.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_overload_by_checks_is_refused_with_a_retry_time_and_does_not_affect_bookings() {
-    let shape = Shape { statement_cost: STATEMENT_COST, ..Shape::default() };
-    let cluster = Cluster::start(shape).await;
+    let options = ClusterOptions { statement_cost: STATEMENT_COST, ..ClusterOptions::default() };
+    let cluster = Cluster::start(options).await;
     let setup = cluster.connect(0, "tenant").await;
     setup.batch_execute("CREATE TABLE t (id INTEGER)").await.unwrap();
     let mut checkers = Vec::new();
-    for number in 0..CHECKERS {
+    for number in 0..CHECK_CLIENTS {
         let client = cluster.connect(number % 3, "callcentre").await;
         client.batch_execute("SET chervilwharf.max_age_ms = '0'").await.unwrap();
         client.batch_execute("SET chervilwharf.deadline_ms = '100'").await.unwrap();
         checkers.push(tokio::spawn(async move {
             let mut refusals = Vec::new();
-            for _ in 0..REQUESTS {
+            for _ in 0..REQUESTS_PER_CLIENT {
                 if let Err(error) = client.batch_execute("SELECT count(*) FROM t").await {
                     refusals.push(error);
                 }
@@ -44,7 +45,7 @@
     for number in 0..3 {
         let client = cluster.connect(number, "tenant").await;
         bookings.push(tokio::spawn(async move {
-            for id in 0..REQUESTS {
+            for id in 0..REQUESTS_PER_CLIENT {
                 client.batch_execute(&format!("INSERT INTO t VALUES ({id})")).await?;
             }
             Ok::<(), tokio_postgres::Error>(())
--- a/testing/testutils/tests/test_path.rs
+++ b/testing/testutils/tests/test_path.rs
@@ -1,20 +1,21 @@
-//! The whole path, from a caller's SQL to a replicated database.
+//! The complete path of requests, from the SQL of a client to a replicated database.
 
 use std::time::Duration;
 
 use chervilwharf_testutils::clients::first_value;
 use chervilwharf_testutils::clients::sqlstate;
 use chervilwharf_testutils::cluster::Cluster;
-use chervilwharf_testutils::cluster::Shape;
+use chervilwharf_testutils::cluster::ClusterOptions;
 use chervilwharf_testutils::cluster::wait_for;
 use tokio_postgres::types::Type;
 
-/// Far above what a read takes, so that replicas lack what was just written.
+/// Replication lag, far longer than a read takes, so that replicas lack the latest
+/// writes.
 const LAG: Duration = Duration::from_millis(500);
 
 #[tokio::test(flavor = "multi_thread")]
 async fn test_write_at_one_instance_is_read_at_another() {
-    let cluster = Cluster::start(Shape::default()).await;
+    let cluster = Cluster::start(ClusterOptions::default()).await;
     let writer = cluster.connect(0, "tenant").await;
     writer.batch_execute("CREATE TABLE t (id INTEGER PRIMARY KEY, name TEXT)").await.unwrap();
     for round in 0..20 {
@@ -30,7 +31,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn test_prepared_statements_with_parameters_of_each_type() {
-    let cluster = Cluster::start(Shape::default()).await;
+    let cluster = Cluster::start(ClusterOptions::default()).await;
     let client = cluster.connect(1, "tenant").await;
     client.batch_execute("CREATE TABLE p (i BIGINT, f DOUBLE, t TEXT, b BYTEA)").await.unwrap();
     let types = [Type::INT8, Type::FLOAT8, Type::TEXT, Type::BYTEA];
@@ -55,7 +56,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn test_transaction_commits_or_rolls_back_as_a_whole() {
-    let cluster = Cluster::start(Shape::default()).await;
+    let cluster = Cluster::start(ClusterOptions::default()).await;
     let mut client = cluster.connect(2, "tenant").await;
     client.batch_execute("CREATE TABLE t (id INTEGER PRIMARY KEY)").await.unwrap();
     let transaction = client.transaction().await.unwrap();
@@ -75,7 +76,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn test_text_of_several_statements_is_one_transaction() {
-    let cluster = Cluster::start(Shape::default()).await;
+    let cluster = Cluster::start(ClusterOptions::default()).await;
     let client = cluster.connect(0, "tenant").await;
     client.batch_execute("CREATE TABLE t (id INTEGER PRIMARY KEY)").await.unwrap();
     let failing = "INSERT INTO t VALUES (1); INSERT INTO t VALUES (1)";
@@ -88,7 +89,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn test_repeated_request_id_runs_once_and_gets_the_first_answer() {
-    let cluster = Cluster::start(Shape::default()).await;
+    let cluster = Cluster::start(ClusterOptions::default()).await;
     let client = cluster.connect(0, "tenant").await;
     client.batch_execute("CREATE TABLE t (n INTEGER)").await.unwrap();
     let statement = "INSERT INTO t VALUES (1) /*request_id='charge-1'*/";
@@ -100,12 +101,13 @@
     let reused = "INSERT INTO t VALUES (2) /*request_id='charge-1'*/";
     let error = client.batch_execute(reused).await.unwrap_err();
     assert_eq!(sqlstate(&error), "22023");
-    // Another account's id of the same name is another request.
-    let stranger = cluster.connect(0, "tenant2").await;
+    // The same id of another account identifies another request.
+    let other_account = cluster.connect(0, "tenant2").await;
     cluster.set_lag(LAG).await;
-    stranger.batch_execute(reused).await.unwrap();
-    // Who wrote the second row sees both at once; others when replicas have it.
-    let count = stranger.simple_query("SELECT count(*) FROM t").await.unwrap();
+    other_account.batch_execute(reused).await.unwrap();
+    // The account that wrote the second row sees both rows at once; other accounts see
+    // them when replicas have them.
+    let count = other_account.simple_query("SELECT count(*) FROM t").await.unwrap();
     assert_eq!(first_value(&count).as_deref(), Some("2"));
     wait_for("replicas have both rows", async || {
         let count = client.simple_query("SELECT count(*) FROM t").await.unwrap();
@@ -116,8 +118,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn test_bad_input_gets_a_clear_error_and_affects_no_other_client() {
-    let cluster = Cluster::start(Shape::default()).await;
-    let neighbour = cluster.connect(0, "tenant").await;
+    let cluster = Cluster::start(ClusterOptions::default()).await;
+    let other_client = cluster.connect(0, "tenant").await;
     let wrong = cluster.try_connect(0, "tenant", "wrong", "db1").await.err().unwrap();
     assert_eq!(sqlstate(&wrong), "28P01");
     let unknown = cluster.try_connect(0, "nobody", "nobody", "db1").await.err().unwrap();
@@ -139,10 +141,10 @@
     assert_eq!(sqlstate(&error), "42501");
     client.batch_execute("SET chervilwharf.service = 'bookings'").await.unwrap();
     client.batch_execute("SELECT 1").await.unwrap();
-    neighbour.batch_execute("SELECT 1").await.unwrap();
+    other_client.batch_execute("SELECT 1").await.unwrap();
 }
 
-/// Slots in use at the primary.
+/// Number of execution slots in use at the primary.
 async fn slots_in_use(cluster: &Cluster) -> u64 {
     let (owner, _, primary) = cluster.serving("db1").await.unwrap();
     let status = cluster.status(owner).await.unwrap();
@@ -151,12 +153,12 @@
     primary.unwrap()["slots_in_use"].as_u64().unwrap()
 }
 
-/// Symptom: a caller gets the answer of a request it never made. Sequence: a
-/// request waits for a lock; another with the same id and another statement
-/// arrives. Cause: copies in progress are told apart by their id alone.
+/// Guards against a client that gets the answer of another request: a request waits for a
+/// lock, another one with the same id but a different statement arrives, and the two are
+/// matched by their id alone.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_id_of_a_request_in_progress_is_refused_for_another_statement() {
-    let cluster = Cluster::start(Shape::default()).await;
+    let cluster = Cluster::start(ClusterOptions::default()).await;
     let holder = cluster.connect(0, "tenant").await;
     holder.batch_execute("CREATE TABLE t (id INTEGER)").await.unwrap();
     holder.batch_execute("BEGIN").await.unwrap();
@@ -174,13 +176,12 @@
     waiting.await.unwrap().unwrap();
 }
 
-/// Symptom: transactions stand still until their deadlines. Sequence: one
-/// holds a lock, others wait for it in all slots of the primary, and the next
-/// statement of the first waits for a slot. Cause: an open transaction has to
-/// queue behind those who wait for it.
+/// Guards against a deadlock until the deadlines of the transactions: one holds a lock,
+/// others wait for it in all slots of the primary, and the next statement of the first
+/// has to wait for a slot behind them.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_open_transaction_does_not_wait_behind_requests_that_wait_for_it() {
-    let cluster = Cluster::start(Shape::default()).await;
+    let cluster = Cluster::start(ClusterOptions::default()).await;
     let holder = cluster.connect(0, "tenant").await;
     holder.batch_execute("CREATE TABLE t (id INTEGER)").await.unwrap();
     holder.batch_execute("BEGIN").await.unwrap();
@@ -201,21 +202,21 @@
     }
 }
 
-/// Symptom: a transaction is acknowledged, and its first statements are
-/// missing. Sequence: the link between entry and owner goes silent between two
-/// statements; the owner rolls back; the next statement comes over a new link.
-/// Cause: the owner takes it for the first of a new transaction.
+/// Guards against an acknowledged transaction whose first statements are missing: the
+/// link between entry instance and owner becomes unresponsive between two statements, the
+/// owner rolls back, and it takes the next statement, which arrives on a new link, for
+/// the first one of a new transaction.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_transaction_whose_link_was_lost_does_not_continue_in_a_new_one() {
-    let cluster = Cluster::start(Shape::default()).await;
+    let cluster = Cluster::start(ClusterOptions::default()).await;
     let (owner, _, _) = cluster.serving("db1").await.unwrap();
     let client = cluster.connect((owner + 1) % 3, "tenant").await;
     client.batch_execute("CREATE TABLE t (id INTEGER)").await.unwrap();
     client.batch_execute("BEGIN").await.unwrap();
     client.batch_execute("INSERT INTO t VALUES (1)").await.unwrap();
     cluster.instances[owner].peer_proxy.blackhole_open_connections();
-    // The heartbeats notice, and the owner rolls back with the old link; or
-    // another instance succeeds it first, whose term fences the transaction.
+    // The heartbeats detect the unresponsive link, and the owner rolls the transaction
+    // back; or another instance takes over first, and its term fences the transaction.
     wait_for("the owner holds no transaction", async || {
         let status = cluster.status(owner).await.unwrap();
         let serving = &status["databases"]["db1"]["serving_here"];
--- a/testing/testutils/tests/test_tool.rs
+++ b/testing/testutils/tests/test_tool.rs
@@ -1,9 +1,9 @@
-//! The command-line tool against a whole deployment.
+//! The command-line tool against a deployment of real processes.
 
 use chervilwharf_standin::fault_proxy::Behaviour;
 use chervilwharf_standin::store::StoreFaults;
 use chervilwharf_testutils::cluster::Cluster;
-use chervilwharf_testutils::cluster::Shape;
+use chervilwharf_testutils::cluster::ClusterOptions;
 use chervilwharf_testutils::cluster::wait_for;
 use serde_json::Value;
 
@@ -17,7 +17,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn test_applied_configuration_is_in_force_everywhere() {
-    let mut cluster = Cluster::start(Shape::default()).await;
+    let mut cluster = Cluster::start(ClusterOptions::default()).await;
     cluster.config.services.get_mut("availability").unwrap().priority = 9;
     let file = cluster.write_text("next.json", &cluster.config);
     let base = version_of(&cluster).to_string();
@@ -36,12 +36,12 @@
     assert_eq!(history[1]["author"], "test");
 }
 
-/// Symptom: an operator's change disappears. Sequence: two operators start
-/// from the same version and apply one after the other. Cause: the later one
-/// overwrites without looking.
+/// Guards against lost updates of the configuration: two operators start from the same
+/// version and apply their changes one after the other, and the second one overwrites the
+/// first without a check of the version.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_conflicting_apply_reports_the_other_author_and_the_difference() {
-    let mut cluster = Cluster::start(Shape::default()).await;
+    let mut cluster = Cluster::start(ClusterOptions::default()).await;
     let base = version_of(&cluster).to_string();
     cluster.config.services.get_mut("availability").unwrap().priority = 7;
     let first = cluster.write_text("first.json", &cluster.config);
@@ -58,12 +58,12 @@
     assert!(stored.contains("\\\"priority\\\": 7"));
 }
 
-/// Symptom: a change is applied twice, or reported as failed though it is in
-/// force. Sequence: the store takes the update and its answer is lost. Cause:
-/// the tool trusts the missing answer instead of reading back.
+/// Guards against a change that is applied twice, or reported as failed although it is in
+/// force: the store executes the update but its answer is lost, and the tool treats this
+/// as a failure instead of reading the configuration back.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_lost_answer_of_the_store_is_resolved() {
-    let cluster = Cluster::start(Shape::default()).await;
+    let cluster = Cluster::start(ClusterOptions::default()).await;
     let file = cluster.write_text("next.json", &cluster.config);
     let base = version_of(&cluster);
     cluster.store.set_faults(StoreFaults { lose_answers: 1, ..StoreFaults::default() });
@@ -77,7 +77,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn test_invalid_configuration_is_refused_with_locations_and_changes_nothing() {
-    let mut cluster = Cluster::start(Shape::default()).await;
+    let mut cluster = Cluster::start(ClusterOptions::default()).await;
     cluster.config.accounts.get_mut("kiosk").unwrap().services = vec!["gatess".into()];
     let file = cluster.write_text("bad.json", &cluster.config);
     let base = version_of(&cluster);
@@ -92,7 +92,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn test_request_command_reports_each_of_the_three_states() {
-    let cluster = Cluster::start(Shape::default()).await;
+    let cluster = Cluster::start(ClusterOptions::default()).await;
     let client = cluster.connect(0, "tenant").await;
     client.batch_execute("CREATE TABLE t (n INTEGER)").await.unwrap();
     client.batch_execute("INSERT INTO t VALUES (1) /*request_id='ran'*/").await.unwrap();
@@ -105,12 +105,12 @@
     assert!(run.output.contains("ran once"), "{run:?}");
     let run = ask("never").await;
     assert_eq!(run.code, 3, "{run:?}");
-    // What is told once stays true: the id cannot run any more.
+    // The answer is final: a request with this id can no longer run.
     let late = client.batch_execute("INSERT INTO t VALUES (2) /*request_id='never'*/").await;
     let error = late.unwrap_err();
     assert_eq!(error.code().unwrap().code(), "57014");
     assert_eq!(ask("never").await.code, 3);
-    // No replica receives anything: a write stays in flight.
+    // No replica receives anything, so the write stays in flight.
     for target in &cluster.targets {
         target.log_proxy.set(Behaviour::silent());
     }
@@ -121,15 +121,18 @@
     for target in &cluster.targets {
         target.log_proxy.set(Behaviour::default());
     }
-    let told = waiting.await.unwrap();
-    wait_for("the write is settled", async || [0, 3].contains(&ask("waits").await.code)).await;
+    let outcome = waiting.await.unwrap();
+    wait_for("the outcome of the write is known", async || {
+        [0, 3].contains(&ask("waits").await.code)
+    })
+    .await;
     let ran = ask("waits").await.code == 0;
-    assert!(told.is_err() || ran);
+    assert!(outcome.is_err() || ran);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn test_status_and_burn_report_cover_the_deployment() {
-    let cluster = Cluster::start(Shape::default()).await;
+    let cluster = Cluster::start(ClusterOptions::default()).await;
     let client = cluster.connect(0, "tenant").await;
     for _ in 0..10 {
         client.batch_execute("SELECT 1").await.unwrap();
@@ -152,12 +155,11 @@
     assert!(text.output.contains("database db1: owner entry-"), "{text:?}");
 }
 
-/// Symptom: after an outage of the platform no instance can be replaced.
-/// Sequence: the store is down, an instance starts anew. Cause: it knows the
-/// configuration from the store only.
+/// Guards against an instance that cannot start during an outage of the store, because it
+/// gets the configuration only from the store and not from its peers.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_instance_started_while_the_store_is_down_gets_the_configuration_from_its_peers() {
-    let mut cluster = Cluster::start(Shape::default()).await;
+    let mut cluster = Cluster::start(ClusterOptions::default()).await;
     let version = version_of(&cluster);
     cluster.instances[2].process.as_mut().unwrap().kill();
     cluster.store.set_faults(StoreFaults { down: true, ..StoreFaults::default() });
@@ -170,12 +172,12 @@
     client.batch_execute("SELECT 1").await.unwrap();
 }
 
-/// Symptom: an accepted change is reverted. Sequence: the store comes back
-/// from a backup that holds an older version. Cause: what the store says is
-/// taken without a look at the version.
+/// Guards against a reverted change: the store is restored from a backup with an older
+/// version of the configuration, and an instance applies it without a check of the
+/// version.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_store_restored_to_an_older_version_reverts_nothing() {
-    let mut cluster = Cluster::start(Shape::default()).await;
+    let mut cluster = Cluster::start(ClusterOptions::default()).await;
     let older = cluster.store.get("configuration").unwrap();
     cluster.config.services.get_mut("availability").unwrap().priority = 9;
     let version = cluster.store_configuration("later");
