--- a/daemon/src/command.rs
+++ b/daemon/src/command.rs
@@ -23,7 +23,7 @@
 }
 
 /// Exit code for bad settings.
-const BAD_SETTINGS: u8 = 2;
+const START_FAILED_EXIT_CODE: u8 = 2;
 
 /// Runs the program with the arguments of the process.
 pub fn main() -> ExitCode {
@@ -32,7 +32,7 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
             eprintln!("chervilwharfd: {message}");
-            ExitCode::from(BAD_SETTINGS)
+            ExitCode::from(START_FAILED_EXIT_CODE)
         }
     }
 }
--- a/daemon/src/context.rs
+++ b/daemon/src/context.rs
@@ -53,13 +53,13 @@
     /// Waits for confirmation, by database.
     pub confirmations: Confirmations,
     /// Limits of accounts.
-    pub limits: Mutex<HashMap<Arc<str>, AccountLimits>>,
+    pub account_limits: Mutex<HashMap<Arc<str>, AccountLimits>>,
     /// Set when the instance has to stop.
     pub stopping: watch::Sender<bool>,
     /// Limits how much of the load may be requests sent again.
-    pub retries: Mutex<RetryBudget>,
+    pub retry_budget: Mutex<RetryBudget>,
     /// Set when callers have to go elsewhere: new requests are refused.
-    pub refusing: AtomicBool,
+    pub refuses_requests: AtomicBool,
     /// Requests of callers in progress at this entry.
     pub active_requests: AtomicUsize,
 }
--- a/daemon/src/entry.rs
+++ b/daemon/src/entry.rs
@@ -30,7 +30,7 @@
 const VARIABLE_PREFIX: &str = "chervilwharf.";
 
 /// Time to learn the types of a statement.
-const DESCRIBE_TIME: Duration = Duration::from_secs(5);
+const DESCRIBE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// An interactive transaction as its entry sees it.
 #[derive(Clone, Debug)]
@@ -148,14 +148,17 @@
         };
         // Several statements in one text are one transaction, as PostgreSQL
         // has it; without this half of them could stay when one fails.
-        let controls = statements.iter().any(|(_, class)| {
+        let has_transaction_control = statements.iter().any(|(_, class)| {
             matches!(
                 class,
                 StatementClass::Begin | StatementClass::Commit | StatementClass::Rollback
             )
         });
-        let writes = statements.iter().any(|(_, class)| *class == StatementClass::Write);
-        let implicit = statements.len() > 1 && writes && !controls && self.transaction.is_none();
+        let has_write = statements.iter().any(|(_, class)| *class == StatementClass::Write);
+        let implicit = statements.len() > 1
+            && has_write
+            && !has_transaction_control
+            && self.transaction.is_none();
         let hints = classify::comment_hints(sql);
         if implicit {
             self.begin(&hints);
@@ -192,12 +195,12 @@
             Some(class) => class,
             None => Self::classify(&statement.sql)?,
         };
-        if self.transaction.is_none() && self.context.refusing.load(Ordering::SeqCst) {
+        if self.transaction.is_none() && self.context.refuses_requests.load(Ordering::SeqCst) {
             return Err(failure(ErrorKind::Stopping));
         }
         let aborted = self.transaction.as_ref().is_some_and(|transaction| transaction.aborted);
-        let ends = matches!(class, StatementClass::Rollback | StatementClass::Commit);
-        if aborted && !ends {
+        let ends_transaction = matches!(class, StatementClass::Rollback | StatementClass::Commit);
+        if aborted && !ends_transaction {
             return Err(failure(ErrorKind::TransactionAborted));
         }
         let result = self.dispatch(statement, class, &hints).await;
@@ -332,10 +335,10 @@
         let deadline = hints.deadline.or(self.variables.deadline);
         submit.deadline_ms = deadline
             .map_or(0, |deadline| u64::try_from(deadline.as_millis()).unwrap_or(u64::MAX).max(1));
-        let passed = self.filters.apply(&self.context, &mut submit);
+        let filtered = self.filters.apply(&self.context, &mut submit);
         self.last_request_id = Some(submit.request_id.clone());
         let service: Arc<str> = submit.service.as_str().into();
-        let result = match passed {
+        let result = match filtered {
             Ok(()) => {
                 let _active = ActiveRequest::new(&self.context);
                 forward::submit(&self.context, submit).await
@@ -368,7 +371,7 @@
             account: self.account.to_string(),
             sql: sql.to_owned(),
             parameter_type_oids,
-            deadline_ms: u64::try_from(DESCRIBE_TIME.as_millis()).unwrap_or(u64::MAX),
+            deadline_ms: u64::try_from(DESCRIBE_TIMEOUT.as_millis()).unwrap_or(u64::MAX),
         };
         let mut check = Submit {
             database: self.database.to_string(),
@@ -404,7 +407,7 @@
                 )),
             };
         };
-        let bad = |expected: &str| {
+        let invalid = |expected: &str| {
             let message = format!("bad value \"{value}\" for {variable}, expected {expected}");
             failure_with(ErrorKind::BadStatement, message)
         };
@@ -414,10 +417,10 @@
             "freshness" | "max_age_ms" => {
                 let freshness = classify::parse_freshness(value);
                 let expected = "own_writes, fresh or a number of milliseconds";
-                self.variables.freshness = Some(freshness.ok_or_else(|| bad(expected))?);
+                self.variables.freshness = Some(freshness.ok_or_else(|| invalid(expected))?);
             }
             "deadline_ms" => {
-                let deadline_ms = value.parse().map_err(|_| bad("a number of milliseconds"))?;
+                let deadline_ms = value.parse().map_err(|_| invalid("a number of milliseconds"))?;
                 self.variables.deadline = Some(Duration::from_millis(deadline_ms));
             }
             _ => {
--- a/daemon/src/entry_handlers.rs
+++ b/daemon/src/entry_handlers.rs
@@ -72,13 +72,13 @@
         let filters = filters.clone();
         tokio::spawn(async move {
             context.metrics.client_connections.inc();
-            let caller = Arc::new(Caller::new(context.clone(), filters));
-            let handlers = EntryHandlers(caller.clone());
-            let served = pgwire::tokio::process_socket(socket, None, handlers).await;
-            if let Err(error) = served {
+            let connection = Arc::new(ClientConnection::new(context.clone(), filters));
+            let handlers = EntryHandlers(connection.clone());
+            let processed = pgwire::tokio::process_socket(socket, None, handlers).await;
+            if let Err(error) = processed {
                 debug!("caller {address} ended: {error}");
             }
-            if let Some(session) = caller.session.lock().await.as_mut() {
+            if let Some(session) = connection.session.lock().await.as_mut() {
                 session.close().await;
             }
             context.metrics.client_connections.dec();
@@ -87,21 +87,21 @@
 }
 
 /// One caller's connection.
-struct Caller {
+struct ClientConnection {
     context: Shared,
     filters: Arc<FilterChain>,
     startup: Arc<EntryStartup>,
     session: Mutex<Option<Session>>,
 }
 
-impl Caller {
+impl ClientConnection {
     fn new(context: Shared, filters: Arc<FilterChain>) -> Self {
         let startup = Arc::new(EntryStartup::new(context.clone()));
         Self { context, filters, startup, session: Mutex::new(None) }
     }
 
     /// The session, made with the first statement: the login is over then.
-    fn ensure<'a, C: ClientInfo>(
+    fn get_or_create_session<'a, C: ClientInfo>(
         &self,
         client: &C,
         slot: &'a mut Option<Session>,
@@ -139,7 +139,7 @@
     }
 }
 
-struct EntryHandlers(Arc<Caller>);
+struct EntryHandlers(Arc<ClientConnection>);
 
 impl PgWireServerHandlers for EntryHandlers {
     fn simple_query_handler(&self) -> Arc<impl SimpleQueryHandler> {
@@ -156,7 +156,7 @@
 }
 
 #[async_trait]
-impl SimpleQueryHandler for Caller {
+impl SimpleQueryHandler for ClientConnection {
     async fn do_query<C>(&self, client: &mut C, query: &str) -> PgWireResult<Vec<Response>>
     where
         C: ClientInfo + ClientPortalStore + Sink<PgWireBackendMessage> + Unpin + Send + Sync,
@@ -165,10 +165,10 @@
         PgWireError: From<<C as Sink<PgWireBackendMessage>>::Error>,
     {
         let mut slot = self.session.lock().await;
-        let session = self.ensure(client, &mut slot);
+        let session = self.get_or_create_session(client, &mut slot);
         let (replies, failure) = session.run_text(query).await;
         let mut responses: Vec<Response> =
-            replies.into_iter().map(|reply| respond(reply, &Format::UnifiedText)).collect();
+            replies.into_iter().map(|reply| to_response(reply, &Format::UnifiedText)).collect();
         match failure {
             Some(failure) if kind_of(&failure) == ErrorKind::Stopping => {
                 return Err(to_wire(&failure, session.last_request_id()));
@@ -196,10 +196,10 @@
 }
 
 /// Classifies statements when they are prepared.
-struct EntryParser;
+struct StatementParser;
 
 #[async_trait]
-impl QueryParser for EntryParser {
+impl QueryParser for StatementParser {
     type Statement = ParsedStatement;
 
     async fn parse_sql<C>(
@@ -211,11 +211,12 @@
     where
         C: ClientInfo + Unpin + Send + Sync,
     {
-        let bad = |message: String| to_wire(&failure_with(ErrorKind::BadStatement, message), None);
-        let mut statements = classify::split(sql).map_err(bad)?;
+        let invalid =
+            |message: String| to_wire(&failure_with(ErrorKind::BadStatement, message), None);
+        let mut statements = classify::split(sql).map_err(invalid)?;
         if statements.len() > 1 {
             let message = "cannot insert multiple commands into a prepared statement";
-            return Err(bad(message.to_owned()));
+            return Err(invalid(message.to_owned()));
         }
         let parsed = statements.pop().filter(|(_, class)| *class != StatementClass::Empty);
         Ok(parsed.map(|(sql, class)| ParsedStatement { sql, class }))
@@ -235,12 +236,12 @@
 }
 
 #[async_trait]
-impl ExtendedQueryHandler for Caller {
+impl ExtendedQueryHandler for ClientConnection {
     type Statement = ParsedStatement;
-    type QueryParser = EntryParser;
+    type QueryParser = StatementParser;
 
     fn query_parser(&self) -> Arc<Self::QueryParser> {
-        Arc::new(EntryParser)
+        Arc::new(StatementParser)
     }
 
     async fn do_describe_statement<C>(
@@ -255,10 +256,10 @@
         PgWireError: From<<C as Sink<PgWireBackendMessage>>::Error>,
     {
         let mut slot = self.session.lock().await;
-        let session = self.ensure(client, &mut slot);
+        let session = self.get_or_create_session(client, &mut slot);
         let described = self.columns(session, &target.statement, &target.parameter_types).await;
         let (types, columns) = described?;
-        Ok(DescribeStatementResponse::new(types, fields(&columns, None)))
+        Ok(DescribeStatementResponse::new(types, field_infos(&columns, None)))
     }
 
     async fn do_describe_portal<C>(
@@ -273,11 +274,11 @@
         PgWireError: From<<C as Sink<PgWireBackendMessage>>::Error>,
     {
         let mut slot = self.session.lock().await;
-        let session = self.ensure(client, &mut slot);
+        let session = self.get_or_create_session(client, &mut slot);
         let statement = &target.statement;
         let described = self.columns(session, &statement.statement, &statement.parameter_types);
         let (_, columns) = described.await?;
-        Ok(DescribePortalResponse::new(fields(&columns, Some(&target.result_column_format))))
+        Ok(DescribePortalResponse::new(field_infos(&columns, Some(&target.result_column_format))))
     }
 
     async fn do_query<C>(
@@ -293,15 +294,15 @@
         PgWireError: From<<C as Sink<PgWireBackendMessage>>::Error>,
     {
         let mut slot = self.session.lock().await;
-        let session = self.ensure(client, &mut slot);
+        let session = self.get_or_create_session(client, &mut slot);
         let parsed = &portal.statement.statement;
         let statement = Statement {
             sql: parsed.sql.clone(),
             class: Some(parsed.class.clone()),
-            submit: bound(portal),
+            submit: submit_from_portal(portal),
         };
         match session.run(statement).await {
-            Ok(reply) => Ok(respond(reply, &portal.result_column_format)),
+            Ok(reply) => Ok(to_response(reply, &portal.result_column_format)),
             Err(failure) => Err(to_wire(&failure, session.last_request_id())),
         }
     }
@@ -312,7 +313,7 @@
 }
 
 /// Parameters of a portal, untouched: the server decodes them.
-fn bound(portal: &Portal<ParsedStatement>) -> Submit {
+fn submit_from_portal(portal: &Portal<ParsedStatement>) -> Submit {
     let parameters = portal.parameters.iter().map(|value| Parameter {
         null: value.is_none(),
         value: value.as_ref().map(|bytes| bytes.to_vec()).unwrap_or_default(),
@@ -334,7 +335,7 @@
     }
 }
 
-fn fields(columns: &[Column], format: Option<&Format>) -> Vec<FieldInfo> {
+fn field_infos(columns: &[Column], format: Option<&Format>) -> Vec<FieldInfo> {
     columns
         .iter()
         .enumerate()
@@ -359,7 +360,7 @@
     }
 }
 
-fn respond(reply: Reply, format: &Format) -> Response {
+fn to_response(reply: Reply, format: &Format) -> Response {
     match reply {
         Reply::Empty => Response::EmptyQuery,
         Reply::Begun => Response::TransactionStart(Tag::new("BEGIN")),
@@ -371,7 +372,7 @@
 }
 
 fn rows_response(result: StatementResult) -> Response {
-    let schema = Arc::new(fields(&result.columns, None));
+    let schema = Arc::new(field_infos(&result.columns, None));
     let rows = result.rows.into_iter().map(|row| {
         let data = BytesMut::from(row.data.as_slice());
         Ok(DataRow::new(data, i16::try_from(row.column_count).unwrap_or(i16::MAX)))
@@ -384,7 +385,7 @@
 }
 
 fn value_response(name: &str, value: &str, format: &Format) -> Response {
-    let schema = Arc::new(fields(&[text_column(name)], Some(format)));
+    let schema = Arc::new(field_infos(&[text_column(name)], Some(format)));
     let mut encoder = DataRowEncoder::new(schema.clone());
     let row = encoder.encode_field(&value).map(|()| encoder.take_row());
     let mut response = QueryResponse::new(schema, stream::iter(vec![row]));
--- a/daemon/src/entry_startup.rs
+++ b/daemon/src/entry_startup.rs
@@ -104,7 +104,7 @@
 
 impl Drop for ConnectionCount {
     fn drop(&mut self) {
-        let mut limits = self.context.limits.lock().expect("never poisoned");
+        let mut limits = self.context.account_limits.lock().expect("never poisoned");
         if let Some(limits) = limits.get_mut(&self.account) {
             limits.disconnect();
         }
@@ -115,7 +115,7 @@
 pub struct EntryStartup {
     context: Shared,
     scram: SASLAuthStartupHandler<DefaultServerParameterProvider>,
-    count: Mutex<Option<ConnectionCount>>,
+    connection_count: Mutex<Option<ConnectionCount>>,
 }
 
 impl EntryStartup {
@@ -125,13 +125,13 @@
         let verifiers = Arc::new(Verifiers { context: context.clone() });
         let parameters = Arc::new(DefaultServerParameterProvider::default());
         let scram = SASLAuthStartupHandler::new(parameters).with_scram(ScramAuth::new(verifiers));
-        Self { context, scram, count: Mutex::new(None) }
+        Self { context, scram, connection_count: Mutex::new(None) }
     }
 
     /// Checks what can only be checked once the caller has proved who it is.
     fn admit<C: ClientInfo>(&self, client: &C) -> PgWireResult<()> {
-        let field = |name: &str| client.metadata().get(name).map_or("", String::as_str);
-        let (name, database) = (field(METADATA_USER), field(METADATA_DATABASE));
+        let metadata_value = |name: &str| client.metadata().get(name).map_or("", String::as_str);
+        let (name, database) = (metadata_value(METADATA_USER), metadata_value(METADATA_DATABASE));
         let active = self.context.config();
         if !active.config.databases.contains_key(database) {
             let message = format!("database \"{database}\" does not exist");
@@ -141,15 +141,15 @@
             return Err(fatal(&failure(ErrorKind::NotAllowed)));
         };
         let id: Arc<str> = name.into();
-        let mut limits = self.context.limits.lock().expect("never poisoned");
+        let mut limits = self.context.account_limits.lock().expect("never poisoned");
         let entry = limits
             .entry(id.clone())
             .or_insert_with(|| AccountLimits::new(Instant::now(), account.requests_per_s));
         if !entry.try_connect(account.max_connections) {
             return Err(fatal(&failure(ErrorKind::TooManyConnections)));
         }
-        let count = ConnectionCount { context: self.context.clone(), account: id };
-        *self.count.lock().expect("never poisoned") = Some(count);
+        let connection_count = ConnectionCount { context: self.context.clone(), account: id };
+        *self.connection_count.lock().expect("never poisoned") = Some(connection_count);
         Ok(())
     }
 }
--- a/daemon/src/filter.rs
+++ b/daemon/src/filter.rs
@@ -52,7 +52,7 @@
                 Box::new(SizeFilter),
                 Box::new(AccessFilter),
                 Box::new(RateFilter),
-                Box::new(NameFilter),
+                Box::new(RequestIdFilter),
                 Box::new(DefaultsFilter),
             ],
         }
@@ -133,7 +133,7 @@
             return Err(failure(ErrorKind::NotAllowed));
         };
         let now = Instant::now();
-        let mut limits = context.limits.lock().expect("never poisoned");
+        let mut limits = context.account_limits.lock().expect("never poisoned");
         let limits = limits
             .entry(submit.account.as_str().into())
             .or_insert_with(|| AccountLimits::new(now, account.requests_per_s));
@@ -144,9 +144,9 @@
 }
 
 /// Gives every request a name, so that one can ask what became of it.
-struct NameFilter;
+struct RequestIdFilter;
 
-impl Filter for NameFilter {
+impl Filter for RequestIdFilter {
     fn apply(&self, _: &Context, _: &ActiveConfig, submit: &mut Submit) -> Result<(), Failure> {
         if submit.request_id.is_empty() {
             submit.request_id = Uuid::now_v7().to_string();
--- a/daemon/src/forward.rs
+++ b/daemon/src/forward.rs
@@ -32,14 +32,14 @@
 use crate::owner::EXPECTED_GAP;
 
 /// Pause before another look for the owner.
-const PAUSE: Duration = Duration::from_millis(10);
+const RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
 /// The owner's own deadline ends this much before the caller's, so that its
 /// answer still arrives.
 const ANSWER_MARGIN: Duration = Duration::from_millis(20);
 
 /// An inquiry is given up after this time.
-const INQUIRY_TIME: Duration = Duration::from_secs(6);
+const INQUIRY_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// Freshness as message.
 #[must_use]
@@ -55,59 +55,59 @@
 
 /// Where a database is owned, as far as this entry knows.
 enum Owner {
-    Here,
-    At(InstanceId),
+    Local,
+    Remote(InstanceId),
     Unknown,
 }
 
 fn find_owner(context: &Shared, database: &str) -> Owner {
-    let here = context
+    let owned_locally = context
         .databases
         .with_database(database, |state| state.ownership.is_engaged())
         .unwrap_or(false);
-    if here {
-        return Owner::Here;
+    if owned_locally {
+        return Owner::Local;
     }
     let membership = context.databases.instance.membership();
     match membership.owner(database) {
         Some(record) if record.owner == membership.me().id => Owner::Unknown,
-        Some(record) => Owner::At(record.owner.clone()),
+        Some(record) => Owner::Remote(record.owner.clone()),
         None => Owner::Unknown,
     }
 }
 
 /// What one try of sending a request gave.
-enum Sent {
+enum SendOutcome {
     Answered(Result<StatementResult, Failure>),
     /// Nothing reached an owner.
-    Unsent,
+    NotSent,
     /// It may have reached an owner.
-    Lost,
+    AnswerLost,
 }
 
-async fn send_once(context: &Shared, submit: &Submit, deadline: Instant) -> Sent {
+async fn send_once(context: &Shared, submit: &Submit, deadline: Instant) -> SendOutcome {
     let owner = find_owner(context, &submit.database);
     match owner {
-        Owner::Here => {
+        Owner::Local => {
             // On the heap: idle callers would hold its space otherwise.
             let answer = Box::pin(dispatch::serve(context.clone(), submit.clone())).await;
-            Sent::Answered(from_answer(answer))
+            SendOutcome::Answered(from_answer(answer))
         }
-        Owner::Unknown => Sent::Unsent,
-        Owner::At(instance) => {
+        Owner::Unknown => SendOutcome::NotSent,
+        Owner::Remote(instance) => {
             let wait = deadline.saturating_duration_since(Instant::now()) + ANSWER_MARGIN;
             let body = Body::Submit(submit.clone());
             match context.links.call(&instance, body, wait).await {
-                Ok(Body::Answer(answer)) => Sent::Answered(from_answer(answer)),
-                Err(LinkError::NotSent) => Sent::Unsent,
-                Ok(_) | Err(LinkError::Broken | LinkError::TimedOut) => Sent::Lost,
+                Ok(Body::Answer(answer)) => SendOutcome::Answered(from_answer(answer)),
+                Err(LinkError::NotSent) => SendOutcome::NotSent,
+                Ok(_) | Err(LinkError::Broken | LinkError::TimedOut) => SendOutcome::AnswerLost,
             }
         }
     }
 }
 
 /// Learns from a refusal who owns the database.
-fn learn_owner(context: &Shared, database: &str, failure: &Failure) {
+fn record_owner(context: &Shared, database: &str, failure: &Failure) {
     if failure.owner.is_empty() {
         return;
     }
@@ -127,61 +127,62 @@
     let deadline = Instant::now() + Duration::from_millis(submit.deadline_ms);
     let began = Instant::now();
     let mut maybe_running = false;
-    context.retries.lock().expect("never poisoned").record_request();
+    context.retry_budget.lock().expect("never poisoned").record_request();
     loop {
         let left = deadline.saturating_duration_since(Instant::now());
         submit.deadline_ms =
             u64::try_from(left.saturating_sub(ANSWER_MARGIN).as_millis()).unwrap_or(u64::MAX);
         submit.resend = maybe_running;
-        let last = match send_once(context, &submit, deadline).await {
-            Sent::Answered(Ok(result)) => return Ok(result),
-            Sent::Answered(Err(failure)) => {
-                if !is_worth_another_try(&failure) {
+        let last_failure = match send_once(context, &submit, deadline).await {
+            SendOutcome::Answered(Ok(result)) => return Ok(result),
+            SendOutcome::Answered(Err(failure)) => {
+                if !should_retry(&failure) {
                     return Err(failure);
                 }
-                learn_owner(context, &submit.database, &failure);
+                record_owner(context, &submit.database, &failure);
                 maybe_running |= failure.maybe_ran;
                 failure
             }
-            Sent::Unsent => failure(ErrorKind::NoPrimary),
-            Sent::Lost => {
+            SendOutcome::NotSent => failure(ErrorKind::NoPrimary),
+            SendOutcome::AnswerLost => {
                 if submit.kind() == StatementKind::InTransaction {
                     return Err(failure(ErrorKind::TransactionLost));
                 }
                 maybe_running = true;
-                if !context.retries.lock().expect("never poisoned").try_retry() {
-                    return Err(give_up(&submit, failure(ErrorKind::OutcomeUnknown), true));
+                if !context.retry_budget.lock().expect("never poisoned").try_retry() {
+                    return Err(final_failure(&submit, failure(ErrorKind::OutcomeUnknown), true));
                 }
                 failure(ErrorKind::OutcomeUnknown)
             }
         };
         let now = Instant::now();
-        let too_late = now + PAUSE >= deadline;
+        let deadline_near = now + RETRY_INTERVAL >= deadline;
         // Without an owner for longer than a takeover lasts, the caller is
         // better off knowing now.
-        let hopeless = now.saturating_duration_since(began) >= EXPECTED_GAP && !maybe_running;
-        if too_late || hopeless {
-            return Err(give_up(&submit, last, maybe_running));
+        let failover_overdue =
+            now.saturating_duration_since(began) >= EXPECTED_GAP && !maybe_running;
+        if deadline_near || failover_overdue {
+            return Err(final_failure(&submit, last_failure, maybe_running));
         }
         context.metrics.retries.inc();
         let changed = context.databases.changed.notified();
-        let _ = tokio::time::timeout(PAUSE, changed).await;
+        let _ = tokio::time::timeout(RETRY_INTERVAL, changed).await;
     }
 }
 
 /// A request that may be running somewhere is never called "not run".
-fn give_up(submit: &Submit, last: Failure, maybe_running: bool) -> Failure {
+fn final_failure(submit: &Submit, last_failure: Failure, maybe_running: bool) -> Failure {
     let is_read = submit.kind() == StatementKind::Read;
     if maybe_running && !is_read {
         return failure(ErrorKind::OutcomeUnknown);
     }
-    if is_read && kind_of(&last).rule().outcome == Outcome::Unknown {
+    if is_read && kind_of(&last_failure).rule().outcome == Outcome::Unknown {
         return failure(ErrorKind::NoPrimary);
     }
-    last
+    last_failure
 }
 
-fn is_worth_another_try(failure: &Failure) -> bool {
+fn should_retry(failure: &Failure) -> bool {
     matches!(kind_of(failure), ErrorKind::NotOwner | ErrorKind::Stopping)
 }
 
@@ -194,11 +195,11 @@
     let deadline = Instant::now() + Duration::from_millis(describe.deadline_ms);
     loop {
         let answer = match find_owner(context, &describe.database) {
-            Owner::Here => {
+            Owner::Local => {
                 Some(Box::pin(dispatch::describe(context.clone(), describe.clone())).await)
             }
             Owner::Unknown => None,
-            Owner::At(instance) => {
+            Owner::Remote(instance) => {
                 let body = Body::Describe(describe.clone());
                 let wait = deadline.saturating_duration_since(Instant::now());
                 match context.links.call(&instance, body, wait).await {
@@ -207,27 +208,27 @@
                 }
             }
         };
-        let last = match answer.map(from_answer) {
+        let last_failure = match answer.map(from_answer) {
             Some(Ok(result)) => return Ok(result),
-            Some(Err(failure)) if !is_worth_another_try(&failure) => return Err(failure),
+            Some(Err(failure)) if !should_retry(&failure) => return Err(failure),
             Some(Err(failure)) => {
-                learn_owner(context, &describe.database, &failure);
+                record_owner(context, &describe.database, &failure);
                 failure
             }
             None => failure(ErrorKind::NoPrimary),
         };
-        if Instant::now() + PAUSE >= deadline {
-            return Err(last);
+        if Instant::now() + RETRY_INTERVAL >= deadline {
+            return Err(last_failure);
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_INTERVAL).await;
     }
 }
 
 /// Rolls an interactive transaction back, wherever it lives.
 pub async fn roll_back(context: &Shared, database: &str, transaction_id: &str) {
     match find_owner(context, database) {
-        Owner::Here => context.transactions.roll_back(transaction_id),
-        Owner::At(instance) => {
+        Owner::Local => context.transactions.roll_back(transaction_id),
+        Owner::Remote(instance) => {
             let rollback = Rollback {
                 database: database.to_owned(),
                 transaction_id: transaction_id.to_owned(),
@@ -241,12 +242,12 @@
 
 /// Asks what became of a request.
 pub async fn inquire(context: &Shared, inquiry: Inquiry) -> InquiryReply {
-    let deadline = Instant::now() + INQUIRY_TIME;
+    let deadline = Instant::now() + INQUIRY_TIMEOUT;
     loop {
         let reply = match find_owner(context, &inquiry.database) {
-            Owner::Here => Some(inquiry::answer(context.clone(), inquiry.clone()).await),
+            Owner::Local => Some(inquiry::answer(context.clone(), inquiry.clone()).await),
             Owner::Unknown => None,
-            Owner::At(instance) => {
+            Owner::Remote(instance) => {
                 let body = Body::Inquiry(inquiry.clone());
                 let wait = deadline.saturating_duration_since(Instant::now());
                 match context.links.call(&instance, body, wait).await {
@@ -258,17 +259,17 @@
         let retry = match &reply {
             None => true,
             Some(reply) => reply.failure.as_ref().is_some_and(|failure| {
-                learn_owner(context, &inquiry.database, failure);
-                is_worth_another_try(failure)
+                record_owner(context, &inquiry.database, failure);
+                should_retry(failure)
             }),
         };
         match reply {
             Some(reply) if !retry => return reply,
-            _ if Instant::now() + PAUSE >= deadline => {
+            _ if Instant::now() + RETRY_INTERVAL >= deadline => {
                 let failure = Some(failure(ErrorKind::NoPrimary));
                 return InquiryReply { failure, ..InquiryReply::default() };
             }
-            _ => tokio::time::sleep(PAUSE).await,
+            _ => tokio::time::sleep(RETRY_INTERVAL).await,
         }
     }
 }
--- a/daemon/src/link.rs
+++ b/daemon/src/link.rs
@@ -43,7 +43,7 @@
 
 /// A link without an answer to a heartbeat for this long is given up for a
 /// new one: it can have gone silent while a new connection would work.
-const SILENT_LINK: Duration = Duration::from_millis(450);
+const HEARTBEAT_ANSWER_TIMEOUT: Duration = Duration::from_millis(450);
 
 /// Why an exchange got no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -86,7 +86,7 @@
 
 impl LinkIdentity {
     /// Link numbers grow over restarts too: they start from the clock.
-    fn first_link_number(&self) -> u64 {
+    fn link_number_base(&self) -> u64 {
         let started = since_epoch().saturating_sub(self.started_at.elapsed());
         u64::try_from(started.as_millis()).unwrap_or(0) << 16
     }
@@ -97,7 +97,7 @@
     identity: LinkIdentity,
     databases: Arc<Databases>,
     counters: LinkCounters,
-    open: tokio::sync::Mutex<HashMap<InstanceId, Arc<Link>>>,
+    links_by_peer: tokio::sync::Mutex<HashMap<InstanceId, Arc<Link>>>,
     next_number: AtomicU64,
 }
 
@@ -136,7 +136,7 @@
             identity,
             databases,
             counters,
-            open: tokio::sync::Mutex::default(),
+            links_by_peer: tokio::sync::Mutex::default(),
             next_number: AtomicU64::new(0),
         }
     }
@@ -163,13 +163,13 @@
         let exchange_id = link.next_exchange.fetch_add(1, Ordering::Relaxed);
         let (sender, receiver) = oneshot::channel();
         link.pending.lock().expect("never poisoned").insert(exchange_id, sender);
-        let _forget = Forget { pending: &link.pending, exchange_id };
+        let _pending_guard = PendingGuard { pending: &link.pending, exchange_id };
         let bytes = encode(exchange_id, body);
         self.counters.count(&bytes, is_control);
         if link.outgoing.send(bytes).is_err() {
             return Err(LinkError::NotSent);
         }
-        let wait = if is_control { timeout.min(SILENT_LINK) } else { timeout };
+        let wait = if is_control { timeout.min(HEARTBEAT_ANSWER_TIMEOUT) } else { timeout };
         match tokio::time::timeout(wait, receiver).await {
             Ok(Ok(body)) => Ok(body),
             Ok(Err(_)) => Err(LinkError::Broken),
@@ -191,7 +191,7 @@
     }
 
     async fn drop_link(&self, peer: &InstanceId, link: &Arc<Link>) {
-        let mut links = self.open.lock().await;
+        let mut links = self.links_by_peer.lock().await;
         if links.get(peer).is_some_and(|current| Arc::ptr_eq(current, link)) {
             links.remove(peer);
         }
@@ -201,15 +201,15 @@
 
     async fn link(&self, peer: &InstanceId) -> Option<Arc<Link>> {
         let address = self.databases.instance.membership().peer(peer)?.address.clone();
-        if let Some(link) = self.open_link(peer, &address).await {
+        if let Some(link) = self.find_open_link(peer, &address).await {
             return Some(link);
         }
         // Connected without the lock, so that one dead instance does not
         // hold up the links to all others.
         let number =
-            self.next_number.fetch_add(1, Ordering::Relaxed) + self.identity.first_link_number();
+            self.next_number.fetch_add(1, Ordering::Relaxed) + self.identity.link_number_base();
         let link = connect(&self.identity, address, number).await?;
-        let mut links = self.open.lock().await;
+        let mut links = self.links_by_peer.lock().await;
         if let Some(other) = links.get(peer).filter(|other| other.is_open()) {
             return Some(other.clone());
         }
@@ -217,18 +217,18 @@
         Some(link)
     }
 
-    async fn open_link(&self, peer: &InstanceId, address: &str) -> Option<Arc<Link>> {
-        let links = self.open.lock().await;
+    async fn find_open_link(&self, peer: &InstanceId, address: &str) -> Option<Arc<Link>> {
+        let links = self.links_by_peer.lock().await;
         links.get(peer).filter(|link| link.is_open() && *link.address == *address).cloned()
     }
 }
 
-struct Forget<'a> {
+struct PendingGuard<'a> {
     pending: &'a Pending,
     exchange_id: u64,
 }
 
-impl Drop for Forget<'_> {
+impl Drop for PendingGuard<'_> {
     fn drop(&mut self) {
         self.pending.lock().expect("never poisoned").remove(&self.exchange_id);
     }
@@ -249,12 +249,12 @@
     let pending: Arc<Pending> = Arc::default();
     let link =
         Link { outgoing, pending: pending.clone(), next_exchange: AtomicU64::new(1), address };
-    tokio::spawn(drive(framed, queue, pending));
+    tokio::spawn(run_link(framed, queue, pending));
     Some(Arc::new(link))
 }
 
 /// Moves frames until the connection breaks or nobody holds the link.
-async fn drive(
+async fn run_link(
     framed: Framed<TcpStream, LengthDelimitedCodec>,
     mut queue: mpsc::UnboundedReceiver<Bytes>,
     pending: Arc<Pending>,
--- a/daemon/src/link_server.rs
+++ b/daemon/src/link_server.rs
@@ -36,15 +36,15 @@
 const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A handover is accepted or refused within this time.
-const HANDOVER_TIME: Duration = Duration::from_millis(900);
+const HANDOVER_ANSWER_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// The newest link of each instance.
 #[derive(Default)]
-struct Newest {
+struct NewestLinks {
     by_instance: Mutex<HashMap<String, (u64, oneshot::Sender<()>)>>,
 }
 
-impl Newest {
+impl NewestLinks {
     /// Registers a link. An older one of the same instance is closed: what
     /// is still on its way there was sent again on this one, and must not
     /// arrive after its sender has given it up.
@@ -59,11 +59,11 @@
     }
 }
 
-static NEXT_LINK: AtomicU64 = AtomicU64::new(1);
+static NEXT_LINK_ID: AtomicU64 = AtomicU64::new(1);
 
 /// Accepts links for ever.
 pub async fn accept(context: Shared, listener: TcpListener) {
-    let newest: Arc<Newest> = Arc::default();
+    let newest: Arc<NewestLinks> = Arc::default();
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             tokio::time::sleep(Duration::from_millis(10)).await;
@@ -74,7 +74,7 @@
     }
 }
 
-async fn serve(context: Shared, stream: TcpStream, newest: Arc<Newest>) {
+async fn serve(context: Shared, stream: TcpStream, newest: Arc<NewestLinks>) {
     let mut framed = Framed::new(stream, link::codec());
     let first = tokio::time::timeout(HELLO_TIMEOUT, framed.next()).await;
     let Ok(Some(Ok(bytes))) = first else {
@@ -88,7 +88,7 @@
     let Some(mut superseded) = newest.register(&instance, number) else {
         return;
     };
-    let link_id = NEXT_LINK.fetch_add(1, Ordering::Relaxed);
+    let link_id = NEXT_LINK_ID.fetch_add(1, Ordering::Relaxed);
     let (answers, mut queue) = mpsc::unbounded_channel::<Bytes>();
     let (mut sink, mut stream) = framed.split();
     loop {
@@ -174,11 +174,11 @@
     let database = offer.database.as_str().into();
     if offer.prepare {
         let prepare = control::prepare_connections(context, &database);
-        let accepted = tokio::time::timeout(HANDOVER_TIME, prepare).await.is_ok();
+        let accepted = tokio::time::timeout(HANDOVER_ANSWER_TIMEOUT, prepare).await.is_ok();
         return Body::HandoverReply(HandoverReply { accepted });
     }
     context.databases.handle(InstanceEvent::HandoverOffered { database, term: offer.term });
-    let deadline = tokio::time::Instant::now() + HANDOVER_TIME;
+    let deadline = tokio::time::Instant::now() + HANDOVER_ANSWER_TIMEOUT;
     let mut accepted = false;
     while tokio::time::Instant::now() < deadline {
         let changed = context.databases.changed.notified();
--- a/daemon/src/platform_sync.rs
+++ b/daemon/src/platform_sync.rs
@@ -88,28 +88,28 @@
 const WATCH_WAIT: Duration = Duration::from_secs(20);
 
 /// Pause after a failed call to the store.
-const STORE_PAUSE: Duration = Duration::from_millis(300);
+const STORE_RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// Instances of a failure domain that watch the store for the others.
 const RELAYS_PER_DOMAIN: usize = 2;
 
 /// How often one who does not watch looks whether it became a relay.
-const RELAY_CHECK: Duration = Duration::from_millis(500);
+const RELAY_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Tries to write who owns a database. After that the next change of owner
 /// will write it; the record is only a hint.
-const PUBLISH_TRIES: usize = 5;
+const PUBLISH_ATTEMPTS: usize = 5;
 
 /// Pause between those tries.
-const PUBLISH_PAUSE: Duration = Duration::from_millis(500);
+const PUBLISH_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Follows the configuration for ever.
-pub async fn follow_configuration(context: Shared) {
-    let mut reported_down = false;
+pub async fn watch_configuration(context: Shared) {
+    let mut outage_logged = false;
     loop {
         let version = context.config().version;
         if version > 0 && !is_relay(&context) {
-            tokio::time::sleep(RELAY_CHECK).await;
+            tokio::time::sleep(RELAY_CHECK_INTERVAL).await;
             continue;
         }
         context.metrics.store_calls.inc();
@@ -121,17 +121,17 @@
         };
         match stored {
             Ok(Some(stored)) => {
-                reported_down = false;
-                take_stored(&context, &stored).await;
+                outage_logged = false;
+                apply_stored(&context, &stored).await;
             }
-            Ok(None) if version == 0 => tokio::time::sleep(STORE_PAUSE).await,
-            Ok(None) => reported_down = false,
+            Ok(None) if version == 0 => tokio::time::sleep(STORE_RETRY_DELAY).await,
+            Ok(None) => outage_logged = false,
             Err(error) => {
-                if !reported_down {
+                if !outage_logged {
                     warn!("store unavailable: {error}");
-                    reported_down = true;
+                    outage_logged = true;
                 }
-                tokio::time::sleep(STORE_PAUSE).await;
+                tokio::time::sleep(STORE_RETRY_DELAY).await;
             }
         }
     }
@@ -153,25 +153,25 @@
     ranked.iter().take(RELAYS_PER_DOMAIN).any(|id| *id == me.id)
 }
 
-async fn take_stored(context: &Shared, stored: &Versioned) {
+async fn apply_stored(context: &Shared, stored: &Versioned) {
     let active = context.config().version;
     if stored.version < active {
         // Restored from a backup, most likely. Going back would revert what
         // was accepted; an operator has to apply the text again.
         error!("store holds configuration {} but {active} is in force; kept", stored.version);
-        tokio::time::sleep(STORE_PAUSE * 10).await;
+        tokio::time::sleep(STORE_RETRY_DELAY * 10).await;
         return;
     }
     match serde_json::from_str::<StoredConfiguration>(&stored.value) {
-        Ok(configuration) => take_text(context, stored.version, &configuration.text),
+        Ok(configuration) => apply_text(context, stored.version, &configuration.text),
         Err(error) => {
             error!("configuration {} cannot be read: {error}", stored.version);
-            tokio::time::sleep(STORE_PAUSE * 10).await;
+            tokio::time::sleep(STORE_RETRY_DELAY * 10).await;
         }
     }
 }
 
-fn take_text(context: &Shared, version: ConfigVersion, text: &str) {
+fn apply_text(context: &Shared, version: ConfigVersion, text: &str) {
     let checked = config_check::check(text);
     let Some(config) = checked.config else {
         let first = checked.findings.first().map(ToString::to_string).unwrap_or_default();
@@ -194,13 +194,13 @@
     let answer = context.links.call(&peer, Body::ConfigurationPull(pull), timeout).await;
     if let Ok(Body::Configuration(configuration)) = answer {
         if configuration.version > context.config().version {
-            take_text(&context, configuration.version, &configuration.text);
+            apply_text(&context, configuration.version, &configuration.text);
         }
     }
 }
 
 /// Follows the list of instances for ever.
-pub async fn follow_instances(context: Shared) {
+pub async fn watch_instances(context: Shared) {
     let mut version = 0;
     loop {
         context.metrics.store_calls.inc();
@@ -216,7 +216,7 @@
                 }
             }
             Ok(None) => {}
-            Err(_) => tokio::time::sleep(STORE_PAUSE).await,
+            Err(_) => tokio::time::sleep(STORE_RETRY_DELAY).await,
         }
     }
 }
@@ -233,7 +233,7 @@
 }
 
 /// Reads the last known owners once, at the start.
-pub async fn read_owners(context: Shared) {
+pub async fn load_owners(context: Shared) {
     for database in context.databases.instance.database_ids() {
         context.metrics.store_calls.inc();
         if let Ok(Some(stored)) = context.platform.get(&owner_key(&database)).await {
@@ -251,7 +251,7 @@
     let owner = StoredOwner { owner: record.owner.clone(), term: record.term };
     let value = serde_json::to_string(&owner).unwrap_or_default();
     let mut expected = 0;
-    for _ in 0..PUBLISH_TRIES {
+    for _ in 0..PUBLISH_ATTEMPTS {
         context.metrics.store_calls.inc();
         match context.platform.put(&key, &value, expected).await {
             Ok(_) => return,
@@ -262,7 +262,7 @@
                 }
                 expected = current.version;
             }
-            Err(_) => tokio::time::sleep(PUBLISH_PAUSE).await,
+            Err(_) => tokio::time::sleep(PUBLISH_RETRY_DELAY).await,
         }
     }
 }
--- a/daemon/src/serving.rs
+++ b/daemon/src/serving.rs
@@ -41,12 +41,12 @@
 
 impl Drop for WorkGuard {
     fn drop(&mut self) {
-        let awaited = self.databases.with_database(&self.database, |state| {
+        let is_last_before_handover = self.databases.with_database(&self.database, |state| {
             state.in_progress = state.in_progress.saturating_sub(1);
             state.gate == Gate::Closed && state.in_progress == 0
         });
         // Only a handover waits for the last request in progress.
-        if awaited == Some(true) {
+        if is_last_before_handover == Some(true) {
             self.databases.changed.notify_waiters();
         }
     }
--- a/daemon/src/start.rs
+++ b/daemon/src/start.rs
@@ -65,7 +65,7 @@
 }
 
 /// Longest wait for handovers at a planned stop.
-const STOP_LIMIT: Duration = Duration::from_secs(20);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Requests sent again, as a share of first tries.
 const RETRY_SHARE_PERCENT: u64 = 20;
@@ -76,7 +76,7 @@
 
 /// Time in which callers that are at work are told to go elsewhere. Those
 /// that stay silent for so long have no request in progress.
-const CLOSING_TIME: Duration = Duration::from_secs(2);
+const CLIENT_CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
 
 async fn listen(
     name: &'static str,
@@ -98,14 +98,14 @@
         let (clients, client_address) = listen("client_address", settings.client_address).await?;
         let (peers, peer_address) = listen("peer_address", settings.peer_address).await?;
         let (operators, admin_address) = listen("admin_address", settings.admin_address).await?;
-        let (context, actions) = build(settings, peer_address, admin_address);
-        seed(&context);
+        let (context, actions) = build_context(settings, peer_address, admin_address);
+        add_seed_instances(&context);
         tokio::spawn(control::run(context.clone(), actions));
         tokio::spawn(link_server::accept(context.clone(), peers));
         tokio::spawn(admin::serve(context.clone(), operators));
-        tokio::spawn(platform_sync::follow_instances(context.clone()));
-        tokio::spawn(platform_sync::follow_configuration(context.clone()));
-        tokio::spawn(read_owners_once_configured(context.clone()));
+        tokio::spawn(platform_sync::watch_instances(context.clone()));
+        tokio::spawn(platform_sync::watch_configuration(context.clone()));
+        tokio::spawn(load_owners_once_configured(context.clone()));
         tokio::spawn(entry_handlers::accept(context.clone(), clients));
         info!("started instance={}", context.settings.instance);
         Ok(Self { context, client_address, peer_address, admin_address })
@@ -124,14 +124,14 @@
         info!("stopping instance={}", context.settings.instance);
         context.stopping.send_replace(true);
         context.databases.handle(InstanceEvent::Leave);
-        let deadline = Instant::now() + STOP_LIMIT;
+        let deadline = Instant::now() + DRAIN_TIMEOUT;
         while Instant::now() < deadline && !is_idle(context) {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
         // Whoever sends a request from now on is told that it did not run,
         // and loses its connection with that answer instead of in the middle.
-        context.refusing.store(true, Ordering::SeqCst);
-        let deadline = Instant::now() + CLOSING_TIME;
+        context.refuses_requests.store(true, Ordering::SeqCst);
+        let deadline = Instant::now() + CLIENT_CLOSE_TIMEOUT;
         while Instant::now() < deadline && context.metrics.client_connections.get() > 0 {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
@@ -141,14 +141,14 @@
 
 /// Whether nothing is owned and no request of a caller is in progress.
 fn is_idle(context: &Shared) -> bool {
-    let alone =
+    let no_peer_available =
         context.databases.instance.membership().peers().all(|(peer, alive)| !alive || peer.leaving);
     let owns = !context.databases.instance.owned().is_empty();
     let busy = context.active_requests.load(Ordering::SeqCst) > 0;
-    (!owns || alone) && !busy
+    (!owns || no_peer_available) && !busy
 }
 
-fn build(
+fn build_context(
     settings: Settings,
     peer_address: SocketAddr,
     admin_address: SocketAddr,
@@ -162,11 +162,11 @@
         leaving: false,
         configuration_version: 0,
     };
-    let life = uuid::Uuid::now_v7().to_string();
+    let incarnation = uuid::Uuid::now_v7().to_string();
     let (actions, queue) = mpsc::unbounded_channel();
     let platform = HttpPlatform::new(settings.store_url.clone());
     let instance =
-        Instance::new(me, &life, MembershipTiming::default(), OwnershipTiming::default());
+        Instance::new(me, &incarnation, MembershipTiming::default(), OwnershipTiming::default());
     let databases = Arc::new(Databases::new(instance, actions));
     let metrics = Metrics::new();
     let identity = LinkIdentity {
@@ -183,10 +183,10 @@
         in_flight: Arc::default(),
         transactions: Transactions::default(),
         confirmations: Confirmations::default(),
-        limits: HashMap::new().into(),
+        account_limits: HashMap::new().into(),
         stopping: watch::Sender::new(false),
-        retries: RetryBudget::new(RETRY_SHARE_PERCENT, RETRY_BURST).into(),
-        refusing: false.into(),
+        retry_budget: RetryBudget::new(RETRY_SHARE_PERCENT, RETRY_BURST).into(),
+        refuses_requests: false.into(),
         active_requests: 0.into(),
         settings,
     };
@@ -194,7 +194,7 @@
 }
 
 /// Learns of the instances named in the settings.
-fn seed(context: &Shared) {
+fn add_seed_instances(context: &Shared) {
     let seeds = context.settings.seeds.iter().map(|seed| PeerInfo {
         id: seed.instance.clone(),
         address: seed.peer_address.clone(),
@@ -206,10 +206,10 @@
     context.databases.instance.membership().learn(Instant::now(), seeds);
 }
 
-async fn read_owners_once_configured(context: Shared) {
+async fn load_owners_once_configured(context: Shared) {
     let mut active = context.active.subscribe();
     // Fails only while the whole instance is going down.
     if active.wait_for(|active| active.version > 0).await.is_ok() {
-        platform_sync::read_owners(context.clone()).await;
+        platform_sync::load_owners(context.clone()).await;
     }
 }
