--- a/daemon/src/context.rs
+++ b/daemon/src/context.rs
@@ -1,4 +1,4 @@
-//! What all tasks of an instance share.
+//! State that all tasks of an instance share.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -21,59 +21,61 @@
 use crate::platform::Platform;
 use crate::transactions::Transactions;
 
-/// A configuration that is in force.
+/// The configuration in force at this instance.
 #[derive(Debug, Default)]
 pub struct ActiveConfig {
-    /// Its version in the store; 0 before the first one.
+    /// Version in the store; 0 before the first configuration.
     pub version: ConfigVersion,
-    /// Its text.
+    /// Text as stored.
     pub text: Arc<str>,
-    /// Its content.
+    /// Parsed content.
     pub config: Config,
 }
 
-/// What all tasks of an instance share.
+/// State that all tasks of an instance share.
 pub struct Context {
-    /// Settings of the instance.
+    /// Settings of the instance, from its settings file.
     pub settings: Settings,
-    /// The databases, their servers and the decisions about them.
+    /// The databases, the connections to their servers, and the state machines
+    /// that decide about them.
     pub databases: Arc<Databases>,
-    /// The configuration in force.
+    /// The configuration in force; sends each new one to the subscribers.
     pub active: watch::Sender<Arc<ActiveConfig>>,
     /// Links to other instances.
     pub links: Links,
-    /// The platform.
+    /// The platform's store.
     pub platform: Arc<dyn Platform>,
-    /// Counters.
+    /// Metrics of the instance.
     pub metrics: Metrics,
-    /// Requests that write and are in progress here.
+    /// Write requests in progress at this instance as owner.
     pub in_flight: Arc<InFlight>,
-    /// Interactive transactions held here.
+    /// Interactive transactions that this instance holds as owner.
     pub transactions: Transactions,
-    /// Waits for confirmation, by database.
+    /// Writes that wait for confirmation by a replica, by database.
     pub confirmations: Confirmations,
-    /// Limits of accounts.
+    /// Connection count and request rate of each client account.
     pub account_limits: Mutex<HashMap<Arc<str>, AccountLimits>>,
-    /// Set when the instance has to stop.
+    /// Becomes true when the instance begins to stop.
     pub stopping: watch::Sender<bool>,
-    /// Limits how much of the load may be requests sent again.
+    /// Limits retries to a fraction of the requests.
     pub retry_budget: Mutex<RetryBudget>,
-    /// Set when callers have to go elsewhere: new requests are refused.
+    /// Whether the instance, while it stops, refuses new requests, so that clients
+    /// use another instance.
     pub refuses_requests: AtomicBool,
-    /// Requests of callers in progress at this entry.
+    /// Number of requests in progress from clients connected to this instance.
     pub active_requests: AtomicUsize,
 }
 
 impl Context {
-    /// The configuration in force.
+    /// Returns the configuration in force.
     #[must_use]
     pub fn config(&self) -> Arc<ActiveConfig> {
         self.active.borrow().clone()
     }
 
-    /// Puts a configuration in force, unless it is older than the present one.
+    /// Puts a configuration in force if its version is above the current one.
     ///
-    /// Returns whether it is in force now.
+    /// Returns whether it did.
     pub fn activate(&self, next: ActiveConfig) -> bool {
         let next = Arc::new(next);
         let announced = next.clone();
@@ -84,5 +86,5 @@
     }
 }
 
-/// The context as the tasks hold it.
+/// Reference to the context that each task holds.
 pub type Shared = Arc<Context>;
--- a/daemon/src/dispatch.rs
+++ b/daemon/src/dispatch.rs
@@ -1,4 +1,5 @@
-//! Passes a request at its owner to the path for its kind.
+//! Passes a request to the code path for its kind, at the owner of the database:
+//! the one instance that serves it.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -21,7 +22,7 @@
 use crate::transaction;
 use crate::write;
 
-/// Serves a request.
+/// Runs a request and returns its answer.
 pub async fn serve(context: Shared, submit: Submit) -> Answer {
     let request = Request::new(&context, submit);
     let result = match request.submit.kind() {
@@ -33,7 +34,8 @@
     to_answer(result)
 }
 
-/// Describes a statement at any server of the database.
+/// Returns the parameter and column types of a statement, from the primary of the
+/// database.
 pub async fn describe(context: Shared, describe: Describe) -> Answer {
     to_answer(describe_inner(&context, &describe).await)
 }
--- a/daemon/src/entry.rs
+++ b/daemon/src/entry.rs
@@ -1,4 +1,9 @@
-//! A caller's session at its entry.
+//! Session of a client at its entry instance, the instance that the client is
+//! connected to.
+//!
+//! A session interprets `SET`, `SHOW` and transaction control itself. It forwards
+//! reads and writes to the owner of the database, the one instance that serves
+//! it.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -26,25 +31,27 @@
 use crate::forward;
 use crate::write;
 
-/// Prefix of the variables that are ours.
+/// Prefix of the session variables that the proxy defines.
 const VARIABLE_PREFIX: &str = "chervilwharf.";
 
-/// Time to learn the types of a statement.
+/// Timeout for describing the parameter and column types of a statement.
 const DESCRIBE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// An interactive transaction as its entry sees it.
+/// State of an interactive transaction at its entry instance.
 #[derive(Clone, Debug)]
 struct Transaction {
     id: String,
     request_id: String,
-    /// Fingerprint of all its statements so far.
+    /// Chained digest of the statements sent so far.
     digest: Vec<u8>,
     /// Whether a statement has been sent to the owner.
     started: bool,
+    /// Whether a statement failed, so that only `ROLLBACK` or `COMMIT` is
+    /// accepted.
     aborted: bool,
 }
 
-/// What the caller has set for its session.
+/// Values that the client has set for its session.
 #[derive(Clone, Debug, Default)]
 struct SessionVariables {
     service: String,
@@ -53,33 +60,33 @@
     deadline: Option<Duration>,
 }
 
-/// Outcome of one statement for the protocol side.
+/// Outcome of one statement, to be encoded for the client.
 #[derive(Debug)]
 pub enum Reply {
     /// Rows or a command tag.
     Result(StatementResult),
-    /// A transaction began.
+    /// A transaction has begun.
     Begun,
-    /// A transaction ended, with this tag.
+    /// A transaction has ended, with this command tag.
     Ended(&'static str),
-    /// One text value, for SHOW.
+    /// Name and text value of a variable, for `SHOW`.
     Value(String, String),
-    /// Nothing to do.
+    /// The statement was empty.
     Empty,
 }
 
-/// A statement with everything the protocol gave along.
+/// A statement with the data that the client's protocol messages carried.
 #[derive(Clone, Debug, Default)]
 pub struct Statement {
-    /// Its text.
+    /// SQL text.
     pub sql: String,
-    /// What it is.
+    /// Class, if the statement has been classified already.
     pub class: Option<StatementClass>,
-    /// The message in which it goes to the owner, with its parameters.
+    /// Message in which the statement is sent to the owner, with its parameters.
     pub submit: Submit,
 }
 
-/// Counts a request of a caller, so that a planned stop waits for it.
+/// Counts a client's request as in progress, so that a planned stop waits for it.
 struct ActiveRequest<'a>(&'a Context);
 
 impl<'a> ActiveRequest<'a> {
@@ -95,7 +102,7 @@
     }
 }
 
-/// One caller's session.
+/// Session of one client.
 pub struct Session {
     context: Shared,
     account: Arc<str>,
@@ -103,12 +110,12 @@
     variables: SessionVariables,
     transaction: Option<Transaction>,
     filters: Arc<FilterChain>,
-    /// Name of the last request, told in errors.
+    /// Id of the last request, which errors report to the client.
     last_request_id: Option<String>,
 }
 
 impl Session {
-    /// A session of an account that has proved who it is.
+    /// Creates a session for an account that has authenticated.
     #[must_use]
     pub fn new(
         context: Shared,
@@ -127,7 +134,7 @@
         }
     }
 
-    /// Name of the last request.
+    /// Returns the id of the last request.
     #[must_use]
     pub fn last_request_id(&self) -> Option<&str> {
         self.last_request_id.as_deref()
@@ -137,7 +144,8 @@
     ///
     /// # Errors
     ///
-    /// Replies so far, and the failure that ended the text.
+    /// The failure that ended the text, next to the replies of the statements
+    /// before it. There are no replies if the implicit commit failed.
     pub async fn run_text(&mut self, sql: &str) -> (Vec<Reply>, Option<Failure>) {
         let statements = match classify::split(sql) {
             Ok(statements) => statements,
@@ -146,8 +154,8 @@
                 return (Vec::new(), Some(failure_with(ErrorKind::BadStatement, message)));
             }
         };
-        // Several statements in one text are one transaction, as PostgreSQL
-        // has it; without this half of them could stay when one fails.
+        // As in PostgreSQL, several statements in one text form one transaction.
+        // Otherwise some of them could take effect although another one failed.
         let has_transaction_control = statements.iter().any(|(_, class)| {
             matches!(
                 class,
@@ -188,7 +196,7 @@
     ///
     /// # Errors
     ///
-    /// The failure for the caller.
+    /// The failure for the client.
     pub async fn run(&mut self, statement: Statement) -> Result<Reply, Failure> {
         let hints = classify::comment_hints(&statement.sql);
         let class = match statement.class.clone() {
@@ -260,7 +268,8 @@
         });
     }
 
-    /// Name of the next request: from its comment, or set before.
+    /// Returns the id of the next request: from the comment of the statement, from
+    /// the session variable, or a new UUID. The variable applies to one request.
     fn take_request_id(&mut self, hints: &CommentHints) -> String {
         let set = std::mem::take(&mut self.variables.request_id);
         let named = hints.request_id.clone().unwrap_or(set);
@@ -356,11 +365,11 @@
         }
     }
 
-    /// Types of a statement, from a server.
+    /// Asks a database server for the parameter and column types of a statement.
     ///
     /// # Errors
     ///
-    /// The failure for the caller.
+    /// The failure for the client.
     pub async fn describe(
         &self,
         sql: &str,
@@ -392,8 +401,9 @@
             }))
         };
         let Some(name) = variable.strip_prefix(VARIABLE_PREFIX) else {
-            // Variables of the server do not reach it: the next statement may
-            // run on another connection. The usual ones are harmless.
+            // Variables of the database server are not passed on, since the next
+            // statement may run on another connection. Those that drivers usually
+            // set are accepted without effect; ignoring them is harmless.
             return match variable {
                 "client_encoding"
                 | "application_name"
@@ -446,7 +456,7 @@
         Reply::Value(variable.to_owned(), value)
     }
 
-    /// Ends what is open when the caller has gone.
+    /// Rolls back the open transaction, if any, when the client has disconnected.
     pub async fn close(&mut self) {
         self.roll_back().await;
     }
--- a/daemon/src/entry_handlers.rs
+++ b/daemon/src/entry_handlers.rs
@@ -1,4 +1,4 @@
-//! The PostgreSQL protocol towards callers.
+//! Accepts client connections and implements the PostgreSQL protocol on them.
 
 use std::fmt::Debug;
 use std::sync::Arc;
@@ -53,7 +53,7 @@
 use crate::entry_startup::EntryStartup;
 use crate::filter::FilterChain;
 
-/// Accepts callers until the instance stops.
+/// Accepts client connections until the instance stops.
 pub async fn accept(context: Shared, listener: TcpListener) {
     let filters = Arc::new(FilterChain::new());
     let mut stopping = context.stopping.subscribe();
@@ -63,7 +63,8 @@
             _ = stopping.wait_for(|stopping| *stopping) => return,
         };
         let Ok((socket, address)) = accepted else {
-            // Out of file handles, most likely; the next moment may be better.
+            // The process is most likely out of file descriptors. Waits until some
+            // may have been closed.
             tokio::time::sleep(std::time::Duration::from_millis(10)).await;
             continue;
         };
@@ -76,7 +77,7 @@
             let handlers = EntryHandlers(connection.clone());
             let processed = pgwire::tokio::process_socket(socket, None, handlers).await;
             if let Err(error) = processed {
-                debug!("caller {address} ended: {error}");
+                debug!("connection of client {address} ended: {error}");
             }
             if let Some(session) = connection.session.lock().await.as_mut() {
                 session.close().await;
@@ -86,7 +87,7 @@
     }
 }
 
-/// One caller's connection.
+/// Connection of one client, which implements the protocol handlers.
 struct ClientConnection {
     context: Shared,
     filters: Arc<FilterChain>,
@@ -100,7 +101,8 @@
         Self { context, filters, startup, session: Mutex::new(None) }
     }
 
-    /// The session, made with the first statement: the login is over then.
+    /// Returns the session in `slot`. The first statement creates it, since account
+    /// and database are known only after the login.
     fn get_or_create_session<'a, C: ClientInfo>(
         &self,
         client: &C,
@@ -117,7 +119,8 @@
         })
     }
 
-    async fn columns(
+    /// Returns the parameter types and the columns of a prepared statement.
+    async fn describe_types(
         &self,
         session: &mut Session,
         parsed: &ParsedStatement,
@@ -180,7 +183,8 @@
     }
 }
 
-/// An error as part of a response, so that what ran before it is still told.
+/// Returns a failure as part of a response, so that the client also receives the
+/// results of the statements before it.
 fn error_response(session: &Session, failure: &Failure) -> Response {
     match to_wire(failure, session.last_request_id()) {
         PgWireError::UserError(info) => Response::Error(info),
@@ -188,14 +192,14 @@
     }
 }
 
-/// A statement as prepared by the caller.
+/// A statement that the client has prepared.
 #[derive(Clone, Debug)]
 struct ParsedStatement {
     sql: String,
     class: StatementClass,
 }
 
-/// Classifies statements when they are prepared.
+/// Parses and classifies statements when the client prepares them.
 struct StatementParser;
 
 #[async_trait]
@@ -257,7 +261,8 @@
     {
         let mut slot = self.session.lock().await;
         let session = self.get_or_create_session(client, &mut slot);
-        let described = self.columns(session, &target.statement, &target.parameter_types).await;
+        let described =
+            self.describe_types(session, &target.statement, &target.parameter_types).await;
         let (types, columns) = described?;
         Ok(DescribeStatementResponse::new(types, field_infos(&columns, None)))
     }
@@ -276,7 +281,8 @@
         let mut slot = self.session.lock().await;
         let session = self.get_or_create_session(client, &mut slot);
         let statement = &target.statement;
-        let described = self.columns(session, &statement.statement, &statement.parameter_types);
+        let described =
+            self.describe_types(session, &statement.statement, &statement.parameter_types);
         let (_, columns) = described.await?;
         Ok(DescribePortalResponse::new(field_infos(&columns, Some(&target.result_column_format))))
     }
@@ -312,7 +318,8 @@
     types.iter().map(|kind| kind.as_ref().map_or(0, Type::oid)).collect()
 }
 
-/// Parameters of a portal, untouched: the server decodes them.
+/// Builds the message for a portal. The parameters keep the encoding that the
+/// client chose, since the database server decodes them.
 fn submit_from_portal(portal: &Portal<ParsedStatement>) -> Submit {
     let parameters = portal.parameters.iter().map(|value| Parameter {
         null: value.is_none(),
@@ -378,7 +385,7 @@
         Ok(DataRow::new(data, i16::try_from(row.column_count).unwrap_or(i16::MAX)))
     });
     let mut response = QueryResponse::new(schema, stream::iter(rows.collect::<Vec<_>>()));
-    // The library counts the rows anew and appends the count itself.
+    // pgwire counts the rows and appends the count, so the tag must not have one.
     let command = result.command_tag.rsplit_once(' ').map_or("SELECT", |(command, _)| command);
     response.set_command_tag(command);
     Response::Query(response)
--- a/daemon/src/entry_startup.rs
+++ b/daemon/src/entry_startup.rs
@@ -1,5 +1,7 @@
-//! Login of callers: SCRAM against verifiers from the configuration, and the
-//! limit on connections of an account.
+//! Login of clients: SCRAM authentication against the verifiers in the
+//! configuration, and the limit on the connections of a client account.
+//!
+//! A verifier allows a server to check a password without storing it.
 
 use std::fmt::Debug;
 use std::sync::Arc;
@@ -37,10 +39,10 @@
 use crate::answer::to_wire;
 use crate::context::Shared;
 
-/// Iterations told for an account that does not exist.
+/// Iteration count that is sent to a client whose account does not exist.
 const MOCK_ITERATIONS: usize = 4096;
 
-/// Finds the verifier of an account.
+/// Looks up the verifier of an account in the configuration.
 struct Verifiers {
     context: Shared,
 }
@@ -51,8 +53,9 @@
     }
 }
 
-/// A verifier that no password fits. A login as an unknown account goes on
-/// as if it existed, so that nobody can learn which accounts there are.
+/// Derives a verifier that no password matches. With it the login to an unknown
+/// account proceeds as if the account existed, so that a client cannot find out
+/// which accounts exist.
 fn mock_verifier(key: &str, account: &str) -> ScramSecret {
     let derive = |purpose: &str| {
         let mut hasher = Sha256::new();
@@ -82,7 +85,7 @@
 #[async_trait]
 impl AuthSource for Verifiers {
     async fn get_password(&self, login: &LoginInfo) -> PgWireResult<Password> {
-        // Only the verifier is known here, never the password.
+        // The configuration contains verifiers only, never passwords.
         Err(PgWireError::InvalidPassword(login.user().unwrap_or_default().to_owned()))
     }
 
@@ -96,7 +99,7 @@
     }
 }
 
-/// Counts a connection of an account until it ends.
+/// Counts a connection of an account until the connection closes.
 struct ConnectionCount {
     context: Shared,
     account: Arc<str>,
@@ -111,7 +114,7 @@
     }
 }
 
-/// Login of one caller.
+/// Handler for the login of one client connection.
 pub struct EntryStartup {
     context: Shared,
     scram: SASLAuthStartupHandler<DefaultServerParameterProvider>,
@@ -119,7 +122,7 @@
 }
 
 impl EntryStartup {
-    /// A login that has not begun.
+    /// Creates a handler for a login that has not started.
     #[must_use]
     pub fn new(context: Shared) -> Self {
         let verifiers = Arc::new(Verifiers { context: context.clone() });
@@ -128,7 +131,8 @@
         Self { context, scram, connection_count: Mutex::new(None) }
     }
 
-    /// Checks what can only be checked once the caller has proved who it is.
+    /// Checks, after the client has authenticated, that the database exists and
+    /// that the account has fewer connections than its limit.
     fn admit<C: ClientInfo>(&self, client: &C) -> PgWireResult<()> {
         let metadata_value = |name: &str| client.metadata().get(name).map_or("", String::as_str);
         let (name, database) = (metadata_value(METADATA_USER), metadata_value(METADATA_DATABASE));
@@ -154,7 +158,7 @@
     }
 }
 
-/// An error after which the connection is closed.
+/// Returns a failure as a PostgreSQL error after which the connection is closed.
 fn fatal(failure: &chervilwharf_lib::protos::Failure) -> PgWireError {
     match to_wire(failure, None) {
         PgWireError::UserError(mut info) => {
--- a/daemon/src/filter.rs
+++ b/daemon/src/filter.rs
@@ -1,4 +1,5 @@
-//! The filter chain every request passes at its entry.
+//! Filter chain that every client request passes at its entry instance: checks of
+//! size, access, rate and request id, and the defaults of the service.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -17,13 +18,14 @@
 use crate::context::ActiveConfig;
 use crate::context::Context;
 
-/// One step of the chain. Changes the request or ends it.
+/// One step of the chain, which may change a request or refuse it.
 pub trait Filter: Send + Sync {
-    /// Looks at a request on its way in.
+    /// Checks or changes a request before it is sent to the owner.
     ///
     /// # Errors
     ///
-    /// When the request must not go on. It has not run then.
+    /// The failure for the client when the filter refuses the request, which has
+    /// not run then.
     fn apply(
         &self,
         context: &Context,
@@ -32,7 +34,7 @@
     ) -> Result<(), Failure>;
 }
 
-/// All filters in their order.
+/// The filters in the order in which they are applied.
 pub struct FilterChain {
     filters: Vec<Box<dyn Filter>>,
 }
@@ -44,7 +46,7 @@
 }
 
 impl FilterChain {
-    /// The chain of the product: the cheapest checks first.
+    /// Creates the standard chain. The cheapest checks come first.
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -58,11 +60,11 @@
         }
     }
 
-    /// Passes a request through all filters.
+    /// Applies all filters to a request.
     ///
     /// # Errors
     ///
-    /// The failure of the first filter that ends the request.
+    /// The failure of the first filter that refuses the request.
     pub fn apply(&self, context: &Context, submit: &mut Submit) -> Result<(), Failure> {
         let active: Arc<ActiveConfig> = context.config();
         for filter in &self.filters {
@@ -72,7 +74,7 @@
     }
 }
 
-/// Refuses statements that are too large to pass on.
+/// Refuses statements that exceed the size limit together with their parameters.
 struct SizeFilter;
 
 impl Filter for SizeFilter {
@@ -88,7 +90,8 @@
     }
 }
 
-/// Lets an account reach only what its service depends on.
+/// Refuses requests of an account for databases that its service does not depend
+/// on. A request without a service gets the first service of the account.
 struct AccessFilter;
 
 impl Filter for AccessFilter {
@@ -119,7 +122,7 @@
     }
 }
 
-/// Holds each account to its rate.
+/// Refuses requests of an account that exceeds its request rate.
 struct RateFilter;
 
 impl Filter for RateFilter {
@@ -143,7 +146,8 @@
     }
 }
 
-/// Gives every request a name, so that one can ask what became of it.
+/// Gives every request an id, by which its outcome can be looked up later, and
+/// refuses ids that are too long.
 struct RequestIdFilter;
 
 impl Filter for RequestIdFilter {
@@ -159,7 +163,8 @@
     }
 }
 
-/// Fills in what the service says about deadlines and freshness.
+/// Fills in the deadline and the freshness of the service where the request has
+/// none.
 struct DefaultsFilter;
 
 impl Filter for DefaultsFilter {
--- a/daemon/src/forward.rs
+++ b/daemon/src/forward.rs
@@ -1,5 +1,8 @@
-//! The entry's side of a request: finds the owner, sends the request there,
-//! and again if that is safe.
+//! Forwards requests from the entry instance to the owner of the database, and
+//! retries them where that is safe.
+//!
+//! The owner is the one instance that serves a database. It may be the entry
+//! instance itself, and it changes in a failover or a handover.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -31,17 +34,17 @@
 use crate::link::LinkError;
 use crate::owner::EXPECTED_GAP;
 
-/// Pause before another look for the owner.
+/// Longest delay before a retry with a new lookup of the owner.
 const RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The owner's own deadline ends this much before the caller's, so that its
-/// answer still arrives.
+/// The deadline at the owner is this much earlier than that of the client, so that
+/// the owner's answer arrives in time.
 const ANSWER_MARGIN: Duration = Duration::from_millis(20);
 
-/// An inquiry is given up after this time.
+/// Time limit of an inquiry about the outcome of a request.
 const INQUIRY_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Freshness as message.
+/// Converts a freshness requirement into its message.
 #[must_use]
 pub fn freshness_to_wire(freshness: Freshness) -> WireFreshness {
     let (kind, age) = match freshness {
@@ -53,9 +56,11 @@
     WireFreshness { kind: kind.into(), max_age_ms }
 }
 
-/// Where a database is owned, as far as this entry knows.
+/// Owner of a database, as far as this instance knows.
 enum Owner {
+    /// This instance owns the database or is taking it over.
     Local,
+    /// Another instance owns the database.
     Remote(InstanceId),
     Unknown,
 }
@@ -76,12 +81,12 @@
     }
 }
 
-/// What one try of sending a request gave.
+/// Outcome of one attempt to send a request to the owner.
 enum SendOutcome {
     Answered(Result<StatementResult, Failure>),
-    /// Nothing reached an owner.
+    /// The request did not reach an owner.
     NotSent,
-    /// It may have reached an owner.
+    /// The request may have reached an owner, but no answer arrived.
     AnswerLost,
 }
 
@@ -89,7 +94,8 @@
     let owner = find_owner(context, &submit.database);
     match owner {
         Owner::Local => {
-            // On the heap: idle callers would hold its space otherwise.
+            // The future is boxed, since every idle session would hold its space
+            // otherwise.
             let answer = Box::pin(dispatch::serve(context.clone(), submit.clone())).await;
             SendOutcome::Answered(from_answer(answer))
         }
@@ -106,7 +112,7 @@
     }
 }
 
-/// Learns from a refusal who owns the database.
+/// Records the owner of the database that a failure names, if it names one.
 fn record_owner(context: &Shared, database: &str, failure: &Failure) {
     if failure.owner.is_empty() {
         return;
@@ -117,12 +123,13 @@
     context.databases.handle(InstanceEvent::OwnerKnown { database, record });
 }
 
-/// Sends a request to its owner and returns the answer for the caller.
+/// Sends a request to the owner of its database, with retries until its deadline,
+/// and returns the answer for the client.
 ///
 /// # Errors
 ///
-/// The failure for the caller. "Not run" is only said when no owner can have
-/// started the request, or one has said that it did not run.
+/// The failure for the client. It reports a write as not run only if no owner can
+/// have started it, or if an owner reported that it did not run.
 pub async fn submit(context: &Shared, mut submit: Submit) -> Result<StatementResult, Failure> {
     let deadline = Instant::now() + Duration::from_millis(submit.deadline_ms);
     let began = Instant::now();
@@ -157,8 +164,8 @@
         };
         let now = Instant::now();
         let deadline_near = now + RETRY_INTERVAL >= deadline;
-        // Without an owner for longer than a takeover lasts, the caller is
-        // better off knowing now.
+        // Without an owner for longer than a failover takes, the client gets the
+        // failure now instead of at its deadline.
         let failover_overdue =
             now.saturating_duration_since(began) >= EXPECTED_GAP && !maybe_running;
         if deadline_near || failover_overdue {
@@ -170,7 +177,9 @@
     }
 }
 
-/// A request that may be running somewhere is never called "not run".
+/// Returns the failure for the client after the last attempt. A write that may be
+/// running at some owner is never reported as not run. A read changes nothing, so
+/// a read of unknown outcome is reported as not run and may be repeated.
 fn final_failure(submit: &Submit, last_failure: Failure, maybe_running: bool) -> Failure {
     let is_read = submit.kind() == StatementKind::Read;
     if maybe_running && !is_read {
@@ -186,11 +195,11 @@
     matches!(kind_of(failure), ErrorKind::NotOwner | ErrorKind::Stopping)
 }
 
-/// Asks the owner for the types of a statement.
+/// Asks the owner for the parameter and column types of a statement.
 ///
 /// # Errors
 ///
-/// The failure for the caller.
+/// The failure for the client.
 pub async fn describe(context: &Shared, describe: Describe) -> Result<StatementResult, Failure> {
     let deadline = Instant::now() + Duration::from_millis(describe.deadline_ms);
     loop {
@@ -224,7 +233,7 @@
     }
 }
 
-/// Rolls an interactive transaction back, wherever it lives.
+/// Rolls back an interactive transaction at the owner that holds it.
 pub async fn roll_back(context: &Shared, database: &str, transaction_id: &str) {
     match find_owner(context, database) {
         Owner::Local => context.transactions.roll_back(transaction_id),
@@ -235,12 +244,13 @@
             };
             context.links.send(&instance, Body::Rollback(rollback)).await;
         }
-        // Its owner is gone, and the transaction with it.
+        // The owner is gone, and its transactions ended with it.
         Owner::Unknown => {}
     }
 }
 
-/// Asks what became of a request.
+/// Asks the owner for the outcome of a request. The reply carries a failure if no
+/// owner answers in time.
 pub async fn inquire(context: &Shared, inquiry: Inquiry) -> InquiryReply {
     let deadline = Instant::now() + INQUIRY_TIMEOUT;
     loop {
--- a/daemon/src/serving.rs
+++ b/daemon/src/serving.rs
@@ -1,4 +1,8 @@
-//! Under which term a request is served, and the count of those in progress.
+//! The term and primary under which the owner of a database serves a request, and
+//! the count of requests in progress.
+//!
+//! A term is a number that rises with each change of the owner or the primary of a
+//! database.
 
 use std::sync::Arc;
 
@@ -10,24 +14,24 @@
 
 use crate::databases::Databases;
 
-/// Term and primary by which a request is served.
+/// Term and primary under which a request is served.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Serving {
-    /// Our term.
+    /// Term in which this instance serves the database.
     pub term: Term,
-    /// The primary.
+    /// Primary of the database in this term.
     pub primary: TargetId,
 }
 
-/// Counts a request in progress, so that a handover can wait for it.
+/// Counts a request as in progress, so that a handover waits for it.
 pub struct WorkGuard {
     databases: Arc<Databases>,
     database: DatabaseId,
 }
 
 impl WorkGuard {
-    /// Counts a request that begins. Called under the lock of the database,
-    /// whose `state` it is.
+    /// Counts a request that begins. The caller holds the lock of the database
+    /// that `state` belongs to.
     #[must_use]
     pub fn new(
         databases: &Arc<Databases>,
@@ -45,7 +49,8 @@
             state.in_progress = state.in_progress.saturating_sub(1);
             state.gate == Gate::Closed && state.in_progress == 0
         });
-        // Only a handover waits for the last request in progress.
+        // Waiters are woken only at a closed gate, since only a handover waits for
+        // the end of the last request.
         if is_last_before_handover == Some(true) {
             self.databases.changed.notify_waiters();
         }
