--- a/daemon/src/admin.rs
+++ b/daemon/src/admin.rs
@@ -1,4 +1,5 @@
-//! What operators and the metrics collector can ask an instance over HTTP.
+//! HTTP interface of an instance for operators, load balancers and the metrics
+//! collector.
 
 use std::sync::Arc;
 
@@ -20,7 +21,7 @@
 use crate::context::Shared;
 use crate::forward;
 
-/// Serves for ever.
+/// Serves the interface until the process ends.
 pub async fn serve(context: Shared, listener: TcpListener) {
     let routes = Router::new()
         .route("/healthz", get(healthz))
@@ -29,12 +30,13 @@
         .route("/burn", get(burn))
         .route("/request", get(request))
         .with_state(context);
-    // Ends only with the process.
+    // Returns only when the process ends.
     let _ = axum::serve(listener, routes).await;
 }
 
-/// Healthy once a configuration is in force and while not stopping, so that
-/// a balancer sends callers only to instances that can serve them.
+/// Reports the instance as healthy while a configuration is in force and it is not
+/// stopping, so that a load balancer sends clients only to instances that can
+/// serve them.
 async fn healthz(State(context): State<Shared>) -> (StatusCode, &'static str) {
     if *context.stopping.borrow() {
         return (StatusCode::SERVICE_UNAVAILABLE, "stopping\n");
@@ -128,6 +130,8 @@
     }))
 }
 
+/// Returns the request counts from which the burn rate of each service's error
+/// budget is computed.
 async fn burn(State(context): State<Shared>) -> Json<Value> {
     Json(json!(context.metrics.burn_counts()))
 }
@@ -139,6 +143,8 @@
     id: String,
 }
 
+/// Reports the outcome of a request. A request that has not run is prevented from
+/// running later.
 async fn request(
     State(context): State<Shared>,
     Query(query): Query<RequestQuery>,
--- a/daemon/src/command.rs
+++ b/daemon/src/command.rs
@@ -17,15 +17,15 @@
     /// file with the settings of this instance, see docs/CONFIGURATION.md
     #[argh(option)]
     settings: PathBuf,
-    /// check the settings and end
+    /// check the settings and exit
     #[argh(switch)]
     check: bool,
 }
 
-/// Exit code for bad settings.
+/// Exit code when the settings are invalid or the instance cannot start.
 const START_FAILED_EXIT_CODE: u8 = 2;
 
-/// Runs the program with the arguments of the process.
+/// Runs the program with the command-line arguments of the process.
 pub fn main() -> ExitCode {
     let arguments: Arguments = argh::from_env();
     match run(&arguments) {
@@ -50,12 +50,13 @@
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()
-        .map_err(|error| format!("no threads can be started: {error}"))?;
+        .map_err(|error| format!("cannot start the worker threads: {error}"))?;
     runtime.block_on(async {
         let mut terminate = signal(SignalKind::terminate()).map_err(|e| e.to_string())?;
         let mut interrupt = signal(SignalKind::interrupt()).map_err(|e| e.to_string())?;
         let daemon = Daemon::start(settings).await.map_err(|error| error.to_string())?;
-        // One line for whoever started us on port 0.
+        // With port 0 in the settings, the parent process learns the actual ports
+        // from this line.
         println!(
             "ready client={} peer={} admin={}",
             daemon.client_address, daemon.peer_address, daemon.admin_address
--- a/daemon/src/context.rs
+++ b/daemon/src/context.rs
@@ -51,7 +51,8 @@
     pub in_flight: Arc<InFlight>,
     /// Interactive transactions that this instance holds as owner.
     pub transactions: Transactions,
-    /// Writes that wait for confirmation by a replica, by database.
+    /// Requests that wait until a replica has received the log up to a position,
+    /// by database.
     pub confirmations: Confirmations,
     /// Connection count and request rate of each client account.
     pub account_limits: Mutex<HashMap<Arc<str>, AccountLimits>>,
--- a/daemon/src/link.rs
+++ b/daemon/src/link.rs
@@ -1,4 +1,8 @@
-//! Links to other instances: one connection each, many exchanges at once.
+//! Links to other instances, and the encoding of their messages.
+//!
+//! A link is one TCP connection to a peer. It carries many concurrent exchanges,
+//! each a message and its answer with the same exchange id. The instance that
+//! opened the link sends the first message of every exchange.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -35,17 +39,17 @@
 use crate::metrics::LinkCounters;
 use crate::metrics::since_epoch;
 
-/// Largest frame: the largest result with room for its envelope.
+/// Largest accepted frame: the largest result plus room for its envelope.
 pub const FRAME_LIMIT_BYTES: usize = 20 * 1024 * 1024;
 
-/// Longest wait for a connection to another instance.
+/// Timeout for connecting to another instance.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// A link without an answer to a heartbeat for this long is given up for a
-/// new one: it can have gone silent while a new connection would work.
+/// Timeout for the answer to a heartbeat. A link that exceeds it is replaced,
+/// since packets on it may be lost while a new connection would work.
 const HEARTBEAT_ANSWER_TIMEOUT: Duration = Duration::from_millis(450);
 
-/// Why an exchange got no answer.
+/// Reason why an exchange got no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Display)]
 pub enum LinkError {
@@ -73,26 +77,27 @@
     }
 }
 
-/// How this instance shows others who it is.
+/// Identity with which this instance authenticates to its peers.
 #[derive(Clone, Debug)]
 pub struct LinkIdentity {
-    /// Its name.
+    /// Name of this instance.
     pub instance: InstanceId,
-    /// The key shared by all instances.
+    /// Secret key shared by all instances.
     pub peer_key: Arc<str>,
-    /// When it started.
+    /// Start time of this instance.
     pub started_at: Instant,
 }
 
 impl LinkIdentity {
-    /// Link numbers grow over restarts too: they start from the clock.
+    /// Returns the number to which the count of opened links is added. It derives
+    /// from the start time, so that link numbers also rise across restarts.
     fn link_number_base(&self) -> u64 {
         let started = since_epoch().saturating_sub(self.started_at.elapsed());
         u64::try_from(started.as_millis()).unwrap_or(0) << 16
     }
 }
 
-/// Links to all instances spoken to, opened on demand.
+/// Links to other instances, opened on demand.
 pub struct Links {
     identity: LinkIdentity,
     databases: Arc<Databases>,
@@ -101,13 +106,14 @@
     next_number: AtomicU64,
 }
 
-/// The framing of all links.
+/// Returns the codec that splits a link's byte stream into frames.
 #[must_use]
 pub fn codec() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder().max_frame_length(FRAME_LIMIT_BYTES).new_codec()
 }
 
-/// Shows that the sender knows the shared key.
+/// Computes the proof that the sender of a link's first message knows the shared
+/// key: a SHA-256 digest of key, instance and link number.
 #[must_use]
 pub fn proof(key: &str, instance: &str, link_number: u64) -> Vec<u8> {
     let mut hasher = Sha256::new();
@@ -118,18 +124,20 @@
     hasher.finalize().to_vec()
 }
 
-/// Encodes a frame.
+/// Encodes a message as a frame. The exchange id is 0 for a message without an
+/// answer.
 #[must_use]
 pub fn encode(exchange_id: u64, body: Body) -> Bytes {
     let frame = Frame { exchange_id, body: Some(body) };
     let mut buffer = BytesMut::with_capacity(frame.encoded_len());
-    // A buffer that grows cannot be too small.
+    // Cannot fail, since the buffer grows as needed.
     let _ = frame.encode(&mut buffer);
     buffer.freeze()
 }
 
 impl Links {
-    /// No links yet. Addresses of instances are those that `databases` knows.
+    /// Creates an empty set of links. The addresses of instances come from the
+    /// membership in `databases`.
     #[must_use]
     pub fn new(identity: LinkIdentity, databases: Arc<Databases>, counters: LinkCounters) -> Self {
         Self {
@@ -141,7 +149,7 @@
         }
     }
 
-    /// Counts bytes sent to other instances.
+    /// Returns the counters of bytes sent to other instances.
     #[must_use]
     pub fn counters(&self) -> &LinkCounters {
         &self.counters
@@ -151,7 +159,8 @@
     ///
     /// # Errors
     ///
-    /// Tells whether the message can have arrived.
+    /// [`LinkError::NotSent`] if the message cannot have arrived; after the other
+    /// errors it may have arrived.
     pub async fn call(
         &self,
         peer: &InstanceId,
@@ -182,30 +191,33 @@
         }
     }
 
-    /// Sends a message that has no answer, if a link is open or can be.
+    /// Sends a message that has no answer, if a link is open or can be opened.
     pub async fn send(&self, peer: &InstanceId, body: Body) {
         if let Some(link) = self.link(peer).await {
-            // Lost with the link; whoever sends this does not rely on it.
+            // Fails if the link has closed. The message may be lost: senders do not
+            // rely on its arrival.
             let _ = link.outgoing.send(encode(0, body));
         }
     }
 
+    /// Removes a link, so that the next exchange opens a new one.
     async fn drop_link(&self, peer: &InstanceId, link: &Arc<Link>) {
         let mut links = self.links_by_peer.lock().await;
         if links.get(peer).is_some_and(|current| Arc::ptr_eq(current, link)) {
             links.remove(peer);
         }
-        // All exchanges on it fail now and can be sent again on a new link.
+        // All exchanges on the link fail at once and can be retried on a new link.
         link.pending.lock().expect("never poisoned").clear();
     }
 
+    /// Returns an open link to an instance, and opens one if there is none.
     async fn link(&self, peer: &InstanceId) -> Option<Arc<Link>> {
         let address = self.databases.instance.membership().peer(peer)?.address.clone();
         if let Some(link) = self.find_open_link(peer, &address).await {
             return Some(link);
         }
-        // Connected without the lock, so that one dead instance does not
-        // hold up the links to all others.
+        // Connects without holding the lock, so that an unreachable instance does
+        // not delay links to others.
         let number =
             self.next_number.fetch_add(1, Ordering::Relaxed) + self.identity.link_number_base();
         let link = connect(&self.identity, address, number).await?;
@@ -223,6 +235,7 @@
     }
 }
 
+/// Removes an exchange from the pending ones when its sender stops waiting.
 struct PendingGuard<'a> {
     pending: &'a Pending,
     exchange_id: u64,
@@ -253,7 +266,8 @@
     Some(Arc::new(link))
 }
 
-/// Moves frames until the connection breaks or nobody holds the link.
+/// Sends queued frames and delivers answers until the connection breaks or the
+/// link is dropped.
 async fn run_link(
     framed: Framed<TcpStream, LengthDelimitedCodec>,
     mut queue: mpsc::UnboundedReceiver<Bytes>,
@@ -266,7 +280,7 @@
             if sink.feed(bytes).await.is_err() {
                 return;
             }
-            // What is queued already goes out in one write.
+            // Sends all frames that are already queued in one write.
             while let Ok(bytes) = outgoing.try_recv() {
                 if sink.feed(bytes).await.is_err() {
                     return;
@@ -284,7 +298,7 @@
             };
             let waiting = pending.lock().expect("never poisoned").remove(&frame.exchange_id);
             if let (Some(sender), Some(body)) = (waiting, frame.body) {
-                // One who gave up waiting needs no answer.
+                // Fails if the sender of the exchange stopped waiting.
                 let _ = sender.send(body);
             }
         }
@@ -293,15 +307,15 @@
         () = write => {}
         () = read => {}
     }
-    // Closed first: who comes now cannot send, and who has sent already is
-    // among those told below. The other way round one could slip in between
-    // and wait on a dead link until its deadline.
+    // The queue is closed before the pending exchanges are cleared. In the opposite
+    // order an exchange could start in between and wait on a broken link until its
+    // deadline.
     queue.close();
-    // Dropping the senders tells all who wait that the link broke.
+    // Dropping the senders fails all pending exchanges with `LinkError::Broken`.
     pending.lock().expect("never poisoned").clear();
 }
 
-/// A heartbeat as message.
+/// Converts a heartbeat into its message.
 #[must_use]
 pub fn heartbeat_to_wire(body: &HeartbeatBody, sequence: u64) -> Heartbeat {
     let sender = &body.sender;
@@ -328,7 +342,7 @@
     }
 }
 
-/// A heartbeat from a message.
+/// Converts a message into the heartbeat that it carries.
 #[must_use]
 pub fn heartbeat_from_wire(heartbeat: &Heartbeat) -> HeartbeatBody {
     let owned = heartbeat.owned.iter().map(|entry| (entry.database.as_str().into(), entry.term));
--- a/daemon/src/link_server.rs
+++ b/daemon/src/link_server.rs
@@ -1,4 +1,5 @@
-//! The receiving side of links: answers what other instances ask.
+//! Receiving side of links: accepts connections of other instances and answers
+//! their messages.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -32,10 +33,11 @@
 use crate::link;
 use crate::transaction::LINK;
 
-/// A new link has to say who it is within this time.
+/// Timeout for the first message of a link, which identifies and authenticates the
+/// instance that opened it.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A handover is accepted or refused within this time.
+/// Time within which the offer of a handover is accepted or refused.
 const HANDOVER_ANSWER_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// The newest link of each instance.
@@ -45,9 +47,13 @@
 }
 
 impl NewestLinks {
-    /// Registers a link. An older one of the same instance is closed: what
-    /// is still on its way there was sent again on this one, and must not
-    /// arrive after its sender has given it up.
+    /// Registers a link and closes an older one of the same instance. The sender
+    /// has given up the messages still in transit on the older link and may have
+    /// resent them on this one, so they must not arrive later.
+    ///
+    /// Returns `None` if the instance already has a link with a number at least as
+    /// high; otherwise a receiver that completes when a newer link replaces this
+    /// one.
     fn register(&self, instance: &str, number: u64) -> Option<oneshot::Receiver<()>> {
         let mut links = self.by_instance.lock().expect("never poisoned");
         if links.get(instance).is_some_and(|(newest, _)| *newest >= number) {
@@ -61,7 +67,7 @@
 
 static NEXT_LINK_ID: AtomicU64 = AtomicU64::new(1);
 
-/// Accepts links for ever.
+/// Accepts links until the process ends.
 pub async fn accept(context: Shared, listener: TcpListener) {
     let newest: Arc<NewestLinks> = Arc::default();
     loop {
@@ -81,7 +87,7 @@
         return;
     };
     let Some(instance_and_number) = check_hello(&context, &bytes) else {
-        warn!("refused a link without a valid proof");
+        warn!("refused a link: its first message has no valid proof of the peer key");
         return;
     };
     let (instance, number) = instance_and_number;
@@ -113,6 +119,8 @@
     context.transactions.roll_back_link(link_id);
 }
 
+/// Returns instance and link number of a link's first message if its proof is
+/// valid.
 fn check_hello(context: &Shared, bytes: &[u8]) -> Option<(String, u64)> {
     let frame = Frame::decode(bytes).ok()?;
     let Some(Body::Hello(hello)) = frame.body else {
@@ -148,7 +156,7 @@
             context.transactions.roll_back(&rollback.transaction_id);
             None
         }
-        // Answers never arrive on this side of a link.
+        // An instance that opened a link sends no answers on it.
         _ => None,
     };
     let Some(answer) = answer else {
@@ -157,7 +165,7 @@
     let is_control = matches!(answer, Body::HeartbeatReply(_));
     let bytes = link::encode(exchange_id, answer);
     context.links.counters().count(&bytes, is_control);
-    // The link is gone: its sender will ask again.
+    // Fails if the link has closed; the other instance then retries.
     let _ = answers.send(bytes);
 }
 
@@ -168,8 +176,10 @@
     Body::HeartbeatReply(link::heartbeat_to_wire(&reply, heartbeat.sequence))
 }
 
-/// Takes the offered database and accepts once it is served here, so that
-/// the giver can send everyone on without a gap.
+/// Answers the offer of a handover. A preparing offer opens connections to the
+/// servers of the database. Any other offer takes the database over, and accepts
+/// once this instance serves it, so that the former owner can redirect requests
+/// without a gap.
 async fn answer_handover(context: &Shared, offer: &Handover) -> Body {
     let database = offer.database.as_str().into();
     if offer.prepare {
--- a/daemon/src/logging.rs
+++ b/daemon/src/logging.rs
@@ -1,4 +1,4 @@
-//! Log lines: plain text or one JSON object a line.
+//! Log output: one line of plain text or one JSON object per message.
 
 use chervilwharf_lib::settings::LogSettings;
 use log::LevelFilter;
@@ -10,7 +10,7 @@
 ///
 /// # Errors
 ///
-/// When logging was started before.
+/// When a logger is already installed.
 pub fn start(settings: &LogSettings) -> Result<(), log::SetLoggerError> {
     let level = settings.level.parse().unwrap_or(LevelFilter::Info);
     let json = settings.json;
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! `chervilwharfd`: one instance of chervilwharf.
+//! `chervilwharfd`: the proxy process, one instance of chervilwharf.
 
 use std::process::ExitCode;
 
--- a/daemon/src/metrics.rs
+++ b/daemon/src/metrics.rs
@@ -1,4 +1,5 @@
-//! Counters of an instance, for the metrics collector and the reports.
+//! Metrics of an instance, for the metrics collector and for the report on error
+//! budgets.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,11 +20,11 @@
 use prometheus_client::metrics::histogram::exponential_buckets;
 use prometheus_client::registry::Registry;
 
-/// Labels of a request that ended.
+/// Labels of a completed request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
 pub struct RequestLabels {
-    /// The service.
+    /// Service that the request was sent for.
     pub service: String,
     /// `ok` or the name of the error kind.
     pub outcome: String,
@@ -33,7 +34,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
 pub struct ReadLabels {
-    /// `replica` or `primary`.
+    /// Role of the server that answered: `replica` or `primary`.
     pub served_by: String,
 }
 
@@ -41,16 +42,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
 pub struct CauseLabels {
-    /// What started it.
+    /// Cause of a takeover, or reason of a loss.
     pub cause: String,
 }
 
 /// Bytes sent to other instances.
 #[derive(Clone, Debug, Default)]
 pub struct LinkCounters {
-    /// All of them.
+    /// Bytes of all messages.
     pub all_bytes: Counter,
-    /// Those of heartbeats.
+    /// Bytes of heartbeats and their answers.
     pub control_bytes: Counter,
 }
 
@@ -65,32 +66,35 @@
     }
 }
 
-/// All counters of an instance.
+/// All metrics of an instance.
 pub struct Metrics {
     registry: Registry,
     /// Requests by service and outcome.
     pub requests: Family<RequestLabels, Counter>,
-    /// Reads by who answered them.
+    /// Reads by the role of the server that answered them.
     pub reads: Family<ReadLabels, Counter>,
-    /// Reads sent to a replica that had not applied the floor after all.
+    /// Reads that a replica refused because it had not applied the log up to the
+    /// read's floor, the lowest position that the read may see.
     pub floors_missed: Counter,
-    /// Reads that waited because the term had not been confirmed recently.
+    /// Requests whose answers waited because the term had not been confirmed
+    /// recently.
     pub currency_waits: Counter,
-    /// Requests sent again.
+    /// Retries of requests.
     pub retries: Counter,
-    /// Databases taken, by cause.
+    /// Takeovers of databases by this instance, by cause.
     pub takes: Family<CauseLabels, Counter>,
-    /// Databases lost, by reason.
+    /// Ends of the ownership of a database, by reason.
     pub losses: Family<CauseLabels, Counter>,
-    /// Databases owned now.
+    /// Databases that this instance owns.
     pub owned: Gauge,
-    /// Connections of callers open now.
+    /// Open client connections.
     pub client_connections: Gauge,
     /// Bytes sent to other instances.
     pub links: LinkCounters,
     /// Calls to the platform's store.
     pub store_calls: Counter,
-    /// Time from the start of a take to serving.
+    /// Time in seconds from the start of a takeover, or of the replacement of a
+    /// primary, until this instance serves the database.
     pub take_duration: Histogram,
     burn: Mutex<BTreeMap<ServiceId, BurnCounts>>,
 }
@@ -104,7 +108,7 @@
 }
 
 impl Metrics {
-    /// Counters at zero.
+    /// Creates all metrics with value zero.
     #[must_use]
     pub fn new() -> Self {
         let mut metrics = Self {
@@ -130,29 +134,29 @@
     fn register(&mut self) {
         let registry = &mut self.registry;
         registry.register("requests", "Requests by service and outcome", self.requests.clone());
-        registry.register("reads", "Reads by who answered them", self.reads.clone());
+        registry.register("reads", "Reads by role of the answering server", self.reads.clone());
         registry.register(
             "floors_missed",
-            "Reads sent to a replica that lagged after all",
+            "Reads refused by a replica that lagged too far behind",
             self.floors_missed.clone(),
         );
         registry.register(
             "currency_waits",
-            "Reads that waited for the term to be confirmed",
+            "Requests whose answers waited for the term to be confirmed",
             self.currency_waits.clone(),
         );
-        registry.register("retries", "Requests sent again", self.retries.clone());
-        registry.register("takes", "Databases taken, by cause", self.takes.clone());
-        registry.register("losses", "Databases lost, by reason", self.losses.clone());
-        registry.register("owned_databases", "Databases owned now", self.owned.clone());
+        registry.register("retries", "Retries of requests", self.retries.clone());
+        registry.register("takes", "Takeovers of databases, by cause", self.takes.clone());
+        registry.register("losses", "Losses of databases, by reason", self.losses.clone());
+        registry.register("owned_databases", "Databases owned", self.owned.clone());
         registry.register(
             "client_connections",
-            "Connections of callers open now",
+            "Open client connections",
             self.client_connections.clone(),
         );
         registry.register(
             "control_bytes",
-            "Bytes sent to other instances for control",
+            "Bytes of heartbeats sent to other instances",
             self.links.control_bytes.clone(),
         );
         let all_bytes = self.links.all_bytes.clone();
@@ -160,12 +164,12 @@
         registry.register("store_calls", "Calls to the platform's store", self.store_calls.clone());
         registry.register(
             "take_duration_seconds",
-            "Time from the start of a take to serving",
+            "Time from the start of a takeover until the database is served",
             self.take_duration.clone(),
         );
     }
 
-    /// All counters in the format of the metrics collector.
+    /// Returns all metrics in the Prometheus text format.
     #[must_use]
     pub fn render(&self) -> String {
         let mut text = String::new();
@@ -174,7 +178,8 @@
         text
     }
 
-    /// Counts a request that ended.
+    /// Counts a completed request, and its failure against the error budget of
+    /// the service. `dependency` is the database that the request used.
     pub fn record_request(
         &self,
         service: &ServiceId,
@@ -195,14 +200,15 @@
         self.reads.get_or_create(&ReadLabels { served_by }).inc();
     }
 
-    /// Counts of all services, for the report on service-level burn.
+    /// Returns the request counts of each service, for the report on the burn
+    /// rate of its error budget.
     #[must_use]
     pub fn burn_counts(&self) -> BTreeMap<Arc<str>, BurnCounts> {
         self.burn.lock().expect("never poisoned").clone()
     }
 }
 
-/// Time since the Unix epoch.
+/// Returns the time since the Unix epoch; zero if the clock is set before it.
 #[must_use]
 pub fn since_epoch() -> Duration {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
--- a/daemon/src/platform.rs
+++ b/daemon/src/platform.rs
@@ -1,4 +1,5 @@
-//! The platform's store and its list of instances.
+//! Client of the platform's store, a versioned key-value store. It holds the
+//! configuration, the list of instances and the last known owner of each database.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,34 +8,34 @@
 use displaydoc::Display;
 use serde::Deserialize;
 
-/// An object with its version.
+/// An object of the store with its version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize)]
 pub struct Versioned {
-    /// Counted by the store, growing with each update.
+    /// Version, which the store increases with each update.
     pub version: u64,
-    /// The value.
+    /// Content of the object.
     pub value: String,
 }
 
-/// Why a call to the store gave no result.
+/// Reason why a call to the store failed.
 #[derive(Clone, Debug)]
 #[derive(Display)]
 pub enum PlatformError {
     /// the store could not be reached or failed: {0}
     Unavailable(String),
-    /// the object was changed by someone else
+    /// the object was changed by another writer
     Conflict(Option<Versioned>),
 }
 
-/// What the product needs of the platform.
+/// Operations that the proxy needs from the platform's store.
 #[async_trait]
 pub trait Platform: Send + Sync {
-    /// Reads an object.
+    /// Reads an object. Returns `None` if it does not exist.
     async fn get(&self, key: &str) -> Result<Option<Versioned>, PlatformError>;
 
-    /// Waits until an object has another version than `after`, or `wait` has
-    /// passed, which gives `None`.
+    /// Waits until an object has another version than `after`. Returns `None` if
+    /// that does not happen within `wait`.
     async fn watch(
         &self,
         key: &str,
@@ -42,8 +43,8 @@
         wait: Duration,
     ) -> Result<Option<Versioned>, PlatformError>;
 
-    /// Writes an object if its version is still `expected` (0: it must not
-    /// exist). Returns the new version.
+    /// Writes an object if its version is `expected`, where 0 means that it must
+    /// not exist. Returns the new version.
     async fn put(&self, key: &str, value: &str, expected: u64) -> Result<u64, PlatformError>;
 }
 
@@ -59,17 +60,17 @@
     format!("owners/{database}")
 }
 
-/// The store over HTTP.
+/// Client of the store over HTTP.
 pub struct HttpPlatform {
     base_url: Arc<str>,
     client: reqwest::Client,
 }
 
-/// Longest wait for an answer, beyond what the call itself may wait.
+/// Timeout of a call to the store, in addition to the time that a watch waits.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
 impl HttpPlatform {
-    /// The store at `base_url`.
+    /// Creates a client of the store at `base_url`.
     ///
     /// # Panics
     ///
--- a/daemon/src/platform_sync.rs
+++ b/daemon/src/platform_sync.rs
@@ -1,5 +1,10 @@
-//! Keeps the instance in line with the platform's store: configuration,
-//! instance list and last known owners.
+//! Keeps the instance in sync with the platform's store: watches the configuration
+//! and the list of instances, and reads and writes the last known owner of each
+//! database.
+//!
+//! Only a few instances of each failure domain, the relays, watch the
+//! configuration. The others see its version in heartbeats and pull it from the
+//! sender.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -29,50 +34,50 @@
 use crate::platform::Versioned;
 use crate::platform::owner_key;
 
-/// What is stored as configuration: the text, and who wrote it.
+/// The stored object of the configuration: its text, author and history.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct StoredConfiguration {
-    /// Id of this very update, by which its writer finds out whether it took
-    /// effect when the store's answer was lost.
+    /// Id of this update, by which its writer finds out whether it took effect
+    /// when the store's answer was lost.
     pub update_id: String,
-    /// Who applied it.
+    /// Operator who applied it.
     pub author: String,
-    /// When, in milliseconds since the Unix epoch.
+    /// Time at which it was applied, in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// The text.
+    /// Text of the configuration.
     pub text: String,
     /// Earlier updates, newest first.
     #[serde(default)]
     pub history: Vec<PastUpdate>,
 }
 
-/// An update of the configuration, without its text.
+/// An earlier update of the configuration, without its text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct PastUpdate {
-    /// Version it made.
+    /// Version that the update created.
     pub version: ConfigVersion,
-    /// Who applied it.
+    /// Operator who applied it.
     pub author: String,
-    /// When, in milliseconds since the Unix epoch.
+    /// Time at which it was applied, in milliseconds since the Unix epoch.
     pub at_ms: u64,
 }
 
-/// An instance on the platform's list.
+/// An entry of the platform's list of instances.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ListedInstance {
-    /// Its name.
+    /// Name of the instance.
     pub id: InstanceId,
-    /// Where other instances reach it.
+    /// Address for other instances.
     pub peer_address: Arc<str>,
-    /// Where operators reach it.
+    /// Address of its HTTP interface for operators.
     #[serde(default)]
     pub admin_address: Arc<str>,
-    /// Where it runs.
+    /// Failure domain in which it runs.
     pub failure_domain: Arc<str>,
-    /// It is about to stop.
+    /// Whether it is about to stop.
     #[serde(default)]
     pub leaving: bool,
 }
@@ -84,26 +89,28 @@
     term: u64,
 }
 
-/// Longest single watch.
+/// Longest wait of one watch call.
 const WATCH_WAIT: Duration = Duration::from_secs(20);
 
-/// Pause after a failed call to the store.
+/// Delay before a retry after a failed call to the store.
 const STORE_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Instances of a failure domain that watch the store for the others.
+/// Number of relays in each failure domain.
 const RELAYS_PER_DOMAIN: usize = 2;
 
-/// How often one who does not watch looks whether it became a relay.
+/// Interval at which an instance checks whether it has become a relay.
 const RELAY_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Tries to write who owns a database. After that the next change of owner
-/// will write it; the record is only a hint.
+/// Number of attempts to write the owner of a database. If all fail, the record
+/// stays outdated until the next change of owner; it is only a hint.
 const PUBLISH_ATTEMPTS: usize = 5;
 
-/// Pause between those tries.
+/// Delay between these attempts.
 const PUBLISH_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Follows the configuration for ever.
+/// Watches the configuration in the store and applies each new version, for as
+/// long as the instance runs. An instance that has no configuration yet reads it
+/// from the store even if it is not a relay.
 pub async fn watch_configuration(context: Shared) {
     let mut outage_logged = false;
     loop {
@@ -137,7 +144,8 @@
     }
 }
 
-/// Whether this instance watches the store for its failure domain.
+/// Whether this instance is a relay. Instances of a failure domain that know the
+/// same peers choose the same relays.
 fn is_relay(context: &Shared) -> bool {
     let membership = context.databases.instance.membership();
     let me = membership.me();
@@ -156,9 +164,13 @@
 async fn apply_stored(context: &Shared, stored: &Versioned) {
     let active = context.config().version;
     if stored.version < active {
-        // Restored from a backup, most likely. Going back would revert what
-        // was accepted; an operator has to apply the text again.
-        error!("store holds configuration {} but {active} is in force; kept", stored.version);
+        // The store was most likely restored from a backup. Applying the older
+        // version would revert accepted changes, so an operator has to apply the
+        // newer text again.
+        error!(
+            "the store holds configuration {} but the newer {active} is in force and stays so",
+            stored.version
+        );
         tokio::time::sleep(STORE_RETRY_DELAY * 10).await;
         return;
     }
@@ -175,7 +187,7 @@
     let checked = config_check::check(text);
     let Some(config) = checked.config else {
         let first = checked.findings.first().map(ToString::to_string).unwrap_or_default();
-        error!("configuration {version} is not valid and was not taken: {first}");
+        error!("configuration {version} is not valid and was not applied: {first}");
         return;
     };
     let next = ActiveConfig { version, text: text.into(), config };
@@ -184,7 +196,8 @@
     }
 }
 
-/// Takes a newer configuration from another instance.
+/// Pulls the configuration from another instance and applies it if it is newer
+/// than the one in force.
 pub async fn pull_from_peer(context: Shared, peer: InstanceId, version: ConfigVersion) {
     if context.config().version >= version {
         return;
@@ -199,7 +212,7 @@
     }
 }
 
-/// Follows the list of instances for ever.
+/// Watches the list of instances in the store, for as long as the instance runs.
 pub async fn watch_instances(context: Shared) {
     let mut version = 0;
     loop {
@@ -232,7 +245,7 @@
     }
 }
 
-/// Reads the last known owners once, at the start.
+/// Reads the last known owner of each database once, after the start.
 pub async fn load_owners(context: Shared) {
     for database in context.databases.instance.database_ids() {
         context.metrics.store_calls.inc();
@@ -245,7 +258,8 @@
     }
 }
 
-/// Writes who owns a database, unless a higher term is known there.
+/// Writes the owner of a database to the store, unless the record there has the
+/// same or a higher term.
 pub async fn publish_owner(context: Shared, database: DatabaseId, record: OwnerRecord) {
     let key = owner_key(&database);
     let owner = StoredOwner { owner: record.owner.clone(), term: record.term };
--- a/daemon/src/serving.rs
+++ b/daemon/src/serving.rs
@@ -23,7 +23,8 @@
     pub primary: TargetId,
 }
 
-/// Counts a request as in progress, so that a handover waits for it.
+/// Counts a request as in progress, so that a handover or the planned replacement
+/// of a primary waits for it.
 pub struct WorkGuard {
     databases: Arc<Databases>,
     database: DatabaseId,
@@ -49,8 +50,7 @@
             state.in_progress = state.in_progress.saturating_sub(1);
             state.gate == Gate::Closed && state.in_progress == 0
         });
-        // Waiters are woken only at a closed gate, since only a handover waits for
-        // the end of the last request.
+        // Nothing waits for the end of the last request while the gate is open.
         if is_last_before_handover == Some(true) {
             self.databases.changed.notify_waiters();
         }
--- a/daemon/src/start.rs
+++ b/daemon/src/start.rs
@@ -1,4 +1,5 @@
-//! Starts and stops an instance.
+//! Starts and stops an instance: its listeners, its background tasks and the
+//! context that they share.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -36,7 +37,7 @@
 use crate::platform_sync;
 use crate::transactions::Transactions;
 
-/// Why an instance could not be started.
+/// Reason why an instance could not be started.
 #[derive(Debug)]
 #[derive(Display)]
 pub enum StartError {
@@ -44,9 +45,9 @@
     Listen {
         /// Name of the setting.
         name: &'static str,
-        /// Its value.
+        /// Value of the setting.
         address: SocketAddr,
-        /// What the system says.
+        /// Error of the operating system.
         error: std::io::Error,
     },
 }
@@ -56,26 +57,27 @@
 /// A running instance.
 pub struct Daemon {
     context: Shared,
-    /// Where callers connect.
+    /// Address on which the instance accepts clients.
     pub client_address: SocketAddr,
-    /// Where other instances connect.
+    /// Address on which the instance accepts other instances.
     pub peer_address: SocketAddr,
-    /// Where operators connect.
+    /// Address of the HTTP interface for operators.
     pub admin_address: SocketAddr,
 }
 
-/// Longest wait for handovers at a planned stop.
+/// Longest wait of a planned stop for handovers and requests in progress.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Requests sent again, as a share of first tries.
+/// Upper limit of retries as a percentage of the requests.
 const RETRY_SHARE_PERCENT: u64 = 20;
 
-/// Requests that may be sent again at once: each caller of an entry has at
-/// most one in progress when an owner dies.
+/// Retries that are allowed at once, beyond that percentage: when an owner fails,
+/// each client connected to this instance has at most one request to retry.
 const RETRY_BURST: u64 = 5000;
 
-/// Time in which callers that are at work are told to go elsewhere. Those
-/// that stay silent for so long have no request in progress.
+/// Time in which a stopping instance still answers new requests, with a refusal,
+/// so that active clients move to another instance. A client that sends nothing
+/// for this long has no request in progress.
 const CLIENT_CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
 
 async fn listen(
@@ -93,7 +95,7 @@
     ///
     /// # Errors
     ///
-    /// When an address cannot be used.
+    /// When the instance cannot listen on one of the configured addresses.
     pub async fn start(settings: Settings) -> Result<Self, StartError> {
         let (clients, client_address) = listen("client_address", settings.client_address).await?;
         let (peers, peer_address) = listen("peer_address", settings.peer_address).await?;
@@ -111,14 +113,14 @@
         Ok(Self { context, client_address, peer_address, admin_address })
     }
 
-    /// What the tasks of the instance share.
+    /// Returns the state that the tasks of the instance share.
     #[must_use]
     pub fn context(&self) -> &Shared {
         &self.context
     }
 
-    /// Stops the instance: takes no new callers, hands its databases over,
-    /// and lets what is in progress end.
+    /// Stops the instance: accepts no new clients, hands its databases over to
+    /// other instances, and lets requests in progress end.
     pub async fn stop(&self) {
         let context = &self.context;
         info!("stopping instance={}", context.settings.instance);
@@ -128,8 +130,8 @@
         while Instant::now() < deadline && !is_idle(context) {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        // Whoever sends a request from now on is told that it did not run,
-        // and loses its connection with that answer instead of in the middle.
+        // From now on a request is refused as not run. The connection closes with
+        // that answer and not in the middle of a request.
         context.refuses_requests.store(true, Ordering::SeqCst);
         let deadline = Instant::now() + CLIENT_CLOSE_TIMEOUT;
         while Instant::now() < deadline && context.metrics.client_connections.get() > 0 {
@@ -139,7 +141,8 @@
     }
 }
 
-/// Whether nothing is owned and no request of a caller is in progress.
+/// Whether no client request is in progress and no database remains that another
+/// running instance could take over.
 fn is_idle(context: &Shared) -> bool {
     let no_peer_available =
         context.databases.instance.membership().peers().all(|(peer, alive)| !alive || peer.leaving);
@@ -193,7 +196,8 @@
     (Arc::new(context), queue)
 }
 
-/// Learns of the instances named in the settings.
+/// Adds the instances named in the settings to the known peers, so that this
+/// instance can reach them while the store is unavailable.
 fn add_seed_instances(context: &Shared) {
     let seeds = context.settings.seeds.iter().map(|seed| PeerInfo {
         id: seed.instance.clone(),
@@ -208,7 +212,7 @@
 
 async fn load_owners_once_configured(context: Shared) {
     let mut active = context.active.subscribe();
-    // Fails only while the whole instance is going down.
+    // Fails only while the process shuts down.
     if active.wait_for(|active| active.version > 0).await.is_ok() {
         platform_sync::load_owners(context.clone()).await;
     }
