--- a/daemon/src/admin.rs
+++ b/daemon/src/admin.rs
@@ -84,17 +84,17 @@
 }
 
 fn database_status(context: &Shared, id: &Arc<str>) -> Option<Value> {
-    let known = {
+    let owner_record = {
         let membership = context.databases.instance.membership();
         membership.owner(id).map(|record| (record.owner.clone(), record.term))
     };
-    let own = context.databases.with_database(id, |state| {
+    let serving_status = context.databases.with_database(id, |state| {
         let (term, primary) = state.ownership.serving()?;
         let servers: Vec<_> = state
             .ownership
             .servers()
             .map(|server| {
-                let known = state.ownership.server_state(&server.id);
+                let server_state = state.ownership.server_state(&server.id);
                 let slots = state.slots.get(&server.id);
                 let pool = state.pools.get(&server.id);
                 json!({
@@ -103,9 +103,9 @@
                     "primary": server.id == primary,
                     "leaving": server.leaving,
                     "usable": state.ownership.is_usable(&server.id),
-                    "term": known.map(|known| known.term),
-                    "received": known.map(|known| known.received.to_string()),
-                    "applied": known.map(|known| known.applied.to_string()),
+                    "term": server_state.map(|server_state| server_state.term),
+                    "received": server_state.map(|server_state| server_state.received.to_string()),
+                    "applied": server_state.map(|server_state| server_state.applied.to_string()),
                     "waiting": slots.map_or(0, SlotQueue::waiting),
                     "slots_in_use": slots.map_or(0, SlotQueue::in_use),
                     "connections": pool.map_or(0, ServerPool::open_count),
@@ -122,11 +122,11 @@
             "accounts_with_floor": state.floors.account_count(),
         }))
     })?;
-    let owner = known.as_ref().map(|(owner, _)| owner.clone());
+    let owner = owner_record.as_ref().map(|(owner, _)| owner.clone());
     Some(json!({
         "owner": owner,
-        "owner_term": known.map(|(_, term)| term),
-        "serving_here": own,
+        "owner_term": owner_record.map(|(_, term)| term),
+        "serving_here": serving_status,
     }))
 }
 
--- a/daemon/src/entry.rs
+++ b/daemon/src/entry.rs
@@ -271,9 +271,9 @@
     /// Returns the id of the next request: from the comment of the statement, from
     /// the session variable, or a new UUID. The variable applies to one request.
     fn take_request_id(&mut self, hints: &CommentHints) -> String {
-        let set = std::mem::take(&mut self.variables.request_id);
-        let named = hints.request_id.clone().unwrap_or(set);
-        if named.is_empty() { Uuid::now_v7().to_string() } else { named }
+        let session_value = std::mem::take(&mut self.variables.request_id);
+        let request_id = hints.request_id.clone().unwrap_or(session_value);
+        if request_id.is_empty() { Uuid::now_v7().to_string() } else { request_id }
     }
 
     async fn roll_back(&mut self) {
@@ -296,8 +296,8 @@
         if !transaction.started {
             return Ok(Reply::Ended("COMMIT"));
         }
-        if let Some(named) = &hints.request_id {
-            transaction.request_id.clone_from(named);
+        if let Some(request_id) = &hints.request_id {
+            transaction.request_id.clone_from(request_id);
         }
         let submit = Submit {
             transaction_id: transaction.id,
@@ -382,19 +382,19 @@
             parameter_type_oids,
             deadline_ms: u64::try_from(DESCRIBE_TIMEOUT.as_millis()).unwrap_or(u64::MAX),
         };
-        let mut check = Submit {
+        let mut filter_input = Submit {
             database: self.database.to_string(),
             account: self.account.to_string(),
             service: self.variables.service.clone(),
             sql: sql.to_owned(),
             ..Submit::default()
         };
-        self.filters.apply(&self.context, &mut check)?;
+        self.filters.apply(&self.context, &mut filter_input)?;
         forward::describe(&self.context, describe).await
     }
 
     fn set(&mut self, variable: &str, value: &str) -> Result<Reply, Failure> {
-        let done = || {
+        let set_reply = || {
             Ok(Reply::Result(StatementResult {
                 command_tag: "SET".into(),
                 ..StatementResult::default()
@@ -410,7 +410,7 @@
                 | "datestyle"
                 | "timezone"
                 | "extra_float_digits"
-                | "standard_conforming_strings" => done(),
+                | "standard_conforming_strings" => set_reply(),
                 _ => Err(failure_with(
                     ErrorKind::Unsupported,
                     format!("variable \"{variable}\" cannot be set through chervilwharf"),
@@ -441,7 +441,7 @@
                 return Err(failure_with(ErrorKind::BadStatement, message));
             }
         }
-        done()
+        set_reply()
     }
 
     fn show(&self, variable: &str) -> Reply {
--- a/daemon/src/forward.rs
+++ b/daemon/src/forward.rs
@@ -132,13 +132,13 @@
 /// have started it, or if an owner reported that it did not run.
 pub async fn submit(context: &Shared, mut submit: Submit) -> Result<StatementResult, Failure> {
     let deadline = Instant::now() + Duration::from_millis(submit.deadline_ms);
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut maybe_running = false;
     context.retry_budget.lock().expect("never poisoned").record_request();
     loop {
-        let left = deadline.saturating_duration_since(Instant::now());
+        let remaining = deadline.saturating_duration_since(Instant::now());
         submit.deadline_ms =
-            u64::try_from(left.saturating_sub(ANSWER_MARGIN).as_millis()).unwrap_or(u64::MAX);
+            u64::try_from(remaining.saturating_sub(ANSWER_MARGIN).as_millis()).unwrap_or(u64::MAX);
         submit.resend = maybe_running;
         let last_failure = match send_once(context, &submit, deadline).await {
             SendOutcome::Answered(Ok(result)) => return Ok(result),
@@ -167,7 +167,7 @@
         // Without an owner for longer than a failover takes, the client gets the
         // failure now instead of at its deadline.
         let failover_overdue =
-            now.saturating_duration_since(began) >= EXPECTED_GAP && !maybe_running;
+            now.saturating_duration_since(started_at) >= EXPECTED_GAP && !maybe_running;
         if deadline_near || failover_overdue {
             return Err(final_failure(&submit, last_failure, maybe_running));
         }
--- a/daemon/src/link.rs
+++ b/daemon/src/link.rs
@@ -168,7 +168,7 @@
         timeout: Duration,
     ) -> Result<Body, LinkError> {
         let is_control = matches!(body, Body::Heartbeat(_));
-        let link = self.link(peer).await.ok_or(LinkError::NotSent)?;
+        let link = self.get_or_open_link(peer).await.ok_or(LinkError::NotSent)?;
         let exchange_id = link.next_exchange.fetch_add(1, Ordering::Relaxed);
         let (sender, receiver) = oneshot::channel();
         link.pending.lock().expect("never poisoned").insert(exchange_id, sender);
@@ -193,7 +193,7 @@
 
     /// Sends a message that has no answer, if a link is open or can be opened.
     pub async fn send(&self, peer: &InstanceId, body: Body) {
-        if let Some(link) = self.link(peer).await {
+        if let Some(link) = self.get_or_open_link(peer).await {
             // Fails if the link has closed. The message may be lost: senders do not
             // rely on its arrival.
             let _ = link.outgoing.send(encode(0, body));
@@ -211,7 +211,7 @@
     }
 
     /// Returns an open link to an instance, and opens one if there is none.
-    async fn link(&self, peer: &InstanceId) -> Option<Arc<Link>> {
+    async fn get_or_open_link(&self, peer: &InstanceId) -> Option<Arc<Link>> {
         let address = self.databases.instance.membership().peer(peer)?.address.clone();
         if let Some(link) = self.find_open_link(peer, &address).await {
             return Some(link);
--- a/daemon/src/platform_sync.rs
+++ b/daemon/src/platform_sync.rs
@@ -186,8 +186,8 @@
 fn apply_text(context: &Shared, version: ConfigVersion, text: &str) {
     let checked = config_check::check(text);
     let Some(config) = checked.config else {
-        let first = checked.findings.first().map(ToString::to_string).unwrap_or_default();
-        error!("configuration {version} is not valid and was not applied: {first}");
+        let first_finding = checked.findings.first().map(ToString::to_string).unwrap_or_default();
+        error!("configuration {version} is not valid and was not applied: {first_finding}");
         return;
     };
     let next = ActiveConfig { version, text: text.into(), config };
@@ -270,8 +270,8 @@
         match context.platform.put(&key, &value, expected).await {
             Ok(_) => return,
             Err(PlatformError::Conflict(Some(current))) => {
-                let known = serde_json::from_str::<StoredOwner>(&current.value);
-                if known.is_ok_and(|known| known.term >= record.term) {
+                let stored_owner = serde_json::from_str::<StoredOwner>(&current.value);
+                if stored_owner.is_ok_and(|stored| stored.term >= record.term) {
                     return;
                 }
                 expected = current.version;
