--- a/daemon/src/link.rs
+++ b/daemon/src/link.rs
@@ -102,7 +102,7 @@
     identity: LinkIdentity,
     databases: Arc<Databases>,
     counters: LinkCounters,
-    links_by_peer: tokio::sync::Mutex<HashMap<InstanceId, Arc<Link>>>,
+    by_instance: tokio::sync::Mutex<HashMap<InstanceId, Arc<Link>>>,
     next_number: AtomicU64,
 }
 
@@ -144,7 +144,7 @@
             identity,
             databases,
             counters,
-            links_by_peer: tokio::sync::Mutex::default(),
+            by_instance: tokio::sync::Mutex::default(),
             next_number: AtomicU64::new(0),
         }
     }
@@ -202,7 +202,7 @@
 
     /// Removes a link, so that the next exchange opens a new one.
     async fn drop_link(&self, peer: &InstanceId, link: &Arc<Link>) {
-        let mut links = self.links_by_peer.lock().await;
+        let mut links = self.by_instance.lock().await;
         if links.get(peer).is_some_and(|current| Arc::ptr_eq(current, link)) {
             links.remove(peer);
         }
@@ -221,7 +221,7 @@
         let number =
             self.next_number.fetch_add(1, Ordering::Relaxed) + self.identity.link_number_base();
         let link = connect(&self.identity, address, number).await?;
-        let mut links = self.links_by_peer.lock().await;
+        let mut links = self.by_instance.lock().await;
         if let Some(other) = links.get(peer).filter(|other| other.is_open()) {
             return Some(other.clone());
         }
@@ -230,7 +230,7 @@
     }
 
     async fn find_open_link(&self, peer: &InstanceId, address: &str) -> Option<Arc<Link>> {
-        let links = self.links_by_peer.lock().await;
+        let links = self.by_instance.lock().await;
         links.get(peer).filter(|link| link.is_open() && *link.address == *address).cloned()
     }
 }
