--- a/daemon/src/platform.rs
+++ b/daemon/src/platform.rs
@@ -29,6 +29,9 @@
 }
 
 /// Operations that the proxy needs from the platform's store.
+///
+/// Each fails with [`PlatformError::Unavailable`] if the store is unreachable or
+/// reports a failure.
 #[async_trait]
 pub trait Platform: Send + Sync {
     /// Reads an object. Returns `None` if it does not exist.
@@ -45,6 +48,9 @@
 
     /// Writes an object if its version is `expected`, where 0 means that it must
     /// not exist. Returns the new version.
+    ///
+    /// With another version it fails with [`PlatformError::Conflict`], which carries
+    /// the current object if the store returned it.
     async fn put(&self, key: &str, value: &str, expected: u64) -> Result<u64, PlatformError>;
 }
 
--- a/daemon/src/platform_sync.rs
+++ b/daemon/src/platform_sync.rs
@@ -144,8 +144,8 @@
     }
 }
 
-/// Whether this instance is a relay. Instances of a failure domain that know the
-/// same peers choose the same relays.
+/// Whether this instance is a relay. Instances of a failure domain choose the same
+/// relays if their lists of running peers are the same.
 fn is_relay(context: &Shared) -> bool {
     let membership = context.databases.instance.membership();
     let me = membership.me();
