--- a/daemon/src/serving.rs
+++ b/daemon/src/serving.rs
@@ -46,12 +46,12 @@
 
 impl Drop for WorkGuard {
     fn drop(&mut self) {
-        let is_last_before_handover = self.databases.with_database(&self.database, |state| {
+        let is_last_at_closed_gate = self.databases.with_database(&self.database, |state| {
             state.in_progress = state.in_progress.saturating_sub(1);
             state.gate == Gate::Closed && state.in_progress == 0
         });
         // Nothing waits for the end of the last request while the gate is open.
-        if is_last_before_handover == Some(true) {
+        if is_last_at_closed_gate == Some(true) {
             self.databases.changed.notify_waiters();
         }
     }
