--- a/cli/src/explain.rs
+++ b/cli/src/explain.rs
@@ -2,9 +2,9 @@
 
 use std::path::Path;
 
-use chervilwharf_lib::story;
-use chervilwharf_lib::story::LogLine;
-use chervilwharf_lib::story::StoryLine;
+use chervilwharf_lib::explanation;
+use chervilwharf_lib::explanation::ExplanationLine;
+use chervilwharf_lib::explanation::LogLine;
 use serde_json::json;
 
 use crate::command::Ending;
@@ -21,26 +21,26 @@
     for file in &command.files {
         log.extend(read_log(file)?);
     }
-    let story = story::tell(&command.id, log);
+    let explanation = explanation::explain_request(&command.id, log);
     if output.json {
-        let lines: Vec<_> = story.lines.iter().map(to_json).collect();
+        let lines: Vec<_> = explanation.lines.iter().map(to_json).collect();
         output.line(json!({
-            "request_id": command.id, "lines": lines, "cause": story.cause,
-            "missing": story.missing,
+            "request_id": command.id, "lines": lines, "cause": explanation.cause,
+            "missing": explanation.missing,
         }));
     } else {
-        let begin_ms = story.lines.first().map_or(0, |line| line.line.at_ms);
-        for line in &story.lines {
+        let begin_ms = explanation.lines.first().map_or(0, |line| line.line.at_ms);
+        for line in &explanation.lines {
             output.line(to_text(line, begin_ms));
         }
-        if let Some(cause) = &story.cause {
+        if let Some(cause) = &explanation.cause {
             output.line(format_args!("cause: {cause}"));
         }
-        for missing in &story.missing {
+        for missing in &explanation.missing {
             output.line(format_args!("missing: {missing}"));
         }
     }
-    Ok(if story.lines.is_empty() { Ending::Failed } else { Ending::Done })
+    Ok(if explanation.lines.is_empty() { Ending::Failed } else { Ending::Done })
 }
 
 /// Reads the lines of a log; others are passed over.
@@ -51,10 +51,10 @@
 pub fn read_log(file: &Path) -> Result<Vec<LogLine>, String> {
     let text = std::fs::read_to_string(file);
     let text = text.map_err(|error| format!("{} cannot be read: {error}", file.display()))?;
-    Ok(text.lines().filter_map(story::parse_line).collect())
+    Ok(text.lines().filter_map(explanation::parse_line).collect())
 }
 
-fn to_text(line: &StoryLine, begin_ms: u64) -> String {
+fn to_text(line: &ExplanationLine, begin_ms: u64) -> String {
     let mark = if line.own { "*" } else { " " };
     let LogLine { at_ms, instance, event, fields } = &line.line;
     let after_ms = at_ms - begin_ms;
@@ -67,7 +67,7 @@
     text
 }
 
-fn to_json(line: &StoryLine) -> serde_json::Value {
+fn to_json(line: &ExplanationLine) -> serde_json::Value {
     json!({
         "at_ms": line.line.at_ms, "instance": line.line.instance, "event": line.line.event,
         "fields": line.line.fields, "count": line.count, "names_the_request": line.own,
--- a/daemon/src/checkout.rs
+++ b/daemon/src/checkout.rs
@@ -147,7 +147,7 @@
 ) -> SlotGuard {
     databases.with_database(database, |state| {
         if let Some(slots) = state.slots.get_mut(server) {
-            slots.overdraw();
+            slots.acquire_unconditionally();
         }
     });
     SlotGuard {
--- a/daemon/src/engine/caller.rs
+++ b/daemon/src/engine/caller.rs
@@ -59,14 +59,14 @@
 
 /// After other instances were asked for a newer configuration they are not asked
 /// again for this long: a flood of wrong keys must not become one of questions.
-const ASKED_EVERY: Duration = Duration::from_millis(250);
+const PULL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Instances that are asked for a newer configuration.
-const ASKED: usize = 2;
+const PULL_PEERS: usize = 2;
 
 /// When others were last asked for a newer configuration.
 #[derive(Default)]
-pub struct NewerConfiguration(Mutex<Option<Moment>>);
+pub struct LastConfigurationPull(Mutex<Option<Moment>>);
 
 impl Engine {
     /// The client that shows a key, on a route.
@@ -81,17 +81,17 @@
     pub async fn caller(&self, route: &Route, key: KeyDigest) -> Result<Caller, ErrorKind> {
         match Caller::new(&self.catalog(), route, key) {
             Err(ErrorKind::UnknownKey) => {
-                self.look_for_newer_configuration().await;
+                self.pull_newer_configuration().await;
                 Caller::new(&self.catalog(), route, key)
             }
             known => known,
         }
     }
 
-    async fn look_for_newer_configuration(&self) {
+    async fn pull_newer_configuration(&self) {
         // Those who come meanwhile wait for the answers of the first.
-        let mut asked_at = self.newer_configuration().0.lock().await;
-        if asked_at.is_some_and(|at| at + ASKED_EVERY > now()) {
+        let mut asked_at = self.last_configuration_pull().0.lock().await;
+        if asked_at.is_some_and(|at| at + PULL_INTERVAL > now()) {
             return;
         }
         let relays = self.relays_to_ask();
@@ -104,7 +104,7 @@
         let home = &self.me().failure_domain;
         let mut relays = self.with_fleet(|fleet| fleet.relays(now()));
         relays.sort_by_key(|record| record.failure_domain != *home);
-        relays.truncate(ASKED);
+        relays.truncate(PULL_PEERS);
         relays
     }
 }
--- a/daemon/src/engine/configuration_control.rs
+++ b/daemon/src/engine/configuration_control.rs
@@ -17,7 +17,7 @@
 use crate::engine::directory::Revision;
 use crate::engine::event_log;
 use crate::engine::follow::Follower;
-use crate::engine::follow::OTHERS_LISTED;
+use crate::engine::follow::PEER_LISTING_TIME;
 use crate::engine::shared::Engine;
 
 /// Puts configurations in force.
@@ -37,7 +37,7 @@
             return;
         };
         let source = ConfigurationSource::Store(entry.revision);
-        self.engine.take_configuration(&catalog, &source);
+        self.engine.apply_configuration(&catalog, &source);
     }
 }
 
@@ -62,7 +62,7 @@
 impl Engine {
     /// Puts a configuration in force, unless it is older than the present one, and
     /// logs either.
-    pub fn take_configuration(&self, catalog: &Arc<Catalog>, source: &ConfigurationSource) {
+    pub fn apply_configuration(&self, catalog: &Arc<Catalog>, source: &ConfigurationSource) {
         let in_force = self.catalog().version;
         let taken = self.set_catalog(catalog);
         let kind =
@@ -91,11 +91,11 @@
     }
 
     fn currency(&self) -> Currency {
-        self.engine.record_currency()
+        self.engine.store_read_currency()
     }
 
     fn pause_after_first_list(&self) -> Duration {
-        OTHERS_LISTED
+        PEER_LISTING_TIME
     }
 
     fn replace(&mut self, listing: Listing) {
--- a/daemon/src/engine/controllers.rs
+++ b/daemon/src/engine/controllers.rs
@@ -24,14 +24,14 @@
 use crate::engine::leader_control;
 use crate::engine::peer_records::pull_directory;
 use crate::engine::peers;
+use crate::engine::primary_lease_control;
 use crate::engine::promoter::Promoter;
 use crate::engine::quota_control;
 use crate::engine::replacement::Replacer;
-use crate::engine::right_control;
 use crate::engine::server_control::ServerFollower;
 use crate::engine::shared::Engine;
-use crate::engine::shared::STORE_FIRST;
-use crate::engine::store_signs;
+use crate::engine::shared::PEER_FALLBACK_DELAY;
+use crate::engine::store_liveness;
 
 /// Starts all controllers. They run until the program ends.
 pub fn start(
@@ -51,13 +51,13 @@
         promoter: promoter.clone(),
     };
     tokio::spawn(leader_control::run(replacer));
-    tokio::spawn(right_control::learn_orders(engine.clone(), directory.clone()));
+    tokio::spawn(primary_lease_control::load_orders(engine.clone(), directory.clone()));
     tokio::spawn(instance_control::keep_record(engine.clone(), directory.clone()));
     tokio::spawn(fleet_control::send_heartbeats(engine.clone(), directory.clone()));
-    tokio::spawn(quota_control::keep_shards(engine.clone()));
+    tokio::spawn(quota_control::maintain_keeper_leases(engine.clone()));
     tokio::spawn(peers::serve(engine.clone(), peer_listener));
     tokio::spawn(ask_seeds(engine.clone(), seeds.to_vec()));
-    tokio::spawn(go_on_alone(engine.clone()));
+    tokio::spawn(start_without_peers(engine.clone()));
 }
 
 /// Starts following what the store keeps.
@@ -66,7 +66,7 @@
     directory: &Arc<dyn Directory>,
 ) -> Vec<JoinHandle<()>> {
     let state = StoreState { era: engine.store_era().clone(), ..StoreState::default() };
-    let signs = store_signs::ask_for_ever(engine.clone(), directory.clone(), state.clone());
+    let signs = store_liveness::monitor_store(engine.clone(), directory.clone(), state.clone());
     let configuration = ConfigurationFollower::new(engine.clone());
     let servers = ServerFollower::new(engine.clone());
     let instances = InstanceFollower::new(engine.clone());
@@ -86,13 +86,13 @@
 const OTHERS_WAIT: Duration = Duration::from_secs(1);
 
 /// Without the store and without others an instance serves all by itself.
-async fn go_on_alone(engine: Arc<Engine>) {
+async fn start_without_peers(engine: Arc<Engine>) {
     // Once they are listed, others are asked whom the list lacks.
     if engine.wait_for_fleet(OTHERS_WAIT).await || engine.is_fleet_listed() {
         return;
     }
     event_log::emit(&Event::new(EventKind::FleetUnknown).with_ms("waited_ms", OTHERS_WAIT));
-    engine.know_fleet();
+    engine.set_fleet_known();
 }
 
 /// Pause between two rounds over the seeds.
@@ -102,11 +102,11 @@
 /// not answer. An instance that restarts during an outage of the store would
 /// otherwise serve nobody until its end.
 async fn ask_seeds(engine: Arc<Engine>, seeds: Vec<SocketAddr>) {
-    tokio::time::sleep(STORE_FIRST).await;
+    tokio::time::sleep(PEER_FALLBACK_DELAY).await;
     while engine.lacks_records() {
         // They are three for all instances; asked by 180 that had started together,
         // they could answer nobody in time.
-        let asked = if engine.store_is_telling() { &[] } else { &*seeds };
+        let asked = if engine.expects_store_listings() { &[] } else { &*seeds };
         for seed in asked {
             let record = InstanceRecord {
                 id: seed.to_string().into(),
--- a/daemon/src/engine/counted_directory.rs
+++ b/daemon/src/engine/counted_directory.rs
@@ -14,14 +14,14 @@
 use crate::engine::directory::DirectoryError;
 use crate::engine::directory::Entry;
 use crate::engine::directory::Listing;
+use crate::engine::directory::LivenessReply;
 use crate::engine::directory::Record;
 use crate::engine::directory::RecordKind;
 use crate::engine::directory::Revision;
-use crate::engine::directory::Sign;
 use crate::engine::directory::WriteError;
 use crate::engine::event_log;
 use crate::engine::metrics::StoreMetrics;
-use crate::engine::store_contact::unanswered;
+use crate::engine::store_availability::unanswered;
 
 /// A directory whose calls are counted.
 pub struct CountedDirectory {
@@ -37,7 +37,7 @@
     }
 
     fn counted<T, E: CallError>(&self, call: &Call, result: Result<T, E>) -> Result<T, E> {
-        self.metrics.called(call.kind, result.is_ok());
+        self.metrics.record_call(call.kind, result.is_ok());
         let silence = result.as_ref().err().and_then(CallError::silence);
         if let Some(error) = silence {
             call.report_unanswered(error, self.metrics.answer_age());
@@ -73,7 +73,7 @@
 
 impl CallError for DirectoryError {
     fn silence(&self) -> Option<&DirectoryError> {
-        self.is_silence().then_some(self)
+        self.is_unanswered().then_some(self)
     }
 }
 
@@ -104,14 +104,14 @@
         self.counted(&call, self.inner.watch(kind, after, wait, currency).await)
     }
 
-    async fn ask_for_sign(
+    async fn check_liveness(
         &self,
         kind: RecordKind,
         after: Revision,
         wait: Duration,
-    ) -> Result<Sign, DirectoryError> {
-        let result = self.inner.ask_for_sign(kind, after, wait).await;
-        self.metrics.asked_for_sign(result.is_ok());
+    ) -> Result<LivenessReply, DirectoryError> {
+        let result = self.inner.check_liveness(kind, after, wait).await;
+        self.metrics.record_liveness_check(result.is_ok());
         result
     }
 
--- a/daemon/src/engine/directory.rs
+++ b/daemon/src/engine/directory.rs
@@ -97,14 +97,14 @@
 
 /// A sign of life of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Sign {
+pub struct LivenessReply {
     /// The newest change of the kind asked for, if there was one.
     pub newest_change: Option<Revision>,
     /// Era of the history that the store shows.
     pub era: Era,
 }
 
-impl From<Changes> for Sign {
+impl From<Changes> for LivenessReply {
     fn from(changes: Changes) -> Self {
         let at = |change: &Change| match change {
             Change::Present(entry) => entry.revision,
@@ -138,7 +138,7 @@
 impl DirectoryError {
     /// Whether the store said nothing at all, as opposed to no.
     #[must_use]
-    pub fn is_silence(&self) -> bool {
+    pub fn is_unanswered(&self) -> bool {
         matches!(self, Self::Unreachable(_) | Self::Silent)
     }
 }
@@ -182,12 +182,12 @@
 
     /// Waits for a sign of life, at most for `wait`: for a change of a kind after a
     /// revision, or for nothing. It may be seconds old.
-    async fn ask_for_sign(
+    async fn check_liveness(
         &self,
         kind: RecordKind,
         after: Revision,
         wait: Duration,
-    ) -> Result<Sign, DirectoryError> {
+    ) -> Result<LivenessReply, DirectoryError> {
         let changes = self.watch(kind, after, wait, Currency::MayBeOld).await?;
         Ok(changes.into())
     }
--- a/daemon/src/engine/duty_control.rs
+++ b/daemon/src/engine/duty_control.rs
@@ -14,7 +14,7 @@
 use chervilwharf_lib::id::GroupId;
 use chervilwharf_lib::id::InstanceId;
 use chervilwharf_lib::moment::Moment;
-use chervilwharf_lib::primary_right::Ending;
+use chervilwharf_lib::primary_lease::Ending;
 use chervilwharf_lib::revision::Era;
 
 use crate::engine::clock::now;
@@ -34,7 +34,7 @@
 
 /// The duties as far as this instance knows them.
 #[derive(Debug, Default)]
-pub struct DutyBook {
+pub struct DutyTable {
     duties: HashMap<GroupId, (Revision, DutyRecord)>,
     /// Tokens of this life that an order was given under. One that went
     /// unanswered can be carried out seconds later; only a higher token keeps it
@@ -52,7 +52,7 @@
     order: Option<DutyOrder>,
 }
 
-impl DutyBook {
+impl DutyTable {
     /// The record of a group.
     #[must_use]
     pub fn record(&self, group: &GroupId) -> Option<&DutyRecord> {
@@ -130,7 +130,7 @@
     }
 
     /// A token must not be used again.
-    pub fn spend(&mut self, duty: &DutyRecord) {
+    pub fn mark_token_used(&mut self, duty: &DutyRecord) {
         self.spent.insert(duty.group.clone(), duty.token);
     }
 
@@ -149,7 +149,7 @@
 
     /// Whether an order was given under the present token of a group.
     #[must_use]
-    pub fn is_spent(&self, group: &GroupId) -> bool {
+    pub fn is_token_used(&self, group: &GroupId) -> bool {
         let token = self.record(group).map(|record| record.token);
         token.is_some() && self.spent.get(group).copied() >= token
     }
@@ -157,7 +157,7 @@
     fn usable(&self, group: &GroupId, id: &InstanceId, life: u64) -> Option<DutyRecord> {
         let record = self.record(group)?;
         let ours = record.holder == *id && record.life == life;
-        (ours && !self.is_spent(group)).then(|| record.clone())
+        (ours && !self.is_token_used(group)).then(|| record.clone())
     }
 }
 
@@ -182,7 +182,7 @@
         if new {
             let event = Event::new(EventKind::DutyTaken).with("group", &group);
             event_log::emit(&event.with("holder", &holder).with("token", token));
-            self.engine.duty_moved(&group, &holder);
+            self.engine.note_duty_holder(&group, &holder);
         }
     }
 }
@@ -329,6 +329,6 @@
     if !engine.with_duties(|duties| duties.may_lack_order(&next.group, era)) {
         return Some(next);
     }
-    let told = engine.retired_by_most(&next.group)?;
+    let told = engine.retired_by_majority(&next.group)?;
     Some(DutyRecord { retired: next.retired.max(told), ..next })
 }
--- a/daemon/src/engine/fleet_control.rs
+++ b/daemon/src/engine/fleet_control.rs
@@ -23,8 +23,8 @@
 use crate::engine::event_log;
 use crate::engine::instance_control;
 use crate::engine::peer_records::pull_directory;
-use crate::engine::peer_records::tell_records;
-use crate::engine::right_control;
+use crate::engine::peer_records::push_records;
+use crate::engine::primary_lease_control;
 use crate::engine::shard::Shard;
 use crate::engine::shared::Engine;
 
@@ -44,24 +44,27 @@
         tokio::select! {
             () = tokio::time::sleep(HEARTBEAT_INTERVAL) => {}
             // Grants come with the replies.
-            () = engine.renewal().notified() => tokio::time::sleep(RENEWAL_PAUSE).await,
+            () = engine.lease_renewal().notified() => tokio::time::sleep(RENEWAL_PAUSE).await,
         }
         let at = now();
         if at > last_round + STOOD_STILL {
             let still = at.saturating_sub(last_round);
             event_log::emit(&Event::new(EventKind::StoodStill).with_ms("for_ms", still));
-            engine.with_fleet(|fleet| fleet.stood_still(at));
-            engine.contacts().forget();
+            engine.with_fleet(|fleet| fleet.process_paused(at));
+            engine.peer_contacts().forget();
         }
         last_round = at;
         for target in engine.heartbeat_targets() {
             let engine = engine.clone();
             tokio::spawn(async move { heartbeat(&engine, &target).await });
         }
-        tokio::spawn(right_control::renew_by_store(engine.clone(), directory.clone()));
-        engine.share_connections();
+        tokio::spawn(primary_lease_control::renew_leases_from_store(
+            engine.clone(),
+            directory.clone(),
+        ));
+        engine.recompute_assignments();
         engine.close_unused_links();
-        instance_control::remove_lost(&engine, &directory, at);
+        instance_control::remove_unresponsive(&engine, &directory, at);
         instance_control::restore_unlisted(&engine, &directory, at);
     }
 }
@@ -79,17 +82,17 @@
     let question = Body::Heartbeat(engine.heartbeat(&target.shared_groups));
     let answer = engine.peers().ask(peer.peer_address, question).await;
     let Ok(Body::HeartbeatReply(reply)) = answer else {
-        engine.contacts().missed(asked_at, &peer.id);
+        engine.peer_contacts().missed(asked_at, &peer.id);
         return;
     };
-    engine.contacts().heard(asked_at, &peer.id);
-    engine.take_heartbeat(&reply);
+    engine.peer_contacts().heard(asked_at, &peer.id);
+    engine.apply_heartbeat(&reply);
     engine.take_grants(asked_at, &peer.id, &reply.grants, reply.store_era);
-    engine.take_samples(asked_at, &reply.samples);
+    engine.apply_position_samples(asked_at, &reply.samples);
     if reply.lacks_records {
-        tell_records(engine, peer).await;
+        push_records(engine, peer).await;
     }
-    if !engine.wants_directory_of(&reply) {
+    if !engine.should_pull_from(&reply) {
         return;
     }
     // One at a time: all neighbours tell of the same news at once.
@@ -105,7 +108,7 @@
             fleet.others().map(|record| (record.id.clone(), record.peer_address)).unzip()
         });
         let ids: HashSet<_> = ids.into_iter().collect();
-        self.contacts().keep_only(|id| ids.contains(id));
+        self.peer_contacts().keep_only(|id| ids.contains(id));
         self.peers().keep_only(&addresses);
         self.statement_links().keep_only(&addresses);
     }
@@ -190,7 +193,7 @@
         };
         let samples = shards.iter().filter_map(sample).collect();
         let grants = self.grants(at, &question.instance, &question.demands);
-        let lacks_records = self.invites_records();
+        let lacks_records = self.take_records_request();
         Heartbeat { samples, grants, lacks_records, ..self.heartbeat(&shards) }
     }
 
@@ -200,7 +203,7 @@
     /// The reply was written after the question was sent, so a sample is at
     /// most its age older than the question. That errs to the safe side
     /// whatever the message took.
-    pub fn take_samples(&self, asked_at: Moment, samples: &[PositionSample]) {
+    pub fn apply_position_samples(&self, asked_at: Moment, samples: &[PositionSample]) {
         for sample in samples {
             let Some(sampled_at) = asked_at.checked_sub(Duration::from_millis(sample.age_ms))
             else {
@@ -208,12 +211,12 @@
             };
             let position = Position::new(sample.term, sample.index);
             let shard = self.shard(&sample.group.as_str().into());
-            shard.with_group(|group| group.hear_of_position(sampled_at, position));
+            shard.with_group(|group| group.observe_reported_position(sampled_at, position));
         }
     }
 
     /// Another instance is alive.
-    pub fn take_heartbeat(&self, heartbeat: &Heartbeat) {
+    pub fn apply_heartbeat(&self, heartbeat: &Heartbeat) {
         self.note_store_era(heartbeat.store_era, &heartbeat.instance);
         let demands = heartbeat.demands.iter();
         let demands = demands.map(|demand| (demand.group.as_str().into(), demand.wanted)).collect();
--- a/daemon/src/engine/follow.rs
+++ b/daemon/src/engine/follow.rs
@@ -18,8 +18,8 @@
 use crate::engine::directory::RecordKind;
 use crate::engine::directory::Revision;
 use crate::engine::event_log;
-use crate::engine::store_contact::StoreContact;
-use crate::engine::store_contact::unanswered;
+use crate::engine::store_availability::StoreAvailability;
+use crate::engine::store_availability::unanswered;
 use crate::engine::store_era::StoreEra;
 use crate::engine::store_gate::StoreGate;
 
@@ -109,7 +109,7 @@
 /// By then a starting instance has listed the others (4 ms, 100 ms from a slow
 /// store) and knows whether it is a relay. Without this pause all of them
 /// began with a watch of the present state, at ten times the price.
-pub const OTHERS_LISTED: Duration = Duration::from_secs(1);
+pub const PEER_LISTING_TIME: Duration = Duration::from_secs(1);
 
 /// First and longest pause after a failed call. The longest leaves five tries
 /// within the 3 s in which a configuration has to be in force.
@@ -139,7 +139,7 @@
     /// The latest era.
     pub era: Arc<StoreEra>,
     /// Whether the store answers.
-    pub contact: Arc<StoreContact>,
+    pub contact: Arc<StoreAvailability>,
 }
 
 /// Follows a kind of records for ever.
--- a/daemon/src/engine/guest.rs
+++ b/daemon/src/engine/forwarded_session.rs
@@ -6,7 +6,6 @@
 
 use async_trait::async_trait;
 use chervilwharf_lib::account::KeyDigest;
-use chervilwharf_lib::arrivals::StatementTicket;
 use chervilwharf_lib::catalog::Route;
 use chervilwharf_lib::engine_protos;
 use chervilwharf_lib::engine_protos::StatementReply;
@@ -14,14 +13,14 @@
 use chervilwharf_lib::engine_protos::statement::Work as WireWork;
 use chervilwharf_lib::error_kind::ErrorKind;
 use chervilwharf_lib::position::Position;
+use chervilwharf_lib::received_statements::StatementTicket;
 use chervilwharf_lib::statement::Access;
 use chervilwharf_lib::statement::Prepared;
 use chervilwharf_lib::statement::Statement;
 use chervilwharf_lib::statement::TransactionState;
 
-use crate::engine::caller::Caller;
 use crate::engine::clock::now;
-use crate::engine::peers::Guest;
+use crate::engine::peers::ForwardedStatementHandler;
 use crate::engine::records;
 use crate::engine::request::Failure;
 use crate::engine::request::Request;
@@ -29,22 +28,23 @@
 use crate::engine::session::Session;
 use crate::engine::shared::Engine;
 use crate::engine::single::Work;
+use crate::engine::workload::Caller;
 
 /// A session for statements of another instance, one at a time. Its
 /// transaction is rolled back when the link ends.
-pub struct GuestSession {
+pub struct ForwardedSession {
     engine: Arc<Engine>,
     session: Option<Session>,
 }
 
 /// What another instance wants done.
-enum GuestWork {
+enum ForwardedWork {
     Run(Work, bool),
     Commit,
     RollBack,
 }
 
-impl GuestSession {
+impl ForwardedSession {
     /// A session that has not run anything.
     #[must_use]
     pub fn new(engine: Arc<Engine>) -> Self {
@@ -58,7 +58,7 @@
         let Some(work) = decode_work(statement.work.take()) else {
             return refusal(ErrorKind::BadStatement);
         };
-        if matches!(work, GuestWork::RollBack) {
+        if matches!(work, ForwardedWork::RollBack) {
             self.session = None;
             return StatementReply::default();
         }
@@ -88,9 +88,9 @@
         let deadline = arrived_at + Duration::from_millis(statement.time_left_ms);
         let request = Request { id: statement.id.into(), route, arrived_at, deadline };
         let engine = self.engine.clone();
-        let session = self
-            .session
-            .get_or_insert_with(|| Session::guest(engine, &request.route, caller.clone()));
+        let session = self.session.get_or_insert_with(|| {
+            Session::forwarded_session(engine, &request.route, caller.clone())
+        });
         if !goes_on {
             // What an earlier user of the link left behind is rolled back: the
             // statement would run inside that transaction.
@@ -101,12 +101,12 @@
         session.set_values(values.map(|value| (value.name.into(), value.value.into())).collect());
         session.set_floor((floor.term > 0).then_some(floor));
         if begin != Begin::No {
-            session.begin_guest(&request.route, begin == Begin::ReadOnly);
+            session.begin_forwarded(&request.route, begin == Begin::ReadOnly);
         }
         let result = match work {
-            GuestWork::Run(work, writes) => session.run_work(&request, &work, writes).await,
-            GuestWork::Commit => session.commit_work(&request).await,
-            GuestWork::RollBack => return StatementReply::default(),
+            ForwardedWork::Run(work, writes) => session.run_work(&request, &work, writes).await,
+            ForwardedWork::Commit => session.commit_work(&request).await,
+            ForwardedWork::RollBack => return StatementReply::default(),
         };
         let reply = encode_reply(session, result);
         if !session.is_in_transaction() {
@@ -142,7 +142,10 @@
 impl ArrivedGuard {
     /// `None` if the statement must not run: its sender was told that it never will.
     fn new(engine: &Arc<Engine>, ticket: StatementTicket) -> Option<Self> {
-        let may_run = ticket == 0 || engine.with_arrivals(|arrivals| arrivals.begin(now(), ticket));
+        let may_run = ticket == 0
+            || engine.with_received_statements(|received_statements| {
+                received_statements.begin(now(), ticket)
+            });
         may_run.then(|| Self { engine: engine.clone(), ticket })
     }
 }
@@ -150,13 +153,15 @@
 impl Drop for ArrivedGuard {
     fn drop(&mut self) {
         if self.ticket != 0 {
-            self.engine.with_arrivals(|arrivals| arrivals.end(now(), self.ticket));
+            self.engine.with_received_statements(|received_statements| {
+                received_statements.end(now(), self.ticket)
+            });
         }
     }
 }
 
 #[async_trait]
-impl Guest for GuestSession {
+impl ForwardedStatementHandler for ForwardedSession {
     async fn run(&mut self, statement: engine_protos::Statement) -> StatementReply {
         let Some(_arrived) = ArrivedGuard::new(&self.engine, statement.ticket) else {
             let floor = Position::new(statement.floor_term, statement.floor_index);
@@ -166,14 +171,15 @@
     }
 }
 
-fn decode_work(work: Option<WireWork>) -> Option<GuestWork> {
-    let run =
-        |statement, prepared, writes| Some(GuestWork::Run(Work { statement, prepared }, writes));
+fn decode_work(work: Option<WireWork>) -> Option<ForwardedWork> {
+    let run = |statement, prepared, writes| {
+        Some(ForwardedWork::Run(Work { statement, prepared }, writes))
+    };
     match work? {
         WireWork::Read(item) => run(Statement::Read { item: item.into() }, None, false),
         WireWork::Write(text) => run(Statement::Write { item_and_data: text.into() }, None, true),
-        WireWork::Commit(_) => Some(GuestWork::Commit),
-        WireWork::Rollback(_) => Some(GuestWork::RollBack),
+        WireWork::Commit(_) => Some(ForwardedWork::Commit),
+        WireWork::Rollback(_) => Some(ForwardedWork::RollBack),
         WireWork::Execute(execution) => {
             let access = if execution.writes { Access::Write } else { Access::Read };
             let prepared = Prepared { access, shape: execution.shape.into() };
--- a/daemon/src/engine/holders.rs
+++ b/daemon/src/engine/holders.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use chervilwharf_lib::fleet::InstanceRecord;
+use chervilwharf_lib::holder_choice::Affinity;
 use chervilwharf_lib::holder_choice::Candidate;
-use chervilwharf_lib::holder_choice::Meeting;
 use chervilwharf_lib::holder_choice::choose;
 use chervilwharf_lib::holders::holders;
 use chervilwharf_lib::id::GroupId;
@@ -23,11 +23,11 @@
 
 /// How often it is looked whether the instances changed. They come and go in
 /// seconds; looking for each statement would cost more than the statement.
-const CHECKED_EVERY: Duration = Duration::from_millis(200);
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// A holder that could not serve a statement of a group is passed over there for
 /// this long: it may be able to after the next heartbeats.
-const UNABLE_FOR: Duration = Duration::from_millis(500);
+const SKIP_DURATION: Duration = Duration::from_millis(500);
 
 #[derive(Default)]
 struct Inner {
@@ -64,7 +64,7 @@
         let at = now();
         let mut inner = self.lock();
         inner.unable_until.retain(|_, until| *until > at);
-        inner.unable_until.insert((group.clone(), id.clone()), at + UNABLE_FOR);
+        inner.unable_until.insert((group.clone(), id.clone()), at + SKIP_DURATION);
     }
 
     /// The instances or the configuration may have changed: looks at the next
@@ -75,8 +75,8 @@
 }
 
 impl Inner {
-    fn is_checked(&self, at: Moment) -> bool {
-        self.checked_at.is_some_and(|checked_at| checked_at + CHECKED_EVERY > at)
+    fn is_fresh(&self, at: Moment) -> bool {
+        self.checked_at.is_some_and(|checked_at| checked_at + CHECK_INTERVAL > at)
     }
 
     /// Drops the lists if they were computed from something else.
@@ -112,13 +112,13 @@
 
     fn check_holders(&self) {
         let at = now();
-        if self.holder_lists().lock().is_checked(at) {
+        if self.holder_lists().lock().is_fresh(at) {
             return;
         }
         // An instance that has just started would take itself for the only one:
         // after a power loss each of 72 opened connections to all servers, each
         // of which takes a slot for 12 to 27 ms.
-        let known = self.knows_who_holds();
+        let known = self.knows_candidate_holders();
         let staying = self.with_fleet(|fleet| {
             let record = |id: &InstanceId| match fleet.record(id) {
                 Some(record) => record.clone(),
@@ -164,7 +164,7 @@
     }
 
     /// A group was added.
-    pub(crate) fn forget_held(&self) {
+    pub(crate) fn invalidate_held(&self) {
         self.holder_lists().lock().held = None;
     }
 
@@ -184,17 +184,17 @@
     /// Whether a statement for a group is served by the connections of this instance:
     /// it holds the group, and is the best of its holders for those who should meet.
     #[must_use]
-    pub fn serves_here(&self, group: &GroupId, meeting: &Meeting) -> bool {
+    pub fn serves_here(&self, group: &GroupId, affinity: &Affinity) -> bool {
         if !self.is_holder(group) {
             return false;
         }
-        if let Meeting::Session(_) = meeting {
+        if let Affinity::Session(_) = affinity {
             return true;
         }
         let mut candidates = self.candidates(group, &[]);
         let (record, contact) = (self.me().clone(), Contact::Heard);
-        candidates.push(Candidate { record, contact, unable: false, near: true });
-        let best = choose(&candidates, meeting);
+        candidates.push(Candidate { record, contact, recently_refused: false, near: true });
+        let best = choose(&candidates, affinity);
         best.is_none_or(|candidate| candidate.record.id == self.me().id)
     }
 
@@ -206,13 +206,13 @@
         let mut holders = self.co_holders(group);
         holders.retain(|record| !tried.contains(&record.id));
         let inner = self.holder_lists().lock();
-        let unable = |id: &InstanceId| {
+        let recently_refused = |id: &InstanceId| {
             let until = inner.unable_until.get(&(group.clone(), id.clone()));
             until.is_some_and(|until| *until > at)
         };
         let candidate = |record: InstanceRecord| Candidate {
-            contact: self.contacts().of(&record.id),
-            unable: unable(&record.id),
+            contact: self.peer_contacts().of(&record.id),
+            recently_refused: recently_refused(&record.id),
             near: record.failure_domain == self.me().failure_domain,
             record,
         };
--- a/daemon/src/engine/instance_control.rs
+++ b/daemon/src/engine/instance_control.rs
@@ -47,13 +47,13 @@
     fn take_all(&mut self, records: Vec<InstanceRecord>, era: Era) {
         let before = self.listed_era.replace(era);
         let update = if before.is_some_and(|before| before < era) {
-            Fleet::replace_by_copy
+            Fleet::replace_after_store_restore
         } else {
             Fleet::replace
         };
         self.engine.list_instances(records, update);
         if era == 0 || self.engine.is_fleet_known() {
-            self.engine.know_fleet();
+            self.engine.set_fleet_known();
         } else {
             tokio::spawn(go_on_with_newest_records(self.engine.clone()));
         }
@@ -85,8 +85,8 @@
         // A duty is taken in an era when all that are alive are listed again.
         let is_settled =
             engine.with_duties(|duties| duties.is_any_taken_in(engine.store_era().latest()));
-        if told || is_settled || engine.runs_for(LISTED_AGAIN) {
-            return engine.know_fleet();
+        if told || is_settled || engine.has_run_for(LISTED_AGAIN) {
+            return engine.set_fleet_known();
         }
         tokio::time::sleep(ASK_PAUSE).await;
     }
@@ -120,7 +120,7 @@
         let me = self.engine.me();
         if !records.contains(me) {
             self.engine.set_earlier_record(earlier);
-            self.engine.wants_record().notify_one();
+            self.engine.record_write_needed().notify_one();
         }
         self.take_all(records, listing.revision.era);
     }
@@ -134,12 +134,12 @@
                     }
                 }
                 Change::Removed(id) if id == self.engine.me().id => {
-                    self.engine.wants_record().notify_one();
+                    self.engine.record_write_needed().notify_one();
                 }
                 Change::Removed(id) => self.engine.with_fleet(|fleet| fleet.removed(&id)),
             }
         }
-        self.engine.share_connections();
+        self.engine.recompute_assignments();
     }
 }
 
@@ -149,7 +149,7 @@
 /// Keeps the record of this instance in the store until it stops.
 pub async fn keep_record(engine: Arc<Engine>, directory: Arc<dyn Directory>) {
     loop {
-        engine.wants_record().notified().await;
+        engine.record_write_needed().notified().await;
         while !engine.is_stopping() {
             match write_record(&engine, &*directory).await {
                 Ok(()) => break,
@@ -210,7 +210,7 @@
 }
 
 /// Removes the records of instances that were silent for long.
-pub fn remove_lost(engine: &Arc<Engine>, directory: &Arc<dyn Directory>, at: Moment) {
+pub fn remove_unresponsive(engine: &Arc<Engine>, directory: &Arc<dyn Directory>, at: Moment) {
     let lost = engine.with_fleet(|fleet| fleet.removable(at));
     for record in lost {
         let directory = directory.clone();
--- a/daemon/src/engine/leader_control.rs
+++ b/daemon/src/engine/leader_control.rs
@@ -16,7 +16,7 @@
 use chervilwharf_lib::id::GroupId;
 use chervilwharf_lib::id::TargetId;
 use chervilwharf_lib::leader_watch::LeaderWatch;
-use chervilwharf_lib::leader_watch::Opinions;
+use chervilwharf_lib::leader_watch::PeerReports;
 use chervilwharf_lib::leader_watch::WatchAction;
 use chervilwharf_lib::moment::Moment;
 use futures::future::join_all;
@@ -215,7 +215,7 @@
         let question = Body::LeaderQuery(question.clone());
         engine.peers().ask(peer.peer_address, question)
     });
-    let mut opinions = Opinions::default();
+    let mut opinions = PeerReports::default();
     let mut helpers = Vec::new();
     let answers = join_all(asking).await;
     for (peer, answer) in others.iter().zip(answers) {
@@ -224,7 +224,7 @@
             continue;
         };
         opinions.replacing |= reply.replacing;
-        hear_of_leader(shard, &reply);
+        observe_reported_leader(shard, &reply);
         match (reply.contact(), &leader) {
             (Contact::Answered, Some(_)) => helpers.push(peer.peer_address),
             (Contact::Failed, _) => opinions.failed += 1,
@@ -255,12 +255,12 @@
 /// Another instance knows a primary. In a later term than ours it is taken
 /// for true without a question: this instance may be cut off from it, and
 /// would replace it by a server that lacks what it has acknowledged.
-fn hear_of_leader(shard: &Arc<Shard>, reply: &LeaderReply) {
+fn observe_reported_leader(shard: &Arc<Shard>, reply: &LeaderReply) {
     if reply.leader.is_empty() {
         return;
     }
     let id: TargetId = reply.leader.as_str().into();
-    let changed = shard.with_group(|group| group.hear_of_leader(now(), &id, reply.term));
+    let changed = shard.with_group(|group| group.observe_reported_leader(now(), &id, reply.term));
     if changed {
         let event = Event::new(EventKind::LeaderFound).with("group", shard.id());
         event_log::emit(&event.with("server", &id).with("term", reply.term).with("source", "peer"));
@@ -290,21 +290,21 @@
             // Until most voters tell what the store's copy may lack it cannot be taken,
             // and it tells others that all who are alive are listed again.
             let settled = self.store_era().is_known_for(now(), DUTY_TAKEN_AFTER);
-            return settled && self.retired_by_most(group).is_some();
+            return settled && self.retired_by_majority(group).is_some();
         }
         let record = self.with_duties(|duties| duties.record(group).cloned());
         let Some(record) = record else {
             return true;
         };
         if record.holder == self.me().id {
-            let spent = self.with_duties(|duties| duties.is_spent(group));
+            let spent = self.with_duties(|duties| duties.is_token_used(group));
             return spent || record.life != self.me().life;
         }
         !self.holders(group).iter().any(|holder| holder.id == record.holder)
     }
 
     /// Somebody took the duty of a group, usually to replace its primary.
-    pub fn duty_moved(&self, group: &GroupId, holder: &str) {
+    pub fn note_duty_holder(&self, group: &GroupId, holder: &str) {
         if *holder != *self.me().id {
             self.watches().expect_replacement(group, now());
         }
--- a/daemon/src/engine/lease.rs
+++ b/daemon/src/engine/lease.rs
@@ -2,16 +2,16 @@
 
 use std::sync::Arc;
 
+use chervilwharf_lib::connection_setup::ConnectionSetup;
+use chervilwharf_lib::connection_setup::SessionValues;
 use chervilwharf_lib::id::AccountId;
 use chervilwharf_lib::id::TargetId;
-use chervilwharf_lib::layout::ConnectionLayout;
-use chervilwharf_lib::layout::SessionValues;
 use chervilwharf_lib::moment::Moment;
 use chervilwharf_lib::statement::Prepared;
 
-use crate::engine::border::ServerConnection;
-use crate::engine::border::Step;
 use crate::engine::clock::now;
+use crate::engine::server_connection::ServerConnection;
+use crate::engine::server_connection::Step;
 use crate::engine::shard::Shard;
 
 /// An open connection and what is set up on it.
@@ -20,7 +20,7 @@
     pub account: Option<AccountId>,
     /// The connection.
     pub connection: Box<dyn ServerConnection>,
-    layout: ConnectionLayout,
+    connection_setup: ConnectionSetup,
     /// Whether statements that the layout counts as done may not have run.
     unsettled: bool,
     /// When the server last answered on it.
@@ -31,20 +31,20 @@
     /// A connection that was just opened.
     #[must_use]
     pub fn new(account: Option<AccountId>, connection: Box<dyn ServerConnection>) -> Self {
-        let (layout, answered_at) = (ConnectionLayout::default(), now());
-        Self { account, connection, layout, unsettled: false, answered_at }
+        let (connection_setup, answered_at) = (ConnectionSetup::default(), now());
+        Self { account, connection, connection_setup, unsettled: false, answered_at }
     }
 
     /// How many statements it takes to set it up for a session.
     #[must_use]
     pub fn distance(&self, values: &SessionValues, prepared: Option<&Prepared>) -> usize {
-        self.layout.distance(values, prepared)
+        self.connection_setup.distance(values, prepared)
     }
 
     /// Statements that set it up for a session. They count as done, so they
     /// have to be sent, or the connection is of no use any more.
     pub fn adapt(&mut self, values: &SessionValues, prepared: Option<&Prepared>) -> Vec<Step> {
-        let steps = self.layout.adapt(values, prepared);
+        let steps = self.connection_setup.adapt(values, prepared);
         self.unsettled |= !steps.is_empty();
         steps.into_iter().map(Step::own).collect()
     }
--- a/daemon/src/engine/metrics.rs
+++ b/daemon/src/engine/metrics.rs
@@ -128,7 +128,7 @@
     }
 
     /// A question for a sign of life ended.
-    pub fn asked_for_sign(&self, succeeded: bool) {
+    pub fn record_liveness_check(&self, succeeded: bool) {
         self.count("signs".to_owned(), succeeded);
         if succeeded {
             *self.last_sign.lock().expect("never poisoned") = Some(now());
@@ -136,7 +136,7 @@
     }
 
     /// A call about a kind of records ended.
-    pub fn called(&self, kind: RecordKind, succeeded: bool) {
+    pub fn record_call(&self, kind: RecordKind, succeeded: bool) {
         self.count(kind.to_string(), succeeded);
         if succeeded {
             let at = now();
--- a/daemon/src/engine/contacts.rs
+++ b/daemon/src/engine/peer_contacts.rs
@@ -5,23 +5,23 @@
 use std::sync::MutexGuard;
 use std::time::Duration;
 
-use chervilwharf_lib::arrivals::Fate;
-use chervilwharf_lib::arrivals::StatementTicket;
 use chervilwharf_lib::engine_protos::SignOfLife;
 use chervilwharf_lib::engine_protos::SignOfLifeReply;
 use chervilwharf_lib::engine_protos::engine_frame::Body;
 use chervilwharf_lib::event::Event;
 use chervilwharf_lib::event::EventKind;
 use chervilwharf_lib::fleet::InstanceRecord;
+use chervilwharf_lib::holder_choice::Affinity;
 use chervilwharf_lib::holder_choice::Candidate;
-use chervilwharf_lib::holder_choice::Meeting;
 use chervilwharf_lib::holder_choice::choose;
 use chervilwharf_lib::id::GroupId;
 use chervilwharf_lib::id::InstanceId;
 use chervilwharf_lib::moment::Moment;
 use chervilwharf_lib::peer_contact::Contact;
+use chervilwharf_lib::peer_contact::LIVENESS_TIMEOUT;
 use chervilwharf_lib::peer_contact::PeerContacts;
-use chervilwharf_lib::peer_contact::SIGN_LIMIT;
+use chervilwharf_lib::received_statements::Fate;
+use chervilwharf_lib::received_statements::StatementTicket;
 use futures::StreamExt;
 use futures::stream::FuturesUnordered;
 
@@ -72,14 +72,14 @@
         self.lock().keep_only(exists);
     }
 
-    fn take_question(&self, id: &InstanceId) -> bool {
-        self.lock().take_question(now(), id)
+    fn take_due_liveness_check(&self, id: &InstanceId) -> bool {
+        self.lock().take_due_liveness_check(now(), id)
     }
 }
 
 impl Engine {
     /// Asks another instance for a sign of life. Returns whether it gave one.
-    pub async fn ask_for_sign(&self, peer: &InstanceRecord) -> bool {
+    pub async fn check_liveness(&self, peer: &InstanceRecord) -> bool {
         self.ask_sign(peer, SignOfLife::default()).await.is_some()
     }
 
@@ -110,12 +110,13 @@
     ) -> Option<SignOfLifeReply> {
         let asked_at = now();
         let question = Body::SignOfLife(question);
-        let answer = self.peers().ask_anew(peer.peer_address, question, SIGN_LIMIT).await;
+        let answer =
+            self.peers().ask_on_new_link(peer.peer_address, question, LIVENESS_TIMEOUT).await;
         let Ok(Body::SignOfLifeReply(reply)) = answer else {
-            self.contacts().missed(asked_at, &peer.id);
+            self.peer_contacts().missed(asked_at, &peer.id);
             return None;
         };
-        self.contacts().heard(asked_at, &peer.id);
+        self.peer_contacts().heard(asked_at, &peer.id);
         Some(reply)
     }
 
@@ -126,8 +127,9 @@
             return SignOfLifeReply::default();
         }
         let sent_ago = Duration::from_millis(question.sent_ms_ago);
-        let fate =
-            self.with_arrivals(|arrivals| arrivals.withdraw(now(), question.ticket, sent_ago));
+        let fate = self.with_received_statements(|received_statements| {
+            received_statements.withdraw(now(), question.ticket, sent_ago)
+        });
         SignOfLifeReply { withdrawn: fate == Fate::Withdrawn, ended: fate == Fate::Ended }
     }
 
@@ -137,21 +139,21 @@
     pub async fn find_holder(
         self: &Arc<Self>,
         group: &GroupId,
-        meeting: &Meeting,
+        affinity: &Affinity,
         tried: &[InstanceId],
     ) -> Option<Candidate> {
         loop {
             let candidates = self.candidates(group, tried);
-            let chosen = choose(&candidates, meeting)?.clone();
+            let chosen = choose(&candidates, affinity)?.clone();
             match chosen.contact {
                 Contact::Heard => {
                     self.ask_in_background(&candidates);
                     return Some(chosen);
                 }
-                Contact::Unproven => {
+                Contact::Unverified => {
                     // The others may be wanted next.
                     self.ask_in_background(&candidates);
-                    if self.ask_for_sign(&chosen.record).await {
+                    if self.check_liveness(&chosen.record).await {
                         return Some(chosen);
                     }
                 }
@@ -166,19 +168,23 @@
 
     /// Asks those that are not heard, without waiting for them.
     fn ask_in_background(self: &Arc<Self>, candidates: &[Candidate]) {
-        let wanted = |candidate: &&Candidate| self.contacts().take_question(&candidate.record.id);
+        let wanted = |candidate: &&Candidate| {
+            self.peer_contacts().take_due_liveness_check(&candidate.record.id)
+        };
         for candidate in candidates.iter().filter(wanted) {
             let (engine, record) = (self.clone(), candidate.record.clone());
-            tokio::spawn(async move { engine.ask_for_sign(&record).await });
+            tokio::spawn(async move { engine.check_liveness(&record).await });
         }
     }
 
     /// Asks the silent ones that were not asked just now. Returns as soon as one
     /// gives a sign of life; false if none does.
     async fn ask_silent(&self, candidates: &[Candidate]) -> bool {
-        let due = candidates.iter().filter(|c| self.contacts().take_question(&c.record.id));
+        let due = candidates
+            .iter()
+            .filter(|c| self.peer_contacts().take_due_liveness_check(&c.record.id));
         let mut asking: FuturesUnordered<_> =
-            due.map(|candidate| self.ask_for_sign(&candidate.record)).collect();
+            due.map(|candidate| self.check_liveness(&candidate.record)).collect();
         while let Some(heard) = asking.next().await {
             if heard {
                 return true;
--- a/daemon/src/engine/peer_records.rs
+++ b/daemon/src/engine/peer_records.rs
@@ -23,7 +23,7 @@
 ///
 /// It asks the addresses of its settings itself, but those are three, and may have
 /// been started again with it.
-pub async fn tell_records(engine: &Engine, peer: &InstanceRecord) {
+pub async fn push_records(engine: &Engine, peer: &InstanceRecord) {
     if !engine.is_fleet_listed() {
         return;
     }
@@ -47,7 +47,7 @@
     let reason = match engine.peers().ask(peer.peer_address, question).await {
         Ok(Body::DirectoryState(state)) => {
             let tells_instances = !state.instances.is_empty();
-            engine.take_directory(state);
+            engine.apply_directory_state(state);
             return tells_instances;
         }
         Ok(_) => "it answered something else than was asked".to_owned(),
@@ -62,19 +62,19 @@
     /// Whether another instance knows records that this one lacks: while the
     /// store turns this instance away, others may still be served by it.
     #[must_use]
-    pub fn wants_directory_of(&self, heartbeat: &Heartbeat) -> bool {
+    pub fn should_pull_from(&self, heartbeat: &Heartbeat) -> bool {
         let told = Revision::new(heartbeat.servers_era, heartbeat.servers_revision);
         let newer_servers = told > self.servers_revision();
-        let late = self.has_servers_outage() || self.record_currency() == Currency::MayBeOld;
+        let late = self.has_servers_outage() || self.store_read_currency() == Currency::MayBeOld;
         heartbeat.configuration_version > self.catalog().version || (newer_servers && late)
     }
 
     /// Takes over what another instance tells of the platform's records.
-    pub fn take_directory(&self, state: DirectoryState) {
+    pub fn apply_directory_state(&self, state: DirectoryState) {
         let from = state.sender;
         if let Some(configuration) = state.configuration {
             let catalog = Arc::new(records::decode_catalog(configuration));
-            self.take_configuration(&catalog, &ConfigurationSource::Peer(from.as_str().into()));
+            self.apply_configuration(&catalog, &ConfigurationSource::Peer(from.as_str().into()));
         }
         let instances = state.instances.into_iter().filter_map(records::decode_instance);
         self.take_told_instances(instances.collect());
@@ -97,7 +97,7 @@
             return;
         }
         if !self.is_fleet_listed() {
-            self.take_instances(instances);
+            self.apply_instance_list(instances);
         } else if !self.is_fleet_known() {
             self.with_fleet(|fleet| fleet.add_unlisted(now(), instances));
         }
@@ -105,7 +105,7 @@
 
     /// How current this instance's own view of configuration and servers is.
     #[must_use]
-    pub fn record_currency(&self) -> Currency {
+    pub fn store_read_currency(&self) -> Currency {
         let relays = self.with_fleet(|fleet| fleet.is_relay(now(), &self.me().failure_domain));
         if relays { Currency::Fresh } else { Currency::MayBeOld }
     }
--- a/daemon/src/engine/peers.rs
+++ b/daemon/src/engine/peers.rs
@@ -17,7 +17,7 @@
 use chervilwharf_lib::engine_protos::engine_frame::Body;
 use chervilwharf_lib::event::Event;
 use chervilwharf_lib::event::EventKind;
-use chervilwharf_lib::peer_contact::SIGN_LIMIT;
+use chervilwharf_lib::peer_contact::LIVENESS_TIMEOUT;
 use displaydoc::Display;
 use futures::SinkExt;
 use futures::StreamExt;
@@ -171,7 +171,7 @@
     }
     let on_kept = body.clone();
     let mut asking = Box::pin(async move { link.lock().await.exchange(address, on_kept).await });
-    if let Ok(answer) = tokio::time::timeout(SIGN_LIMIT, &mut asking).await {
+    if let Ok(answer) = tokio::time::timeout(LIVENESS_TIMEOUT, &mut asking).await {
         return answer;
     }
     let mut fresh = PeerLink::default();
@@ -211,7 +211,7 @@
     /// # Errors
     ///
     /// When no answer came in time.
-    pub async fn ask_anew(
+    pub async fn ask_on_new_link(
         &self,
         address: SocketAddr,
         body: Body,
@@ -266,7 +266,7 @@
 
 /// Serves statements of another instance, one at a time.
 #[async_trait]
-pub trait Guest: Send {
+pub trait ForwardedStatementHandler: Send {
     /// Runs a statement.
     async fn run(&mut self, statement: Statement) -> StatementReply;
 }
@@ -277,7 +277,7 @@
     fn answer(&self, question: Body) -> Option<Body>;
 
     /// Serves statements of another instance's clients on one link.
-    fn guest(self: Arc<Self>) -> Box<dyn Guest>;
+    fn forwarded_session(self: Arc<Self>) -> Box<dyn ForwardedStatementHandler>;
 
     /// Address of a server for a tunnel; `None` if it is not known.
     fn tunnel_target(&self, tunnel: &Tunnel) -> Option<SocketAddr>;
@@ -308,7 +308,7 @@
         return;
     }
     let mut frames = frames(stream);
-    let mut guest: Option<Box<dyn Guest>> = None;
+    let mut forwarded_session: Option<Box<dyn ForwardedStatementHandler>> = None;
     while let Ok(frame) = read_frame(&mut frames).await {
         if let Some(Body::Tunnel(tunnel)) = &frame.body {
             let target = handler.tunnel_target(tunnel);
@@ -319,8 +319,9 @@
         }
         let body = match frame.body {
             Some(Body::Statement(statement)) => {
-                let guest = guest.get_or_insert_with(|| handler.clone().guest());
-                Some(Body::StatementReply(guest.run(statement).await))
+                let forwarded_session =
+                    forwarded_session.get_or_insert_with(|| handler.clone().forwarded_session());
+                Some(Body::StatementReply(forwarded_session.run(statement).await))
             }
             Some(question) => handler.answer(question),
             None => None,
--- a/daemon/src/engine/right_control.rs
+++ b/daemon/src/engine/primary_lease_control.rs
@@ -20,11 +20,11 @@
 use chervilwharf_lib::id::InstanceId;
 use chervilwharf_lib::id::Term;
 use chervilwharf_lib::moment::Moment;
-use chervilwharf_lib::primary_right::Ending;
-use chervilwharf_lib::primary_right::FORGETFUL;
-use chervilwharf_lib::primary_right::Objection;
-use chervilwharf_lib::primary_right::PrimaryRight;
-use chervilwharf_lib::primary_right::Promise;
+use chervilwharf_lib::primary_lease::Ending;
+use chervilwharf_lib::primary_lease::Objection;
+use chervilwharf_lib::primary_lease::PrimaryLease;
+use chervilwharf_lib::primary_lease::Promise;
+use chervilwharf_lib::primary_lease::RESTART_PROMISE_WINDOW;
 use chervilwharf_lib::revision::Era;
 
 use crate::engine::clock::now;
@@ -78,7 +78,7 @@
 
 /// Reads which orders there are when an instance starts. Only then it votes,
 /// unless others tell it what they grant.
-pub async fn learn_orders(engine: Arc<Engine>, directory: Arc<dyn Directory>) {
+pub async fn load_orders(engine: Arc<Engine>, directory: Arc<dyn Directory>) {
     let mut failed = false;
     loop {
         let result = tokio::select! {
@@ -136,10 +136,10 @@
     let latest = engine.store_era().latest();
     for shard in engine.shards() {
         let term = ended.get(shard.id()).copied().unwrap_or_default();
-        shard.change_right(|right| {
-            right.note_era(latest);
-            right.take_ended(term);
-            right.granted_by_store(asked_at, term, era);
+        shard.change_right(|primary_lease| {
+            primary_lease.note_era(latest);
+            primary_lease.adopt_ended_term(term);
+            primary_lease.record_store_grant(asked_at, term, era);
         });
     }
     Ok(())
@@ -147,7 +147,7 @@
 
 /// Renews the right by the store where too few voters answer: an instance that
 /// is cut off from the others and reaches the store goes on.
-pub async fn renew_by_store(engine: Arc<Engine>, directory: Arc<dyn Directory>) {
+pub async fn renew_leases_from_store(engine: Arc<Engine>, directory: Arc<dyn Directory>) {
     tokio::time::sleep(ANSWERS_WAIT).await;
     let at = now();
     let ends_soon = |shard: &Arc<Shard>| {
@@ -155,8 +155,8 @@
             let Some(term) = group.confirmed_leader().map(|leader| leader.term) else {
                 return false;
             };
-            let end = group.right().lease_end(term);
-            group.right().retired() < term
+            let end = group.primary_lease().lease_end(term);
+            group.primary_lease().retired() < term
                 && end.is_none_or(|end| end < at + RENEWED_BY_STORE_WITHIN)
         })
     };
@@ -171,11 +171,11 @@
 impl Engine {
     /// This instance votes from now on, on all groups.
     fn vote(&self) {
-        self.set_knows_orders();
+        self.set_orders_known();
         for shard in self.shards() {
-            shard.change_right(PrimaryRight::knows_orders);
+            shard.change_right(PrimaryLease::orders_known);
         }
-        self.renewal().notify_one();
+        self.lease_renewal().notify_one();
     }
 
     /// Votes on the groups whose orders are known. Returns whether that is so of all.
@@ -185,7 +185,7 @@
     /// voters; and it matters no more when the instance has run for long enough.
     fn vote_where_orders_are_known(&self) -> bool {
         let era = self.store_era().latest();
-        if era == 0 || self.runs_for(FORGETFUL) {
+        if era == 0 || self.has_run_for(RESTART_PROMISE_WINDOW) {
             return true;
         }
         let shards = self.shards();
@@ -194,7 +194,7 @@
         };
         let known: Vec<_> = shards.iter().filter(is_known).collect();
         for shard in &known {
-            shard.change_right(PrimaryRight::knows_orders);
+            shard.change_right(PrimaryLease::orders_known);
         }
         known.len() == shards.len() && self.catalog().version > 0
     }
@@ -202,14 +202,14 @@
     /// The highest term of a group that is retired, as most voters told since they know
     /// the latest era of the store.
     #[must_use]
-    pub fn retired_by_most(&self, group: &GroupId) -> Option<Term> {
+    pub fn retired_by_majority(&self, group: &GroupId) -> Option<Term> {
         let shard = self.shard(group);
         let settled = self.store_era().is_known_for(now(), ERA_SETTLED);
         let latest = self.store_era().latest();
         shard.with_group(|group| {
-            let right = group.right_mut();
-            right.note_era(latest);
-            right.retired_by_most().or_else(|| settled.then(|| right.retired()))
+            let primary_lease = group.primary_lease_mut();
+            primary_lease.note_era(latest);
+            primary_lease.retired_by_majority().or_else(|| settled.then(|| primary_lease.retired()))
         })
     }
 
@@ -254,8 +254,9 @@
         self.renew_voter_lists();
         for shard in self.used_shards() {
             let voters = self.voters(shard.id());
-            if !shard.with_group(|group| group.right().has_voters(&self.me().id, &voters)) {
-                shard.change_right(|right| right.set_voters(&self.me().id, &voters));
+            if !shard.with_group(|group| group.primary_lease().has_voters(&self.me().id, &voters)) {
+                shard
+                    .change_right(|primary_lease| primary_lease.set_voters(&self.me().id, &voters));
             }
         }
     }
@@ -269,8 +270,8 @@
         known
             .filter_map(|demand| {
                 let shard = self.shard(&demand.group.as_str().into());
-                let retired_term =
-                    shard.with_group(|group| group.right_mut().grant(at, &to, demand.term))?;
+                let retired_term = shard
+                    .with_group(|group| group.primary_lease_mut().grant(at, &to, demand.term))?;
                 Some(TermGrant { group: demand.group.clone(), retired_term })
             })
             .collect()
@@ -287,7 +288,8 @@
         for grant in grants {
             let shard = self.shard(&grant.group.as_str().into());
             let retired = grant.retired_term;
-            shard.change_right(|right| right.granted(voter, asked_at, retired, era));
+            shard
+                .change_right(|primary_lease| primary_lease.granted(voter, asked_at, retired, era));
         }
     }
 
@@ -304,7 +306,7 @@
             ..TermEndReply::default()
         };
         if end.only_pause {
-            shard.with_group(|group| group.right_mut().pause(at + PAUSE));
+            shard.with_group(|group| group.primary_lease_mut().pause(at + PAUSE));
             return reply;
         }
         if !end.planned && shard.reaches(at, &end.server) {
@@ -320,8 +322,8 @@
         self.note_store_era(end.written_era.unwrap_or_default(), "a replacement");
         let latest = self.store_era().latest();
         let result = shard.with_group(|group| {
-            group.right_mut().note_era(latest);
-            group.right_mut().see_token(token);
+            group.primary_lease_mut().note_era(latest);
+            group.primary_lease_mut().observe_token(token);
             group.retire(at, &ending)
         });
         self.watches().expect_replacement(&group_id, at);
@@ -348,8 +350,8 @@
             self.with_duties(|duties| duties.forget_promised(shard.id(), news.token));
         }
         let changed = shard.with_group(|group| {
-            group.right_mut().settle(news.token);
-            group.hear_of_leader(now(), &id, news.term)
+            group.primary_lease_mut().settle(news.token);
+            group.observe_reported_leader(now(), &id, news.term)
         });
         if changed {
             let event = Event::new(EventKind::LeaderFound).with("group", shard.id());
@@ -363,14 +365,14 @@
 
 impl Shard {
     /// Changes the right to use the primary, and serves those who waited for it.
-    fn change_right(self: &Arc<Self>, change: impl FnOnce(&mut PrimaryRight)) {
+    fn change_right(self: &Arc<Self>, change: impl FnOnce(&mut PrimaryLease)) {
         let regained = self.with_group(|group| {
             let had = group.usable_leader(now()).is_some();
-            change(group.right_mut());
+            change(group.primary_lease_mut());
             !had && group.usable_leader(now()).is_some()
         });
         if regained {
-            self.right_changed();
+            self.primary_lease_changed();
         }
     }
 
--- a/daemon/src/engine/probe.rs
+++ b/daemon/src/engine/probe.rs
@@ -3,21 +3,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use chervilwharf_lib::connection_setup::SessionValues;
 use chervilwharf_lib::event::Event;
 use chervilwharf_lib::event::EventKind;
 use chervilwharf_lib::group::ServerStatus;
 use chervilwharf_lib::id::TargetId;
-use chervilwharf_lib::layout::SessionValues;
 use chervilwharf_lib::moment::Moment;
-use chervilwharf_lib::pool_share::Need;
-use chervilwharf_lib::pool_share::Owner;
+use chervilwharf_lib::server_choice::Need;
+use chervilwharf_lib::server_choice::Owner;
 use chervilwharf_lib::server_refusal::RefusalKind;
 
-use crate::engine::border::ConnectError;
 use crate::engine::clock::now;
 use crate::engine::event_log;
+use crate::engine::server_connection::ConnectError;
 use crate::engine::shard::Shard;
-use crate::engine::waiting::Want;
+use crate::engine::waiting::ConnectionRequest;
 
 /// Longest time for a new connection and an answer on it: a few times what a
 /// loaded server takes, since its state takes a slot like any statement.
@@ -105,12 +105,12 @@
 pub async fn sample(shard: &Arc<Shard>, id: &TargetId) {
     let values = SessionValues::new();
     let asked_at = now();
-    let want = Want {
-        owner: Owner::Anybody,
+    let want = ConnectionRequest {
+        owner: Owner::AnyAccount,
         need: Need::Server(id.clone()),
         priority: SAMPLE_PRIORITY,
         give_up_at: asked_at + PROBE_TIMEOUT,
-        patient_until: asked_at + PROBE_TIMEOUT,
+        in_time_until: asked_at + PROBE_TIMEOUT,
         values: &values,
         prepared: None,
     };
@@ -137,7 +137,7 @@
         }
         Err(_) => {
             report_failure(shard, id, "no answer in time");
-            shard.close_unproven(id, asked_at);
+            shard.close_stale(id, asked_at);
             shard.with_group(|group| group.observe_failure(now(), id));
         }
     }
--- a/daemon/src/engine/quota_control.rs
+++ b/daemon/src/engine/quota_control.rs
@@ -18,10 +18,10 @@
 use chervilwharf_lib::fleet::InstanceRecord;
 use chervilwharf_lib::id::AccountId;
 use chervilwharf_lib::id::InstanceId;
+use chervilwharf_lib::keeper_lease::ACCOUNT_SHARDS;
 use chervilwharf_lib::keeper_lease::Candidate;
 use chervilwharf_lib::keeper_lease::KeeperLease;
-use chervilwharf_lib::keeper_lease::RENEWAL;
-use chervilwharf_lib::keeper_lease::SHARDS;
+use chervilwharf_lib::keeper_lease::RENEWAL_INTERVAL;
 use chervilwharf_lib::keeper_lease::ShardNumber;
 use chervilwharf_lib::keeper_lease::Vote;
 use chervilwharf_lib::keeper_lease::Votes;
@@ -30,9 +30,9 @@
 use chervilwharf_lib::moment::Moment;
 use chervilwharf_lib::quota::Admission;
 use chervilwharf_lib::quota::Allowance;
+use chervilwharf_lib::quota::EnforcedQuota;
 use chervilwharf_lib::quota::QuotaAnswer;
-use chervilwharf_lib::quota::QuotaBook;
-use chervilwharf_lib::quota::QuotaGrant;
+use chervilwharf_lib::quota::QuotaCounters;
 use chervilwharf_lib::quota::ask_again_after;
 use futures::future::join_all;
 
@@ -61,7 +61,7 @@
     voters: Arc<Vec<InstanceRecord>>,
     lease: KeeperLease,
     renewed_at: Moment,
-    book: QuotaBook,
+    book: QuotaCounters,
     /// The instance that answered last as the keeper.
     keeper: Option<InstanceRecord>,
 }
@@ -85,7 +85,7 @@
     #[must_use]
     pub fn new(started_at: Moment) -> Self {
         let mut shards = Vec::new();
-        shards.resize_with(SHARDS as usize, AccountShard::default);
+        shards.resize_with(ACCOUNT_SHARDS as usize, AccountShard::default);
         Self {
             inner: Mutex::new(Inner {
                 votes: Votes::new(started_at),
@@ -132,7 +132,7 @@
 }
 
 /// Keeps shards of accounts, as long as this instance should, for ever.
-pub async fn keep_shards(engine: Arc<Engine>) {
+pub async fn maintain_keeper_leases(engine: Arc<Engine>) {
     loop {
         tokio::time::sleep(ROUND).await;
         let counts = engine.catalog().accounts.is_some();
@@ -141,7 +141,7 @@
             continue;
         }
         engine.update_keeper_voters();
-        let shards = 0..SHARDS;
+        let shards = 0..ACCOUNT_SHARDS;
         let due: Vec<_> = shards.filter(|shard| engine.should_ask_votes(*shard)).collect();
         join_all(due.into_iter().map(|shard| engine.ask_votes(shard))).await;
     }
@@ -168,7 +168,7 @@
         if inner.recorded == recorded {
             return;
         }
-        for number in 0..SHARDS {
+        for number in 0..ACCOUNT_SHARDS {
             inner.shard(number).voters = Arc::new(voters(number, &recorded));
         }
         inner.recorded = recorded;
@@ -187,7 +187,7 @@
         };
         let rank = u32::try_from(rank).unwrap_or(u32::MAX);
         let asks = if shard.lease.is_held(at) {
-            shard.renewed_at + RENEWAL <= at
+            shard.renewed_at + RENEWAL_INTERVAL <= at
         } else {
             inner.votes.should_try(at, number, rank)
         };
@@ -207,7 +207,7 @@
             let shard = inner.shard(number);
             let gained = shard.lease.check(at, &voters);
             if gained {
-                shard.book.begin_again();
+                shard.book.restart_counts();
             }
             (gained, shard.lease.is_held(at))
         };
@@ -263,7 +263,7 @@
     /// Another instance wants to keep a shard, or does not any more.
     #[must_use]
     pub fn keeper_vote(&self, question: &KeeperVote) -> KeeperVoteReply {
-        if question.shard >= SHARDS {
+        if question.shard >= ACCOUNT_SHARDS {
             return KeeperVoteReply::default();
         }
         let (at, instance) = (now(), question.instance.as_str());
@@ -307,12 +307,12 @@
     }
 
     /// What an account with this limit is let begin.
-    fn tolerated(&self, limit: QuotaLimit) -> QuotaGrant {
+    fn tolerated(&self, limit: QuotaLimit) -> EnforcedQuota {
         self.quota_tolerance().map_or(limit.into(), |tolerance| tolerance.applied_to(limit))
     }
 
     /// The limit of an account by the newer one of two configurations.
-    fn newest_limit(&self, account: &AccountId, question: &QuotaQuestion) -> Option<QuotaGrant> {
+    fn newest_limit(&self, account: &AccountId, question: &QuotaQuestion) -> Option<EnforcedQuota> {
         let catalog = self.catalog();
         if question.configuration_version > catalog.version {
             let (rate_per_s, burst) = (question.rate_per_s, question.burst);
@@ -329,7 +329,7 @@
     pub async fn admit_operation(
         &self,
         account: &AccountId,
-        patience: Duration,
+        max_wait: Duration,
     ) -> Result<(), Failure> {
         let catalog = self.catalog();
         let Some(limit) = catalog.accounts.as_ref().and_then(|all| all.limit(account)) else {
@@ -351,11 +351,11 @@
         };
         let instances = self.with_fleet(|fleet| fleet.others().count() + 1);
         let asked_at = now();
-        let Some(reply) = self.find_keeper(account, question, asked_at + patience).await else {
+        let Some(reply) = self.find_keeper(account, question, asked_at + max_wait).await else {
             let mut inner = self.quota().lock();
             let at = now();
             let instances = if self.is_fleet_listed() { instances } else { UNKNOWN_FLEET };
-            let admitted = inner.allowance(at, account).admit_alone(at, limit, instances);
+            let admitted = inner.allowance(at, account).admit_without_keeper(at, limit, instances);
             return admitted.then_some(()).ok_or_else(|| Failure::new(ErrorKind::QuotaUnknown));
         };
         let at = now();
--- a/daemon/src/engine/remote.rs
+++ b/daemon/src/engine/remote.rs
@@ -7,8 +7,6 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-use chervilwharf_lib::arrivals::Fate;
-use chervilwharf_lib::arrivals::StatementTicket;
 use chervilwharf_lib::engine_protos;
 use chervilwharf_lib::engine_protos::Execution;
 use chervilwharf_lib::engine_protos::SessionValue;
@@ -22,9 +20,11 @@
 use chervilwharf_lib::fleet::InstanceRecord;
 use chervilwharf_lib::id::InstanceId;
 use chervilwharf_lib::moment::Moment;
-use chervilwharf_lib::peer_contact::SIGN_AFTER;
-use chervilwharf_lib::peer_contact::SIGN_LIMIT;
+use chervilwharf_lib::peer_contact::LIVENESS_CHECK_AFTER;
+use chervilwharf_lib::peer_contact::LIVENESS_TIMEOUT;
 use chervilwharf_lib::position::Position;
+use chervilwharf_lib::received_statements::Fate;
+use chervilwharf_lib::received_statements::StatementTicket;
 use chervilwharf_lib::statement::Access;
 use chervilwharf_lib::statement::Answer;
 use chervilwharf_lib::statement::Statement;
@@ -45,11 +45,11 @@
 
 /// Part of the time that is kept back for the way to the other instance and
 /// back.
-const WAY_RESERVE: Duration = Duration::from_millis(10);
+const PEER_TRIP_RESERVE: Duration = Duration::from_millis(10);
 
 /// Pause between two questions to an instance at which a statement takes long: a
 /// few times the usual statement, since it is known to be alive.
-const SIGN_AGAIN: Duration = Duration::from_millis(200);
+const STATUS_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Links kept open to one instance. More are opened when more statements are
 /// under way, and closed afterwards.
@@ -131,7 +131,7 @@
     let mut search = Search::default();
     while let Some(holder) = search.next(session, request).await {
         match send_first(session, request, &holder, work, Begin::No, leaving).await {
-            Ok((reply, _)) if is_elsewhere(&reply) => search.refused(session, &holder, reply),
+            Ok((reply, _)) if needs_other_holder(&reply) => search.refused(session, &holder, reply),
             Ok((reply, link)) => {
                 session.engine().statement_links().give_back(holder.peer_address, link);
                 return decode(session, reply);
@@ -174,7 +174,7 @@
     while let Some(holder) = search.next(session, request).await {
         let leaving = Leaving::LosesNothing;
         match send_first(session, request, &holder, work, mode, leaving).await {
-            Ok((reply, _)) if is_elsewhere(&reply) => search.refused(session, &holder, reply),
+            Ok((reply, _)) if needs_other_holder(&reply) => search.refused(session, &holder, reply),
             Ok((reply, link)) => {
                 let links = session.engine().statement_links().clone();
                 let remote = RemoteTransaction { links, holder, link };
@@ -247,10 +247,10 @@
             return None;
         }
         let group = &request.route.group;
-        let found = session.engine().find_holder(group, &session.meeting(), &self.tried).await?;
+        let found = session.engine().find_holder(group, &session.affinity(), &self.tried).await?;
         // One that just refused is asked again, but only one: it is known not to
         // be servable here, and another instance may be able to.
-        let hopeless = found.unable && self.last.is_some();
+        let hopeless = found.recently_refused && self.last.is_some();
         (!hopeless).then_some(found.record)
     }
 
@@ -259,17 +259,17 @@
         session.engine().holder_lists().observe_unable(session.shard().id(), &holder.id);
         // It holds no answer.
         if let Err(failure) = decode(session, reply) {
-            self.passed_over(session, holder, failure);
+            self.skip_holder(session, holder, failure);
         }
     }
 
     /// A holder did not answer; what it may have done can be done again.
     fn silent(&mut self, session: &Session, holder: &InstanceRecord) {
-        self.passed_over(session, holder, Failure::new(ErrorKind::HolderSilent));
+        self.skip_holder(session, holder, Failure::new(ErrorKind::HolderSilent));
     }
 
-    fn passed_over(&mut self, session: &Session, holder: &InstanceRecord, failure: Failure) {
-        session.try_again(&failure);
+    fn skip_holder(&mut self, session: &Session, holder: &InstanceRecord, failure: Failure) {
+        session.report_retry(&failure);
         self.tried.push(holder.id.clone());
         self.last = Some(failure);
     }
@@ -280,7 +280,7 @@
 }
 
 /// Whether another instance has to be asked; nothing ran.
-fn is_elsewhere(reply: &StatementReply) -> bool {
+fn needs_other_holder(reply: &StatementReply) -> bool {
     let kind = ErrorKind::from_name(&reply.error);
     let elsewhere = matches!(kind, ErrorKind::NotOwner | ErrorKind::Stopping | ErrorKind::CutOff);
     !reply.error.is_empty() && elsewhere
@@ -339,9 +339,9 @@
     let sent_at = now();
     let engine = session.engine().clone();
     let result = exchange(&engine, request, holder, link, statement, leaving).await;
-    session.trail_mut().sent(holder.id.clone(), now().saturating_sub(sent_at));
+    session.trace_mut().sent(holder.id.clone(), now().saturating_sub(sent_at));
     if result.is_ok() {
-        engine.contacts().heard(sent_at, &holder.id);
+        engine.peer_contacts().heard(sent_at, &holder.id);
     }
     result
 }
@@ -355,9 +355,9 @@
     leaving: Leaving,
 ) -> Result<StatementReply, SendError> {
     let sent_at = now();
-    let limit = SIGN_LIMIT.min(request.time_left(sent_at));
+    let limit = LIVENESS_TIMEOUT.min(request.time_left(sent_at));
     let Ok(Ok(())) = tokio::time::timeout(limit, link.open(holder.peer_address)).await else {
-        engine.contacts().missed(sent_at, &holder.id);
+        engine.peer_contacts().missed(sent_at, &holder.id);
         return Err(SendError::NotSent);
     };
     let ticket = statement.ticket;
@@ -366,7 +366,7 @@
     let mut exchange = std::pin::pin!(tokio::time::timeout(time_left, exchange));
     let result = tokio::select! {
         result = &mut exchange => result,
-        fate = silence_of(engine, holder, ticket, sent_at) => match (fate, leaving) {
+        fate = detect_dead_link(engine, holder, ticket, sent_at) => match (fate, leaving) {
             (Some(Fate::Withdrawn), _) | (Some(_), Leaving::LosesNothing) => {
                 return Err(SendError::LinkSilent);
             }
@@ -383,22 +383,22 @@
 
 /// Ends when the link to an instance is silent, with what became of the statement that
 /// was sent on it; `None` if the instance gives no sign of life.
-async fn silence_of(
+async fn detect_dead_link(
     engine: &Engine,
     holder: &InstanceRecord,
     ticket: StatementTicket,
     sent_at: Moment,
 ) -> Option<Fate> {
-    tokio::time::sleep(SIGN_AFTER).await;
+    tokio::time::sleep(LIVENESS_CHECK_AFTER).await;
     loop {
         let fate = engine.ask_for_statement(holder, ticket, sent_at).await?;
         if fate == Fate::Open {
-            tokio::time::sleep(SIGN_AGAIN).await;
+            tokio::time::sleep(STATUS_POLL_INTERVAL).await;
             continue;
         }
         if fate == Fate::Ended {
             // Its answer may be on the way.
-            tokio::time::sleep(SIGN_LIMIT).await;
+            tokio::time::sleep(LIVENESS_TIMEOUT).await;
         }
         let event = Event::new(EventKind::PeerFailed).with("peer", &holder.id);
         event_log::emit(&event.with("reason", "a link went silent"));
@@ -417,7 +417,7 @@
         .iter()
         .map(|(name, value)| SessionValue { name: name.to_string(), value: value.to_string() });
     let floor = session.floor().unwrap_or(Position::ZERO);
-    let time_left = request.time_left(now()).saturating_sub(WAY_RESERVE);
+    let time_left = request.time_left(now()).saturating_sub(PEER_TRIP_RESERVE);
     engine_protos::Statement {
         id: request.id.to_string(),
         route: Some(records::encode_route(&request.route)),
--- a/daemon/src/engine/replacement.rs
+++ b/daemon/src/engine/replacement.rs
@@ -27,9 +27,9 @@
 use chervilwharf_lib::leader_watch::REPLACEMENT_TIME;
 use chervilwharf_lib::leader_watch::ReplaceReason;
 use chervilwharf_lib::moment::Moment;
-use chervilwharf_lib::primary_right::Agreement;
-use chervilwharf_lib::primary_right::Readiness;
-use chervilwharf_lib::primary_right::STORE_LEASE;
+use chervilwharf_lib::primary_lease::PromiseTally;
+use chervilwharf_lib::primary_lease::Readiness;
+use chervilwharf_lib::primary_lease::STORE_LEASE;
 use chervilwharf_lib::revision::Era;
 use futures::future::join_all;
 
@@ -39,11 +39,11 @@
 use crate::engine::duty_control::Claim;
 use crate::engine::duty_control::OrderChange;
 use crate::engine::event_log;
+use crate::engine::primary_lease_control::decode_given;
 use crate::engine::probe;
 use crate::engine::probe::Probed;
 use crate::engine::promoter::Promoted;
 use crate::engine::promoter::Promoter;
-use crate::engine::right_control::decode_given;
 use crate::engine::shard::Shard;
 use crate::engine::shared::Engine;
 use crate::engine::survey::Candidate;
@@ -239,7 +239,7 @@
         let began_at = now();
         // One order a token: with an old one under the same token nobody could
         // tell which of both was carried out last.
-        self.replacer.engine.with_duties(|duties| duties.spend(&self.duty));
+        self.replacer.engine.with_duties(|duties| duties.mark_token_used(&self.duty));
         let promoted = self.replacer.promoter.promote(&self.duty, &target.id).await;
         self.metrics_step("promote", began_at);
         let event = Event::new(EventKind::PromotionAnswered).with("group", self.shard.id());
@@ -355,7 +355,7 @@
         let participants = self.participants();
         let ids: Vec<_> = participants.iter().map(|record| record.id.clone()).collect();
         let voters = engine.voters(self.shard.id()).to_vec();
-        let mut agreement = Agreement::new(voters, ids, self.written_at);
+        let mut agreement = PromiseTally::new(voters, ids, self.written_at);
         let last_resort = self.reason == ReplaceReason::LastResort;
         let until = now() + PROMISE_LIMIT;
         loop {
@@ -374,7 +374,7 @@
                 }
                 Readiness::From(_) => "silent instances may still use the old primary",
                 Readiness::TooFewVotes => "too few instances have promised",
-                Readiness::SomeSilent => "some are silent and the store has not the order",
+                Readiness::SomeUnreachable => "some are silent and the store has not the order",
             };
             if at >= until {
                 return Err(Dropped::BeforeOrder(why));
@@ -385,7 +385,7 @@
 
     fn take_reply(
         &self,
-        agreement: &mut Agreement,
+        agreement: &mut PromiseTally,
         id: &InstanceId,
         reply: &TermEndReply,
     ) -> Result<(), Dropped> {
@@ -414,7 +414,7 @@
         Ok(())
     }
 
-    fn report_agreement(&self, agreement: &Agreement) {
+    fn report_agreement(&self, agreement: &PromiseTally) {
         let silent = agreement.missing().count();
         let event = Event::new(EventKind::ReplacementAgreed).with("group", self.shard.id());
         let event = event.with("term", self.term).with("token", self.duty.token);
--- a/daemon/src/engine/request.rs
+++ b/daemon/src/engine/request.rs
@@ -32,9 +32,9 @@
     /// server did not answer is late already when it tries another one; it
     /// still has to be given time for a new connection there.
     #[must_use]
-    pub fn patient_until(&self, now: Moment) -> Moment {
-        let patience = waits::patience(self.route.objective);
-        (self.arrived_at + patience).max(now + patience / 2).min(self.deadline)
+    pub fn in_time_until(&self, now: Moment) -> Moment {
+        let max_wait = waits::max_wait(self.route.objective);
+        (self.arrived_at + max_wait).max(now + max_wait / 2).min(self.deadline)
     }
 
     /// Time left until the deadline.
--- a/daemon/src/engine/server_control.rs
+++ b/daemon/src/engine/server_control.rs
@@ -15,7 +15,7 @@
 use crate::engine::directory::RecordKind;
 use crate::engine::directory::Revision;
 use crate::engine::follow::Follower;
-use crate::engine::follow::OTHERS_LISTED;
+use crate::engine::follow::PEER_LISTING_TIME;
 use crate::engine::follow::change_pause;
 use crate::engine::follow::watch_wait;
 use crate::engine::shared::Engine;
@@ -56,7 +56,7 @@
     }
 
     fn currency(&self) -> Currency {
-        self.engine.record_currency()
+        self.engine.store_read_currency()
     }
 
     /// Servers register, and report their roles, many at a time. Each change ended
@@ -67,7 +67,7 @@
     }
 
     fn pause_after_first_list(&self) -> Duration {
-        OTHERS_LISTED
+        PEER_LISTING_TIME
     }
 
     fn replace(&mut self, listing: Listing) {
--- a/daemon/src/engine/session.rs
+++ b/daemon/src/engine/session.rs
@@ -2,7 +2,7 @@
 //! transaction.
 
 mod account;
-mod rest;
+mod idle;
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,18 +12,18 @@
 use chervilwharf_lib::account::KeyDigest;
 use chervilwharf_lib::catalog::Consistency;
 use chervilwharf_lib::catalog::Route;
+use chervilwharf_lib::connection_setup::SessionValues;
 use chervilwharf_lib::error_kind::ErrorKind;
 use chervilwharf_lib::event::Event;
 use chervilwharf_lib::event::EventKind;
-use chervilwharf_lib::holder_choice::Meeting;
+use chervilwharf_lib::holder_choice::Affinity;
 use chervilwharf_lib::id::RequestId;
 use chervilwharf_lib::id::TargetId;
 use chervilwharf_lib::id::Term;
-use chervilwharf_lib::layout::SessionValues;
 use chervilwharf_lib::moment::Moment;
-use chervilwharf_lib::pool_share::Need;
-use chervilwharf_lib::pool_share::Owner;
 use chervilwharf_lib::position::Position;
+use chervilwharf_lib::server_choice::Need;
+use chervilwharf_lib::server_choice::Owner;
 use chervilwharf_lib::statement::Access;
 use chervilwharf_lib::statement::Answer;
 use chervilwharf_lib::statement::Prepared;
@@ -31,8 +31,6 @@
 use chervilwharf_lib::statement::TransactionState;
 use chervilwharf_lib::waits;
 
-use crate::engine::border::Step;
-use crate::engine::caller::Caller;
 use crate::engine::clock::now;
 use crate::engine::event_log;
 use crate::engine::lease::Lease;
@@ -40,15 +38,17 @@
 use crate::engine::request::Failure;
 use crate::engine::request::Request;
 use crate::engine::request::Served;
+use crate::engine::server_connection::Step;
 use crate::engine::shard::Shard;
 use crate::engine::shared::Engine;
 use crate::engine::shared::SessionGuard;
 use crate::engine::single;
 use crate::engine::single::Work;
-use crate::engine::trail::Trail;
+use crate::engine::trace::StatementTrace;
 use crate::engine::transaction;
 use crate::engine::transaction::Transaction;
-use crate::engine::waiting::Want;
+use crate::engine::waiting::ConnectionRequest;
+use crate::engine::workload::Caller;
 
 /// What a client is told about one statement.
 #[derive(Clone, Debug)]
@@ -64,7 +64,7 @@
 
 /// Why a session at rest has to change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RestEnd {
+pub enum IdleAction {
     /// Its transaction has to be rolled back.
     RollBack,
     /// It has to be closed.
@@ -78,7 +78,7 @@
     database: Arc<str>,
     caller: Caller,
     /// Whether its statements come from another instance, which chose this one.
-    is_guest: bool,
+    is_forwarded: bool,
     values: SessionValues,
     prepared: HashMap<Arc<str>, Prepared>,
     /// Position of the session's last own commit.
@@ -86,12 +86,12 @@
     transaction: Option<Transaction>,
     /// Whether a statement of the transaction is under way.
     in_transaction: bool,
-    trail: Trail,
+    trace: StatementTrace,
     /// Place among the sessions that a planned stop closes one by one.
     spread: u32,
     counted: Option<SessionGuard>,
     /// Whether its client should come back through another instance.
-    moves_on: bool,
+    closes_after_failure: bool,
 }
 
 /// What a client sends to begin a session.
@@ -168,8 +168,8 @@
 
     /// A session for statements that come from another instance.
     #[must_use]
-    pub fn guest(engine: Arc<Engine>, route: &Route, caller: Caller) -> Self {
-        Self { is_guest: true, ..Self::new(engine, route, caller, 0) }
+    pub fn forwarded_session(engine: Arc<Engine>, route: &Route, caller: Caller) -> Self {
+        Self { is_forwarded: true, ..Self::new(engine, route, caller, 0) }
     }
 
     fn new(engine: Arc<Engine>, route: &Route, caller: Caller, spread: u32) -> Self {
@@ -177,16 +177,16 @@
             shard: engine.shard(&route.group),
             database: route.database.clone(),
             caller,
-            is_guest: false,
+            is_forwarded: false,
             values: SessionValues::new(),
             prepared: HashMap::new(),
             floor: None,
             transaction: None,
             in_transaction: false,
-            trail: Trail::default(),
+            trace: StatementTrace::default(),
             spread,
             counted: Some(engine.count_session()),
-            moves_on: false,
+            closes_after_failure: false,
             engine,
         }
     }
@@ -202,7 +202,8 @@
         }
         let database = route.database.clone();
         let account = self.caller.account.clone();
-        self.trail = Trail { id: id.clone(), database, account, ..Trail::default() };
+        self.trace =
+            StatementTrace { id: id.clone(), database, account, ..StatementTrace::default() };
     }
 
     /// Nothing is in progress here: a planned stop need not wait for it.
@@ -227,7 +228,7 @@
     }
 
     /// Begins a transaction for another instance.
-    pub fn begin_guest(&mut self, route: &Arc<Route>, read_only: bool) {
+    pub fn begin_forwarded(&mut self, route: &Arc<Route>, read_only: bool) {
         self.transaction = Some(Transaction::new(route.clone(), read_only));
     }
 
@@ -257,10 +258,10 @@
     /// What its statements have in common with others that should meet them at one
     /// holder.
     #[must_use]
-    pub fn meeting(&self) -> Meeting {
+    pub fn affinity(&self) -> Affinity {
         match &self.caller.account {
-            Some(account) if !self.is_guest => Meeting::Account(account.clone()),
-            _ => Meeting::Session(self.spread),
+            Some(account) if !self.is_forwarded => Affinity::Account(account.clone()),
+            _ => Affinity::Session(self.spread),
         }
     }
 
@@ -337,11 +338,7 @@
     }
 
     /// Steps that set a connection up for this session.
-    pub fn layout_steps(
-        &self,
-        lease: Option<&mut Lease>,
-        prepared: Option<&Prepared>,
-    ) -> Vec<Step> {
+    pub fn setup_steps(&self, lease: Option<&mut Lease>, prepared: Option<&Prepared>) -> Vec<Step> {
         let Some(lease) = lease else {
             return Vec::new();
         };
@@ -352,12 +349,13 @@
     pub async fn run(&mut self, id: RequestId, statement: Statement) -> Reply {
         let began_at = now();
         let (database, account) = (self.database.clone(), self.caller.account.clone());
-        self.trail = Trail { id: id.clone(), database, account, ..Trail::default() };
+        self.trace =
+            StatementTrace { id: id.clone(), database, account, ..StatementTrace::default() };
         let kind = self.kind_of(&statement);
         let result = self.dispatch(id, statement).await;
         self.report(kind, result.as_ref().err(), now().saturating_sub(began_at));
         let refused = result.as_ref().err().map(|failure| failure.kind);
-        self.moves_on |= refused.is_some_and(ErrorKind::ends_session);
+        self.closes_after_failure |= refused.is_some_and(ErrorKind::ends_session);
         let state = self.state();
         match result {
             Ok(Some(served)) => {
@@ -384,7 +382,7 @@
 
     /// Where the last try of the present statement went, for histograms.
     fn role_of_server(&self) -> &'static str {
-        let server = self.trail.server.as_deref().unwrap_or_default();
+        let server = self.trace.server.as_deref().unwrap_or_default();
         self.shard.with_group(|group| match group.server(server) {
             Some(view) if group.leads(&view.info.id) => "primary",
             Some(_) => "replica",
@@ -400,28 +398,28 @@
             metrics.accounts.ended(account, failure.map(|failure| failure.kind));
         }
         if let Some(failure) = failure {
-            self.trail.failed(group, failure, took, self.shard.waiting());
+            self.trace.failed(group, failure, took, self.shard.waiting());
             return;
         }
-        if self.trail.tries == 0 {
+        if self.trace.tries == 0 {
             return;
         }
-        metrics.tried(group, self.role_of_server(), self.trail.waited, self.trail.at_server);
+        metrics.tried(group, self.role_of_server(), self.trace.waited, self.trace.at_server);
         let objective = self.engine.route(&self.database).map(|route| route.objective);
         if let Some(objective) = objective.filter(|objective| took > *objective) {
-            self.trail.late(group, took, objective);
+            self.trace.late(group, took, objective);
         }
     }
 
     /// What happened to the present statement so far.
-    pub fn trail_mut(&mut self) -> &mut Trail {
-        &mut self.trail
+    pub fn trace_mut(&mut self) -> &mut StatementTrace {
+        &mut self.trace
     }
 
     /// A try of the present statement failed, and another one follows.
-    pub fn try_again(&self, failure: &Failure) {
+    pub fn report_retry(&self, failure: &Failure) {
         self.engine.metrics().moved(failure.kind);
-        self.trail.moved(self.shard.id(), failure);
+        self.trace.moved(self.shard.id(), failure);
     }
 
     /// Gets a connection for the present statement.
@@ -436,17 +434,17 @@
         prepared: Option<&Prepared>,
     ) -> Result<Lease, Failure> {
         let began_at = now();
-        let want = Want {
+        let want = ConnectionRequest {
             need,
             owner: Owner::Account(self.caller.account.clone()),
             priority: request.route.priority,
             give_up_at: request.deadline,
-            patient_until: request.patient_until(began_at),
+            in_time_until: request.in_time_until(began_at),
             values: &self.values,
             prepared,
         };
         let acquired = self.shard.acquire(&want).await;
-        self.trail.waited += now().saturating_sub(began_at);
+        self.trace.waited += now().saturating_sub(began_at);
         acquired
     }
 
@@ -550,7 +548,7 @@
         writes: bool,
     ) -> Result<Served, Failure> {
         let Some(mut transaction) = self.transaction.take() else {
-            if !self.engine.serves_here(&request.route.group, &self.meeting()) {
+            if !self.engine.serves_here(&request.route.group, &self.affinity()) {
                 return remote::single(self, request, work, writes).await;
             }
             return if writes {
@@ -560,8 +558,8 @@
             };
         };
         self.in_transaction = true;
-        let result = if transaction.goes_remote(&self.engine, &self.meeting()) {
-            transaction.note_write(writes);
+        let result = if transaction.runs_remotely(&self.engine, &self.affinity()) {
+            transaction.record_write(writes);
             remote::in_transaction(self, &mut transaction, request, work).await
         } else {
             transaction::run(self, &mut transaction, request, work, writes).await
@@ -593,7 +591,7 @@
         if transaction.has_failed() {
             return Err(Failure::new(ErrorKind::TransactionLost));
         }
-        if !transaction.goes_remote(&self.engine, &self.meeting()) {
+        if !transaction.runs_remotely(&self.engine, &self.affinity()) {
             return transaction::commit(self, &mut transaction, request).await;
         }
         let work = Work { statement: Statement::Commit, prepared: None };
--- a/daemon/src/engine/session/account.rs
+++ b/daemon/src/engine/session/account.rs
@@ -6,13 +6,13 @@
 use chervilwharf_lib::error_kind::ErrorKind;
 use chervilwharf_lib::error_kind::Outcome;
 
-use crate::engine::caller::Caller;
 use crate::engine::request::Failure;
 use crate::engine::session::Session;
+use crate::engine::workload::Caller;
 
 /// How long an operation waits to be counted where nobody counts yet: a few rounds of
 /// votes after all instances were killed.
-const KEEPER_PATIENCE: Duration = Duration::from_millis(500);
+const KEEPER_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl Session {
     /// Whether the configuration in force still has the client's key. One that was
@@ -38,7 +38,7 @@
 
     /// Counts an operation that begins with the present statement.
     pub(super) async fn count_operation(&mut self, time_left: Duration) -> Result<(), Failure> {
-        let patience = time_left.min(KEEPER_PATIENCE);
+        let max_wait = time_left.min(KEEPER_TIMEOUT);
         if let Some(transaction) = &mut self.transaction {
             if transaction.is_counted {
                 return Ok(());
@@ -47,7 +47,7 @@
         let Some(account) = self.caller.account.clone() else {
             return Ok(());
         };
-        let counted = self.engine.admit_operation(&account, patience).await;
+        let counted = self.engine.admit_operation(&account, max_wait).await;
         if let Some(transaction) = &mut self.transaction {
             transaction.is_counted = counted.is_ok();
             if counted.is_err() {
--- a/daemon/src/engine/session/rest.rs
+++ b/daemon/src/engine/session/idle.rs
@@ -11,14 +11,14 @@
 
 use crate::engine::clock::now;
 use crate::engine::event_log;
-use crate::engine::session::RestEnd;
+use crate::engine::session::IdleAction;
 use crate::engine::session::Session;
 use crate::engine::transaction::Transaction;
 
 impl Session {
     /// How long the session may rest before its transaction is ended.
     #[must_use]
-    pub fn rest_limit(&self) -> Option<Duration> {
+    pub fn idle_time_left(&self) -> Option<Duration> {
         let transaction = self.transaction.as_ref()?;
         if !transaction.holds_connection() {
             return None;
@@ -29,19 +29,19 @@
 
     /// Ends a transaction in which the client rested too long: its connection
     /// is one of few, and others wait for it.
-    pub fn end_rest(&mut self) {
+    pub fn end_idle(&mut self) {
         if let Some(transaction) = &mut self.transaction {
             let event = Event::new(EventKind::TransactionRested).with("database", &self.database);
-            event_log::emit(&event.with("last_id", &self.trail.id));
-            transaction.end_rest();
+            event_log::emit(&event.with("last_id", &self.trace.id));
+            transaction.end_idle();
         }
     }
 
     /// Waits until the session, at rest now, has to change by itself.
-    pub async fn rest(&self, stop: &mut watch::Receiver<Option<StopPlan>>) -> RestEnd {
+    pub async fn rest(&self, stop: &mut watch::Receiver<Option<StopPlan>>) -> IdleAction {
         loop {
             let plan = *stop.borrow_and_update();
-            let (until, end) = self.rest_end(plan);
+            let (until, end) = self.idle_action(plan);
             let wait = async {
                 match until {
                     Some(until) => tokio::time::sleep(until.saturating_sub(now())).await,
@@ -53,22 +53,22 @@
                 changed = stop.changed() => {
                     // Without an engine there is nothing to serve.
                     if changed.is_err() {
-                        return RestEnd::Close;
+                        return IdleAction::Close;
                     }
                 }
             }
         }
     }
 
-    pub(super) fn rest_end(&self, plan: Option<StopPlan>) -> (Option<Moment>, RestEnd) {
+    pub(super) fn idle_action(&self, plan: Option<StopPlan>) -> (Option<Moment>, IdleAction) {
         let idle = self.state() == TransactionState::Idle;
         if let (Some(plan), true) = (plan, idle) {
-            return (Some(plan.close_at(self.spread)), RestEnd::Close);
+            return (Some(plan.close_at(self.spread)), IdleAction::Close);
         }
-        let limit = self.rest_limit().map(|limit| now() + limit);
+        let limit = self.idle_time_left().map(|limit| now() + limit);
         let stop = plan.map(|plan| plan.transactions_end_at()).filter(|_| self.holds_connection());
         let until = [limit, stop].into_iter().flatten().min();
-        (until, RestEnd::RollBack)
+        (until, IdleAction::RollBack)
     }
 
     pub(super) fn holds_connection(&self) -> bool {
@@ -84,6 +84,6 @@
     #[must_use]
     pub fn is_over(&self, stop: &watch::Receiver<Option<StopPlan>>) -> bool {
         let closing = stop.borrow().is_some_and(|plan| plan.closing_begins_at() <= now());
-        (closing || self.moves_on) && self.state() == TransactionState::Idle
+        (closing || self.closes_after_failure) && self.state() == TransactionState::Idle
     }
 }
--- a/daemon/src/engine/shard.rs
+++ b/daemon/src/engine/shard.rs
@@ -25,14 +25,11 @@
 use chervilwharf_lib::id::Term;
 use chervilwharf_lib::moment::Moment;
 use chervilwharf_lib::server_refusal::RefusalKind;
-use chervilwharf_lib::wait_pace::WaitPace;
+use chervilwharf_lib::wait_estimator::WaitEstimator;
 use chervilwharf_lib::wait_queue::WaitQueue;
 use tokio::sync::Notify;
 use tokio::sync::oneshot;
 
-use crate::engine::border::ConnectError;
-use crate::engine::border::Connector;
-use crate::engine::border::ServerConnection;
 use crate::engine::clock::now;
 use crate::engine::event_log;
 use crate::engine::lease::Lease;
@@ -40,6 +37,9 @@
 use crate::engine::peers;
 use crate::engine::peers::PeerError;
 use crate::engine::peers::Peers;
+use crate::engine::server_connection::ConnectError;
+use crate::engine::server_connection::Connector;
+use crate::engine::server_connection::ServerConnection;
 use crate::engine::shard::pool::Pool;
 use crate::engine::waiting::Waiter;
 
@@ -48,7 +48,7 @@
     pub(super) group: Group,
     pools: HashMap<TargetId, Pool>,
     pub(super) queue: WaitQueue<Waiter>,
-    pub(super) pace: WaitPace,
+    pub(super) pace: WaitEstimator,
     budget: usize,
     /// Smoothed time between a grant and the end of the statement.
     pub(super) service_time: Duration,
@@ -79,9 +79,9 @@
     /// Woken when there is something to find out about the primary.
     doubt: Arc<Notify>,
     /// Woken when the right to use the primary is wanted and missing.
-    renewal: Arc<Notify>,
+    lease_renewal: Arc<Notify>,
     /// Woken when the right to use the primary changed.
-    right_changed: Notify,
+    primary_lease_changed: Notify,
 }
 
 /// Longest time for a server's greeting, once it can be reached.
@@ -94,7 +94,7 @@
 
 /// Time between two tries of the direct way to a server that is reached
 /// through another instance.
-const DETOUR_CHECK: Duration = Duration::from_secs(2);
+const DETOUR_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Weight of the newest statement in the smoothed time, as one over this.
 const SERVICE_TIME_SMOOTHING: u32 = 16;
@@ -105,7 +105,7 @@
 
 /// After a server said that it has too many connections. Others have to
 /// give some up first, which takes the time of a transaction.
-const TOO_MANY_PAUSE: Duration = Duration::from_millis(300);
+const TOO_MANY_CONNECTIONS_PAUSE: Duration = Duration::from_millis(300);
 
 impl Shard {
     /// A group of which nothing is known yet, at an instance in a failure
@@ -119,14 +119,22 @@
         doubt: Arc<Notify>,
     ) -> Self {
         let inner = Inner { budget: 1, group: Group::with_home(home), ..Inner::default() };
-        let (inner, right_changed) = (Mutex::new(inner), Notify::new());
-        Self { id, connector, peers, inner, doubt, renewal: Arc::default(), right_changed }
+        let (inner, primary_lease_changed) = (Mutex::new(inner), Notify::new());
+        Self {
+            id,
+            connector,
+            peers,
+            inner,
+            doubt,
+            lease_renewal: Arc::default(),
+            primary_lease_changed,
+        }
     }
 
     /// With somebody to wake when the right to use the primary is missing.
     #[must_use]
-    pub fn with_renewal(mut self, renewal: Arc<Notify>) -> Self {
-        self.renewal = renewal;
+    pub fn with_renewal(mut self, lease_renewal: Arc<Notify>) -> Self {
+        self.lease_renewal = lease_renewal;
         self
     }
 
@@ -163,13 +171,13 @@
     /// The primary is wanted: sees to it that the right to use it is renewed.
     pub fn want_leader(&self) {
         if !self.with_group(|group| group.want_leader(now())) {
-            self.renewal.notify_one();
+            self.lease_renewal.notify_one();
         }
     }
 
     /// The right to use the primary may have changed.
-    pub fn right_changed(self: &Arc<Self>) {
-        self.right_changed.notify_waiters();
+    pub fn primary_lease_changed(self: &Arc<Self>) {
+        self.primary_lease_changed.notify_waiters();
         self.pump();
     }
 
@@ -187,14 +195,14 @@
     /// then is lost.
     pub async fn confirm_term(&self, term: Term, until: Moment) -> bool {
         loop {
-            let changed = self.right_changed.notified();
+            let changed = self.primary_lease_changed.notified();
             let (holds, retired) = self.with_group(|group| {
-                (group.right().holds(now(), term), group.right().retired() >= term)
+                (group.primary_lease().holds(now(), term), group.primary_lease().retired() >= term)
             });
             if holds || retired || now() >= until {
                 return holds;
             }
-            self.renewal.notify_one();
+            self.lease_renewal.notify_one();
             let wait = until.saturating_sub(now());
             // Over either way: looked at again.
             let _waited = tokio::time::timeout(wait, changed).await;
@@ -301,15 +309,15 @@
         self.lock().group.end_running(server);
     }
 
-    /// A statement took this long at a server. From `slow_from` on that is a
+    /// A statement took this long at a server. From `slow_threshold` on that is a
     /// sign of a queue there.
-    pub fn observe_time(&self, server: &TargetId, took: Duration, slow_from: Duration) {
+    pub fn observe_time(&self, server: &TargetId, took: Duration, slow_threshold: Duration) {
         let mut inner = self.lock();
         let running = inner.group.server(server).map_or(0, |view| view.running);
         let kept = inner.service_time * (SERVICE_TIME_SMOOTHING - 1);
         inner.service_time = (kept + took) / SERVICE_TIME_SMOOTHING;
         if let Some(pool) = inner.pools.get_mut(server) {
-            pool.share.limit.answered(now(), running, took, slow_from);
+            pool.share.limit.answered(now(), running, took, slow_threshold);
         }
     }
 
@@ -333,10 +341,10 @@
     /// A connection to a server gave no answer to what was sent at a moment. Connections
     /// can go silent together, without a reset: idle ones that have not answered since
     /// are closed, so that they do not take one statement after the other.
-    pub fn close_unproven(self: &Arc<Self>, server: &TargetId, sent_at: Moment) {
+    pub fn close_stale(self: &Arc<Self>, server: &TargetId, sent_at: Moment) {
         let closing = {
             let mut inner = self.lock();
-            inner.pools.get_mut(server).map(|pool| pool.take_unproven(sent_at))
+            inner.pools.get_mut(server).map(|pool| pool.take_stale(sent_at))
         };
         drop(closing);
         self.pump();
@@ -422,7 +430,8 @@
     pub fn detours_to_check(&self) -> Vec<TargetId> {
         let now = now();
         let mut inner = self.lock();
-        let due = inner.detours.iter_mut().filter(|(_, d)| d.checked_at + DETOUR_CHECK <= now);
+        let due =
+            inner.detours.iter_mut().filter(|(_, d)| d.checked_at + DETOUR_CHECK_INTERVAL <= now);
         due.map(|(id, detour)| {
             detour.checked_at = now;
             id.clone()
@@ -438,7 +447,7 @@
         }
     }
 
-    fn report_unopened(&self, server: &TargetId, reason: &str) {
+    fn log_open_failure(&self, server: &TargetId, reason: &str) {
         let event = Event::new(EventKind::ConnectionFailed).with("group", &self.id);
         event_log::emit(&event.with("server", server).with("reason", reason));
     }
@@ -470,8 +479,8 @@
             Err(ConnectError::Refused(refusal))
                 if refusal.kind == RefusalKind::TooManyConnections =>
             {
-                pool.share.blocked_until = now + TOO_MANY_PAUSE;
-                self.report_unopened(server, "too many connections");
+                pool.share.blocked_until = now + TOO_MANY_CONNECTIONS_PAUSE;
+                self.log_open_failure(server, "too many connections");
             }
             Err(error) => {
                 pool.share.blocked_until = now + OPEN_PAUSE;
@@ -481,7 +490,7 @@
                     inner.group.observe_failure(now, server);
                 }
                 drop(inner);
-                self.report_unopened(server, &error.to_string());
+                self.log_open_failure(server, &error.to_string());
                 let shard = self.clone();
                 tokio::spawn(async move {
                     tokio::time::sleep(OPEN_PAUSE).await;
--- a/daemon/src/engine/shard/assign.rs
+++ b/daemon/src/engine/shard/assign.rs
@@ -6,11 +6,11 @@
 use chervilwharf_lib::id::AccountId;
 use chervilwharf_lib::id::TargetId;
 use chervilwharf_lib::moment::Moment;
-use chervilwharf_lib::pool_share::Choice;
-use chervilwharf_lib::pool_share::Need;
-use chervilwharf_lib::pool_share::Owner;
-use chervilwharf_lib::pool_share::PoolShare;
-use chervilwharf_lib::pool_share::choose;
+use chervilwharf_lib::server_choice::Choice;
+use chervilwharf_lib::server_choice::Need;
+use chervilwharf_lib::server_choice::Owner;
+use chervilwharf_lib::server_choice::PoolView;
+use chervilwharf_lib::server_choice::choose;
 use chervilwharf_lib::wait_queue::Place;
 use chervilwharf_lib::wait_queue::Tier;
 
@@ -19,12 +19,12 @@
 use crate::engine::shard::Assignments;
 use crate::engine::shard::Inner;
 use crate::engine::shard::pool::Pool;
-use crate::engine::waiting::Want;
+use crate::engine::waiting::ConnectionRequest;
 
 /// How long a request whose account has no connection waits while those of others
 /// serve who waits for them, several one after the other. Closed for each account
 /// in turn, connections would serve one statement each.
-const SERVED_IN_TURN: Duration = Duration::from_millis(40);
+const REPLACE_DELAY: Duration = Duration::from_millis(40);
 
 impl Inner {
     /// Takes the idle connections that are over the budget, to close them.
@@ -47,7 +47,7 @@
     pub(in crate::engine) fn take_idle(
         &mut self,
         now: Moment,
-        want: &Want<'_>,
+        want: &ConnectionRequest<'_>,
     ) -> Option<(TargetId, PooledConnection)> {
         if let Some(account) = want.owner.account() {
             self.wanted.observe(now, account);
@@ -111,12 +111,12 @@
     pub(in crate::engine) fn limit_of(&self, id: &TargetId) -> f64 {
         self.pools
             .get(id)
-            .map_or_else(|| PoolShare::default().limit.value(), |pool| pool.share.limit.value())
+            .map_or_else(|| PoolView::default().limit.value(), |pool| pool.share.limit.value())
     }
 
-    fn share_of(&self, id: &TargetId, owner: &Owner, waited: Duration) -> PoolShare {
+    fn share_of(&self, id: &TargetId, owner: &Owner, waited: Duration) -> PoolView {
         let Some(pool) = self.pools.get(id) else {
-            return PoolShare { budget: self.budget, ..PoolShare::default() };
+            return PoolView { budget: self.budget, ..PoolView::default() };
         };
         let usable = pool.idle.iter().filter(|idle| owner.accepts(idle.account.as_ref()));
         let idle = usable.count();
@@ -125,7 +125,7 @@
             None => 0,
         };
         let own = match owner {
-            Owner::Anybody => pool.share.open,
+            Owner::AnyAccount => pool.share.open,
             Owner::Account(account) => pool.by_account.get(account).copied().unwrap_or(0),
         };
         // Accounts need new connections all the time, and each takes a slot like a
@@ -133,7 +133,7 @@
         // has slots, and served nothing.
         let taking_slots = owner.account().map_or(0, |_| pool.share.opening);
         let budget = self.budget;
-        PoolShare { idle, replaceable, own, taking_slots, budget, ..pool.share.clone() }
+        PoolView { idle, replaceable, own, taking_slots, budget, ..pool.share.clone() }
     }
 
     /// Index of the idle connection to a server that is least likely to be wanted
@@ -150,7 +150,7 @@
             rate / same(&pooled.account)
         };
         let may_close = |pooled: &PooledConnection| {
-            waited >= SERVED_IN_TURN || !self.is_waited_for(at, server, pooled)
+            waited >= REPLACE_DELAY || !self.is_waited_for(at, server, pooled)
         };
         let usable = idle.iter().enumerate().filter(|(_, pooled)| may_close(pooled));
         let least = usable.min_by(|(_, a), (_, b)| worth(a).total_cmp(&worth(b)));
--- a/daemon/src/engine/shard/pool.rs
+++ b/daemon/src/engine/shard/pool.rs
@@ -4,7 +4,7 @@
 
 use chervilwharf_lib::id::AccountId;
 use chervilwharf_lib::moment::Moment;
-use chervilwharf_lib::pool_share::PoolShare;
+use chervilwharf_lib::server_choice::PoolView;
 
 use crate::engine::lease::PooledConnection;
 
@@ -12,7 +12,7 @@
 #[derive(Default)]
 pub(super) struct Pool {
     pub(super) idle: Vec<PooledConnection>,
-    pub(super) share: PoolShare,
+    pub(super) share: PoolView,
     /// Open ones and those being opened, by account.
     pub(super) by_account: HashMap<Option<AccountId>, usize>,
 }
@@ -36,7 +36,7 @@
     }
 
     /// Takes out idle connections on which the server has not answered since a moment.
-    pub(super) fn take_unproven(&mut self, since: Moment) -> Vec<PooledConnection> {
+    pub(super) fn take_stale(&mut self, since: Moment) -> Vec<PooledConnection> {
         let idle = std::mem::take(&mut self.idle).into_iter();
         let (proven, unproven) = idle.partition(|idle| idle.has_answered_since(since));
         self.idle = proven;
--- a/daemon/src/engine/shared.rs
+++ b/daemon/src/engine/shared.rs
@@ -12,11 +12,10 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use chervilwharf_lib::arrivals::Arrivals;
 use chervilwharf_lib::catalog::Catalog;
 use chervilwharf_lib::catalog::Route;
+use chervilwharf_lib::connection_budget::account_connection_budget;
 use chervilwharf_lib::connection_budget::budget;
-use chervilwharf_lib::connection_budget::kept_for_accounts;
 use chervilwharf_lib::engine_protos::DirectoryTaken;
 use chervilwharf_lib::engine_protos::PrimaryNewsTaken;
 use chervilwharf_lib::engine_protos::Tunnel;
@@ -26,32 +25,33 @@
 use chervilwharf_lib::group::ServerInfo;
 use chervilwharf_lib::id::GroupId;
 use chervilwharf_lib::moment::Moment;
-use chervilwharf_lib::primary_right::PrimaryRight;
+use chervilwharf_lib::primary_lease::PrimaryLease;
 use chervilwharf_lib::quota::QuotaTolerance;
+use chervilwharf_lib::received_statements::ReceivedStatements;
 use chervilwharf_lib::server_list::ServerList;
-use chervilwharf_lib::silence::SilenceLimits;
+use chervilwharf_lib::silence::StoreTimeouts;
 use chervilwharf_lib::stop_plan::StopPlan;
 use tokio::sync::Notify;
 use tokio::sync::watch;
 
-use crate::engine::border::Connector;
-use crate::engine::caller::NewerConfiguration;
 use crate::engine::clock::now;
-use crate::engine::contacts::Contacts;
 use crate::engine::directory::Revision;
-use crate::engine::duty_control::DutyBook;
-use crate::engine::guest::GuestSession;
+use crate::engine::duty_control::DutyTable;
+use crate::engine::forwarded_session::ForwardedSession;
 use crate::engine::holders::Holders;
 use crate::engine::leader_control::LeaderWatches;
 use crate::engine::metrics::EngineMetrics;
-use crate::engine::peers::Guest;
+use crate::engine::peer_contacts::Contacts;
+use crate::engine::peers::ForwardedStatementHandler;
 use crate::engine::peers::PeerHandler;
 use crate::engine::peers::Peers;
+use crate::engine::primary_lease_control::VoterLists;
 use crate::engine::quota_control::QuotaControl;
 use crate::engine::remote::StatementLinks;
-use crate::engine::right_control::VoterLists;
+use crate::engine::server_connection::Connector;
 use crate::engine::shard::Shard;
 use crate::engine::store_era::StoreEra;
+use crate::engine::workload::LastConfigurationPull;
 
 /// How long servers keep the connections of a caller that lost power. Until then those of
 /// earlier lives may fill them: who opens more than half of its share is refused, and
@@ -60,7 +60,7 @@
 
 /// How long a starting instance waits for the store before it asks others:
 /// many times the store's usual answer of 4 ms.
-pub const STORE_FIRST: Duration = Duration::from_millis(250);
+pub const PEER_FALLBACK_DELAY: Duration = Duration::from_millis(250);
 
 /// Time in which a configuration is in force where the platform sets none.
 const CONFIGURATION_BOUND: Duration = Duration::from_secs(3);
@@ -79,16 +79,16 @@
     started_at: Moment,
     fleet: Mutex<Fleet>,
     peers: Arc<Peers>,
-    duties: Mutex<DutyBook>,
+    duties: Mutex<DutyTable>,
     metrics: EngineMetrics,
     holders: Holders,
-    contacts: Contacts,
+    peer_contacts: Contacts,
     statement_links: Arc<StatementLinks>,
     watches: LeaderWatches,
     /// Woken when there is something to find out about a primary.
     doubt: Arc<Notify>,
     /// Woken when the right to use a primary is wanted and missing.
-    renewal: Arc<Notify>,
+    lease_renewal: Arc<Notify>,
     voter_lists: VoterLists,
     /// Whether this instance has a record, by which the others count it among
     /// those that vote.
@@ -98,9 +98,9 @@
     /// When it last told the configuration.
     store_answered_at: Mutex<Option<Moment>>,
     /// Whether this instance knows which orders there were when it started.
-    knows_orders: AtomicBool,
+    orders_known: AtomicBool,
     /// Woken when the record of this instance has to be written.
-    wants_record: Notify,
+    record_write_needed: Notify,
     /// Revision of the record of an earlier life, if one was listed.
     earlier_record: Mutex<Option<Revision>>,
     /// Whether it is known which other instances there are.
@@ -109,16 +109,16 @@
     /// instances.
     fleet_listed: AtomicBool,
     /// When another instance was last asked to tell the records.
-    invited_at: Mutex<Option<Moment>>,
+    records_requested_at: Mutex<Option<Moment>>,
     /// Set once a planned stop has begun.
     stopping: watch::Sender<Option<StopPlan>>,
     sessions: watch::Sender<usize>,
     quota: QuotaControl,
     quota_tolerance: Option<QuotaTolerance>,
-    newer_configuration: NewerConfiguration,
+    last_configuration_pull: LastConfigurationPull,
     store_era: Arc<StoreEra>,
-    silence_limits: SilenceLimits,
-    arrivals: Mutex<Arrivals>,
+    store_timeouts: StoreTimeouts,
+    received_statements: Mutex<ReceivedStatements>,
 }
 
 impl Engine {
@@ -135,52 +135,52 @@
             fleet: Mutex::new(Fleet::new(me.id.clone())),
             fleet_known: watch::Sender::new(false),
             fleet_listed: AtomicBool::new(false),
-            invited_at: Mutex::default(),
+            records_requested_at: Mutex::default(),
             started_at: now(),
             me,
             peers: Arc::default(),
             duties: Mutex::default(),
             metrics: EngineMetrics::default(),
             holders: Holders::default(),
-            contacts: Contacts::default(),
+            peer_contacts: Contacts::default(),
             statement_links: Arc::default(),
             watches: LeaderWatches::default(),
             doubt: Arc::default(),
-            renewal: Arc::default(),
+            lease_renewal: Arc::default(),
             voter_lists: VoterLists::default(),
             registered: AtomicBool::new(false),
             store_answered: Notify::new(),
             store_answered_at: Mutex::default(),
-            knows_orders: AtomicBool::new(false),
-            wants_record: Notify::new(),
+            orders_known: AtomicBool::new(false),
+            record_write_needed: Notify::new(),
             earlier_record: Mutex::default(),
             stopping: watch::Sender::new(None),
             sessions: watch::Sender::new(0),
             quota: QuotaControl::new(now()),
             quota_tolerance: None,
-            newer_configuration: NewerConfiguration::default(),
+            last_configuration_pull: LastConfigurationPull::default(),
             store_era: Arc::default(),
-            silence_limits: SilenceLimits::within(CONFIGURATION_BOUND),
-            arrivals: Mutex::new(Arrivals::new(now())),
+            store_timeouts: StoreTimeouts::within(CONFIGURATION_BOUND),
+            received_statements: Mutex::new(ReceivedStatements::new(now())),
         }
     }
 
     /// With the time in which a configuration has to be in force, if there is one.
     #[must_use]
     pub fn with_configuration_bound(mut self, bound: Option<Duration>) -> Self {
-        self.silence_limits = SilenceLimits::within(bound.unwrap_or(CONFIGURATION_BOUND));
+        self.store_timeouts = StoreTimeouts::within(bound.unwrap_or(CONFIGURATION_BOUND));
         self
     }
 
     /// Reads or updates which statements of other instances have arrived.
-    pub fn with_arrivals<R>(&self, f: impl FnOnce(&mut Arrivals) -> R) -> R {
-        f(&mut self.arrivals.lock().expect("never poisoned"))
+    pub fn with_received_statements<R>(&self, f: impl FnOnce(&mut ReceivedStatements) -> R) -> R {
+        f(&mut self.received_statements.lock().expect("never poisoned"))
     }
 
     /// How soon silence of the store is noticed.
     #[must_use]
-    pub fn silence_limits(&self) -> SilenceLimits {
-        self.silence_limits
+    pub fn store_timeouts(&self) -> StoreTimeouts {
+        self.store_timeouts
     }
 
     /// This instance.
@@ -203,8 +203,8 @@
 
     /// Woken when the record of this instance has to be written.
     #[must_use]
-    pub fn wants_record(&self) -> &Notify {
-        &self.wants_record
+    pub fn record_write_needed(&self) -> &Notify {
+        &self.record_write_needed
     }
 
     /// The list of instances shows a record of an earlier life of this one.
@@ -219,7 +219,7 @@
     }
 
     /// Reads or updates what is known of the duties.
-    pub fn with_duties<R>(&self, f: impl FnOnce(&mut DutyBook) -> R) -> R {
+    pub fn with_duties<R>(&self, f: impl FnOnce(&mut DutyTable) -> R) -> R {
         f(&mut self.duties.lock().expect("never poisoned"))
     }
 
@@ -237,8 +237,8 @@
 
     /// Which other instances are heard.
     #[must_use]
-    pub fn contacts(&self) -> &Contacts {
-        &self.contacts
+    pub fn peer_contacts(&self) -> &Contacts {
+        &self.peer_contacts
     }
 
     /// Lists of those that vote, by group.
@@ -273,8 +273,8 @@
 
     /// Woken when the right to use a primary is wanted and missing.
     #[must_use]
-    pub fn renewal(&self) -> &Notify {
-        &self.renewal
+    pub fn lease_renewal(&self) -> &Notify {
+        &self.lease_renewal
     }
 
     /// Woken when the store listed something.
@@ -284,8 +284,8 @@
     }
 
     /// From now on this instance votes on groups that it gets to know.
-    pub fn set_knows_orders(&self) {
-        self.knows_orders.store(true, Ordering::Relaxed);
+    pub fn set_orders_known(&self) {
+        self.orders_known.store(true, Ordering::Relaxed);
     }
 
     /// Reads or updates what is known of the instances.
@@ -316,13 +316,13 @@
             true
         });
         if newer {
-            self.share_connections();
+            self.recompute_assignments();
         }
         newer
     }
 
     /// Divides the connections of each server among the live instances.
-    pub fn share_connections(&self) {
+    pub fn recompute_assignments(&self) {
         self.holders.check_again();
         self.apply_budgets();
         self.update_voters();
@@ -351,7 +351,7 @@
             shard.set_budget(match catalog.accounts {
                 Some(_) => {
                     let earlier_lives = at < self.started_at + DEAD_FOR;
-                    kept_for_accounts(granted, if earlier_lives { 0.0 } else { own })
+                    account_connection_budget(granted, if earlier_lives { 0.0 } else { own })
                 }
                 None => granted,
             });
@@ -369,16 +369,16 @@
             let home = self.me.failure_domain.clone();
             let (connector, peers) = (self.connector.clone(), self.peers.clone());
             let shard = Shard::new(group.clone(), home, connector, peers, self.doubt.clone());
-            let shard = shard.with_renewal(self.renewal.clone());
+            let shard = shard.with_renewal(self.lease_renewal.clone());
             shard.with_group(|group| {
-                *group.right_mut() = PrimaryRight::unknown().with_start(self.started_at);
-                if self.knows_orders.load(Ordering::Relaxed) {
-                    group.right_mut().knows_orders();
+                *group.primary_lease_mut() = PrimaryLease::unknown().with_start(self.started_at);
+                if self.orders_known.load(Ordering::Relaxed) {
+                    group.primary_lease_mut().orders_known();
                 }
             });
             Arc::new(shard)
         });
-        self.forget_held();
+        self.invalidate_held();
         shard.clone()
     }
 
@@ -512,7 +512,7 @@
     fn answer(&self, question: Body) -> Option<Body> {
         match question {
             Body::Heartbeat(heartbeat) => {
-                self.take_heartbeat(&heartbeat);
+                self.apply_heartbeat(&heartbeat);
                 Some(Body::HeartbeatReply(self.heartbeat_reply(&heartbeat)))
             }
             Body::LeaderQuery(query) => Some(Body::LeaderReply(self.leader_reply(&query))),
@@ -522,7 +522,7 @@
                 Some(Body::PrimaryNewsTaken(PrimaryNewsTaken {}))
             }
             Body::DirectoryState(state) => {
-                self.take_directory(state);
+                self.apply_directory_state(state);
                 Some(Body::DirectoryTaken(DirectoryTaken {}))
             }
             Body::KeeperVote(vote) => Some(Body::KeeperVoteReply(self.keeper_vote(&vote))),
@@ -533,8 +533,8 @@
         }
     }
 
-    fn guest(self: Arc<Self>) -> Box<dyn Guest> {
-        Box::new(GuestSession::new(self))
+    fn forwarded_session(self: Arc<Self>) -> Box<dyn ForwardedStatementHandler> {
+        Box::new(ForwardedSession::new(self))
     }
 
     fn tunnel_target(&self, tunnel: &Tunnel) -> Option<SocketAddr> {
--- a/daemon/src/engine/shared/accounts.rs
+++ b/daemon/src/engine/shared/accounts.rs
@@ -2,9 +2,9 @@
 
 use chervilwharf_lib::quota::QuotaTolerance;
 
-use crate::engine::caller::NewerConfiguration;
 use crate::engine::quota_control::QuotaControl;
 use crate::engine::shared::Engine;
+use crate::engine::workload::LastConfigurationPull;
 
 impl Engine {
     /// With the tolerance that the platform grants accounts beyond their limits.
@@ -28,7 +28,7 @@
 
     /// When others were last asked for a newer configuration.
     #[must_use]
-    pub fn newer_configuration(&self) -> &NewerConfiguration {
-        &self.newer_configuration
+    pub fn last_configuration_pull(&self) -> &LastConfigurationPull {
+        &self.last_configuration_pull
     }
 }
--- a/daemon/src/engine/shared/known_fleet.rs
+++ b/daemon/src/engine/shared/known_fleet.rs
@@ -10,9 +10,9 @@
 use chervilwharf_lib::revision::Era;
 
 use crate::engine::clock::now;
-use crate::engine::follow::OTHERS_LISTED;
+use crate::engine::follow::PEER_LISTING_TIME;
 use crate::engine::shared::Engine;
-use crate::engine::shared::STORE_FIRST;
+use crate::engine::shared::PEER_FALLBACK_DELAY;
 
 /// How long an instance that was asked to tell the records has for it, before
 /// another one is asked: as long as for any answer.
@@ -20,9 +20,9 @@
 
 impl Engine {
     /// Takes a list of all instances over.
-    pub fn take_instances(&self, records: Vec<InstanceRecord>) {
+    pub fn apply_instance_list(&self, records: Vec<InstanceRecord>) {
         self.list_instances(records, Fleet::replace);
-        self.know_fleet();
+        self.set_fleet_known();
     }
 
     /// Lists all instances, each as `update` takes it over, without going on with them.
@@ -50,13 +50,13 @@
     pub fn note_store_era(&self, era: Era, source: impl Display) {
         if self.store_era.note(era, source) {
             // Grants of this era are wanted.
-            self.renewal.notify_one();
+            self.lease_renewal.notify_one();
         }
     }
 
     /// Whether this instance runs for as long as this.
     #[must_use]
-    pub fn runs_for(&self, time: Duration) -> bool {
+    pub fn has_run_for(&self, time: Duration) -> bool {
         self.started_at + time <= now()
     }
 
@@ -72,15 +72,15 @@
     /// A store that has just answered again is about to tell: taking themselves for
     /// alone until then, 74 instances opened connections to all servers at once.
     #[must_use]
-    pub fn knows_who_holds(&self) -> bool {
-        self.is_fleet_listed() || (self.is_fleet_known() && !self.store_is_telling())
+    pub fn knows_candidate_holders(&self) -> bool {
+        self.is_fleet_listed() || (self.is_fleet_known() && !self.expects_store_listings())
     }
 
     /// Whether the store told something just now, and so is about to tell the rest.
     #[must_use]
-    pub fn store_is_telling(&self) -> bool {
+    pub fn expects_store_listings(&self) -> bool {
         let answered_at = *self.store_answered_at.lock().expect("never poisoned");
-        answered_at.is_some_and(|at| at + OTHERS_LISTED > now())
+        answered_at.is_some_and(|at| at + PEER_LISTING_TIME > now())
     }
 
     /// Whether this instance lacks configuration, servers or the other instances.
@@ -97,15 +97,19 @@
     /// A store that answers tells all by itself; what others send then only fills
     /// the link over which it comes.
     #[must_use]
-    pub fn invites_records(&self) -> bool {
+    pub fn take_records_request(&self) -> bool {
         let at = now();
-        if !self.lacks_records() || self.store_is_telling() || at < self.started_at + STORE_FIRST {
+        if !self.lacks_records()
+            || self.expects_store_listings()
+            || at < self.started_at + PEER_FALLBACK_DELAY
+        {
             return false;
         }
-        let mut invited_at = self.invited_at.lock().expect("never poisoned");
-        let waits = invited_at.is_some_and(|invited_at| invited_at + INVITATION > at);
+        let mut records_requested_at = self.records_requested_at.lock().expect("never poisoned");
+        let waits = records_requested_at
+            .is_some_and(|records_requested_at| records_requested_at + INVITATION > at);
         if !waits {
-            *invited_at = Some(at);
+            *records_requested_at = Some(at);
         }
         !waits
     }
@@ -124,10 +128,10 @@
 
     /// Goes on with the instances that are known, also when nobody told of
     /// others.
-    pub fn know_fleet(&self) {
+    pub fn set_fleet_known(&self) {
         self.fleet_known.send_replace(true);
-        self.share_connections();
-        self.renewal.notify_one();
+        self.recompute_assignments();
+        self.lease_renewal.notify_one();
     }
 
     /// Whether it is known which other instances there are.
--- a/daemon/src/engine/single.rs
+++ b/daemon/src/engine/single.rs
@@ -6,8 +6,8 @@
 use chervilwharf_lib::event::Event;
 use chervilwharf_lib::event::EventKind;
 use chervilwharf_lib::id::TargetId;
-use chervilwharf_lib::pool_share::Need;
 use chervilwharf_lib::position::Position;
+use chervilwharf_lib::server_choice::Need;
 use chervilwharf_lib::server_refusal::RefusalKind;
 use chervilwharf_lib::server_refusal::ServerRefusal;
 use chervilwharf_lib::statement::Prepared;
@@ -15,15 +15,15 @@
 use chervilwharf_lib::statement::TransactionState;
 use chervilwharf_lib::waits;
 
-use crate::engine::border::ExchangeError;
-use crate::engine::border::Step;
-use crate::engine::border::StepReply;
 use crate::engine::clock::now;
 use crate::engine::event_log;
 use crate::engine::lease::Lease;
 use crate::engine::request::Failure;
 use crate::engine::request::Request;
 use crate::engine::request::Served;
+use crate::engine::server_connection::ExchangeError;
+use crate::engine::server_connection::Step;
+use crate::engine::server_connection::StepReply;
 use crate::engine::session::Session;
 
 /// A statement as it goes to a server.
@@ -70,7 +70,7 @@
     };
     let sent_at = now();
     let result = exchange(session, &mut open, steps, limit).await;
-    session.trail_mut().sent(open.server().clone(), now().saturating_sub(sent_at));
+    session.trace_mut().sent(open.server().clone(), now().saturating_sub(sent_at));
     match result {
         Ok(replies) => {
             open.connection().settle();
@@ -81,7 +81,7 @@
             session.shard().with_group(|group| group.observe_failure(now(), open.server()));
             session.shard().doubt();
             if matches!(error, ExchangeError::Silent) {
-                session.shard().close_unproven(open.server(), sent_at);
+                session.shard().close_stale(open.server(), sent_at);
             }
             let event = Event::new(EventKind::ConnectionDropped);
             let event = event.with("group", session.shard().id()).with("server", open.server());
@@ -101,7 +101,7 @@
     let usual_time = session.shard().with_group(|group| group.read_time(&server));
     let running = lease.connection().connection.run(steps);
     let mut running = std::pin::pin!(tokio::time::timeout(limit, running));
-    let early = tokio::time::timeout(waits::doubt_after(usual_time), &mut running).await;
+    let early = tokio::time::timeout(waits::liveness_check_after(usual_time), &mut running).await;
     let finished = if let Ok(finished) = early {
         finished
     } else {
@@ -122,14 +122,14 @@
     request: &Request,
     work: &Work,
 ) -> Result<Served, Failure> {
-    let mut shunned = None;
+    let mut failed_server = None;
     let mut last = Failure::new(ErrorKind::DeadlineBeforeStart);
     while now() < request.deadline {
-        match try_read(session, request, work, &mut shunned).await {
+        match try_read(session, request, work, &mut failed_server).await {
             Try::Done(served) => return Ok(served),
             Try::Failed(failure) => return Err(failure),
             Try::Again { failure, pause } => {
-                session.try_again(&failure);
+                session.report_retry(&failure);
                 last = failure;
                 tokio::time::sleep(pause.min(request.time_left(now()))).await;
             }
@@ -142,13 +142,13 @@
     session: &mut Session,
     request: &Request,
     work: &Work,
-    shunned: &mut Option<TargetId>,
+    failed_server: &mut Option<TargetId>,
 ) -> Try {
     let consistency = request.route.consistency;
     let floor = session.floor_for(request.arrived_at, consistency);
-    session.trail_mut().floor = floor;
+    session.trace_mut().floor = floor;
     let need = match floor {
-        Some(floor) => Need::Reader { floor, shunned: shunned.clone() },
+        Some(floor) => Need::Reader { floor, failed_server: failed_server.clone() },
         None => Need::Leader,
     };
     let mut lease = match session.acquire(request, need, work.prepared.as_ref()).await {
@@ -157,9 +157,9 @@
     };
     let server = lease.as_ref().map(|lease| lease.server().clone()).unwrap_or_default();
     if floor.is_none() && session.shard().term_of(&server).is_none() {
-        return unentitled(lease);
+        return retry_without_lease(lease);
     }
-    let mut steps = session.layout_steps(lease.as_mut(), work.prepared.as_ref());
+    let mut steps = session.setup_steps(lease.as_mut(), work.prepared.as_ref());
     let setup = steps.len();
     if floor.is_none() {
         // Only a transaction that may write is refused by a server that has
@@ -173,12 +173,12 @@
         steps.push(Step::own(Statement::Rollback));
     }
     let sent_at = now();
-    let slow_from = waits::slow_from(request.route.objective);
+    let slow_threshold = waits::slow_threshold(request.route.objective);
     let limit = session.stall_limit(request, &server);
     let replies = match send(session, &mut lease, &steps, limit).await {
         Sent::Replies(replies) => replies,
         Sent::Lost(_) => {
-            *shunned = Some(server);
+            *failed_server = Some(server);
             let failure = Failure::new(ErrorKind::ServerTimedOut);
             return Try::Again { failure, pause: Duration::ZERO };
         }
@@ -203,12 +203,12 @@
                 group.observe_read_time(&server, now().saturating_sub(sent_at));
             });
             let took = now().saturating_sub(sent_at);
-            session.shard().observe_time(&server, took, slow_from);
+            session.shard().observe_time(&server, took, slow_threshold);
             Try::Done(Served { answer, position: reply.position })
         }
         Err(refusal) => {
             if refusal.kind == RefusalKind::Failed || refusal.kind == RefusalKind::TimedOut {
-                *shunned = Some(server.clone());
+                *failed_server = Some(server.clone());
             }
             refused_read(session, &server, refusal, floor, reply.position)
         }
@@ -217,7 +217,7 @@
 
 /// The right to use the primary ended between the choice of the server and now:
 /// the instance stood still, or the primary is being replaced. Nothing was sent.
-fn unentitled(lease: Option<Lease>) -> Try {
+fn retry_without_lease(lease: Option<Lease>) -> Try {
     if let Some(lease) = lease {
         lease.give_back();
     }
@@ -295,7 +295,7 @@
             }
             Try::Failed(failure) => return Err(failure),
             Try::Again { failure, pause } => {
-                session.try_again(&failure);
+                session.report_retry(&failure);
                 last = failure;
                 tokio::time::sleep(pause.min(request.time_left(now()))).await;
             }
@@ -311,9 +311,9 @@
     };
     let server = lease.as_ref().map(|lease| lease.server().clone()).unwrap_or_default();
     let Some(term) = session.shard().term_of(&server) else {
-        return unentitled(lease);
+        return retry_without_lease(lease);
     };
-    let mut steps = session.layout_steps(lease.as_mut(), work.prepared.as_ref());
+    let mut steps = session.setup_steps(lease.as_mut(), work.prepared.as_ref());
     let main = steps.len();
     let id = Some(request.id.clone());
     steps.push(Step { id, floor: None, statement: work.statement.clone() });
@@ -328,7 +328,7 @@
     if let Some(refusal) = first_refusal(&replies[..main]) {
         // The write was sent behind the refused step. Only its own reply
         // tells whether it ran.
-        let ran = reply.result.as_ref().err().is_none_or(|own| !own.kind.promises_no_run());
+        let ran = reply.result.as_ref().err().is_none_or(|own| !own.kind.guarantees_not_run());
         return if ran {
             Try::Failed(Failure::new(ErrorKind::OutcomeUnknown))
         } else {
@@ -339,8 +339,8 @@
     match reply.result {
         Ok(answer) => {
             let took = now().saturating_sub(sent_at);
-            let slow_from = waits::slow_from(request.route.objective);
-            session.shard().observe_time(&server, took, slow_from);
+            let slow_threshold = waits::slow_threshold(request.route.objective);
+            session.shard().observe_time(&server, took, slow_threshold);
             if !session.is_confirmed(request, &server, term).await {
                 return Try::Failed(Failure::new(ErrorKind::OutcomeUnknown));
             }
--- a/daemon/src/engine/store_contact.rs
+++ b/daemon/src/engine/store_availability.rs
@@ -28,12 +28,12 @@
 
 /// Whether the store answers, and from where on its records are followed.
 #[derive(Debug, Default)]
-pub struct StoreContact {
+pub struct StoreAvailability {
     state: watch::Sender<State>,
     followed: Mutex<HashMap<RecordKind, Revision>>,
 }
 
-impl StoreContact {
+impl StoreAvailability {
     /// Whether the store does not answer.
     #[must_use]
     pub fn is_lost(&self) -> bool {
--- a/daemon/src/engine/store_signs.rs
+++ b/daemon/src/engine/store_liveness.rs
@@ -7,8 +7,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use chervilwharf_lib::silence::ASKED_AGAIN_AFTER;
-use chervilwharf_lib::silence::SilenceLimits;
+use chervilwharf_lib::silence::STORE_RETRY_INTERVAL;
+use chervilwharf_lib::silence::StoreTimeouts;
 use futures::StreamExt;
 use futures::stream::FuturesUnordered;
 use tokio::time::Instant;
@@ -16,13 +16,13 @@
 use crate::engine::directory::Currency;
 use crate::engine::directory::Directory;
 use crate::engine::directory::DirectoryError;
+use crate::engine::directory::LivenessReply;
 use crate::engine::directory::RecordKind;
 use crate::engine::directory::Revision;
-use crate::engine::directory::Sign;
 use crate::engine::event_log;
 use crate::engine::follow::StoreState;
 use crate::engine::shared::Engine;
-use crate::engine::store_contact::unanswered;
+use crate::engine::store_availability::unanswered;
 
 /// The records that a sign tells changes of: those that have to be known soonest.
 const KIND: RecordKind = RecordKind::Configuration;
@@ -40,8 +40,8 @@
 const REFUSED_PAUSE: Duration = Duration::from_millis(600);
 
 /// Asks for signs of life for ever.
-pub async fn ask_for_ever(engine: Arc<Engine>, directory: Arc<dyn Directory>, state: StoreState) {
-    let mut signs = Signs { directory, state, limits: engine.silence_limits(), seen: None };
+pub async fn monitor_store(engine: Arc<Engine>, directory: Arc<dyn Directory>, state: StoreState) {
+    let mut signs = Signs { directory, state, limits: engine.store_timeouts(), seen: None };
     loop {
         if signs.state.contact.is_lost() {
             signs.regain().await;
@@ -49,7 +49,7 @@
         }
         let followed = signs.state.contact.followed(KIND);
         match followed {
-            Some(followed) if engine.record_currency() == Currency::Fresh => {
+            Some(followed) if engine.store_read_currency() == Currency::Fresh => {
                 signs.ask(followed).await;
             }
             _ => tokio::time::sleep(UNNEEDED_PAUSE).await,
@@ -60,7 +60,7 @@
 struct Signs {
     directory: Arc<dyn Directory>,
     state: StoreState,
-    limits: SilenceLimits,
+    limits: StoreTimeouts,
     /// The newest change that a sign told.
     seen: Option<Revision>,
 }
@@ -70,13 +70,13 @@
     async fn ask(&mut self, followed: Revision) {
         let asked_at = Instant::now();
         let after = self.seen.map_or(followed, |seen| seen.max(followed));
-        let question = self.directory.ask_for_sign(KIND, after, self.limits.sign_wait);
-        let answer = tokio::time::timeout(self.limits.noticed_after(), question).await;
+        let question = self.directory.check_liveness(KIND, after, self.limits.liveness_wait);
+        let answer = tokio::time::timeout(self.limits.detected_after(), question).await;
         match answer.unwrap_or(Err(DirectoryError::Silent)) {
             Ok(sign) => self.take(sign),
             // An answer that is seconds old does not know the revision yet.
             Err(DirectoryError::HistoryGone) => {
-                tokio::time::sleep_until(asked_at + self.limits.sign_wait).await;
+                tokio::time::sleep_until(asked_at + self.limits.liveness_wait).await;
             }
             Err(error) => {
                 event_log::emit(&unanswered(KIND, "sign", asked_at.elapsed(), error));
@@ -85,7 +85,7 @@
         }
     }
 
-    fn take(&mut self, sign: Sign) {
+    fn take(&mut self, sign: LivenessReply) {
         self.state.era.note(sign.era, "a sign of life");
         let Some(changed_at) = sign.newest_change else {
             return;
@@ -118,8 +118,8 @@
                 () = tokio::time::sleep_until(asked_again_at),
                     if questions.len() < QUESTIONS_AT_ONCE =>
                 {
-                    questions.push(self.directory.ask_for_sign(KIND, after, Duration::ZERO));
-                    asked_again_at += ASKED_AGAIN_AFTER;
+                    questions.push(self.directory.check_liveness(KIND, after, Duration::ZERO));
+                    asked_again_at += STORE_RETRY_INTERVAL;
                 }
             }
         }
--- a/daemon/src/engine/survey.rs
+++ b/daemon/src/engine/survey.rs
@@ -87,7 +87,7 @@
         self.old_received = self.old_received.max(Some(server.status.received));
         let current = shard.with_group(|group| {
             let leader = group.leader().map(|leader| &leader.id);
-            leader == Some(&server.id) && group.right().retired() < server.status.term
+            leader == Some(&server.id) && group.primary_lease().retired() < server.status.term
         });
         if current {
             self.leading = Some(server);
--- a/daemon/src/engine/trail.rs
+++ b/daemon/src/engine/trace.rs
@@ -16,7 +16,7 @@
 
 /// What happened to one statement so far.
 #[derive(Clone, Debug, Default)]
-pub struct Trail {
+pub struct StatementTrace {
     /// The statement's id.
     pub id: RequestId,
     /// Database name of its session.
@@ -35,7 +35,7 @@
     pub floor: Option<Position>,
 }
 
-impl Trail {
+impl StatementTrace {
     /// It was sent to a server, which took this long.
     pub fn sent(&mut self, server: TargetId, took: Duration) {
         self.tries += 1;
--- a/daemon/src/engine/transaction.rs
+++ b/daemon/src/engine/transaction.rs
@@ -8,20 +8,18 @@
 use chervilwharf_lib::error_kind::ErrorKind;
 use chervilwharf_lib::event::Event;
 use chervilwharf_lib::event::EventKind;
-use chervilwharf_lib::holder_choice::Meeting;
+use chervilwharf_lib::holder_choice::Affinity;
 use chervilwharf_lib::id::TargetId;
 use chervilwharf_lib::id::Term;
 use chervilwharf_lib::moment::Moment;
-use chervilwharf_lib::pool_share::Need;
 use chervilwharf_lib::position::Position;
+use chervilwharf_lib::server_choice::Need;
 use chervilwharf_lib::server_refusal::RefusalKind;
 use chervilwharf_lib::server_refusal::ServerRefusal;
 use chervilwharf_lib::statement::Statement;
 use chervilwharf_lib::statement::TransactionState;
 use chervilwharf_lib::waits;
 
-use crate::engine::border::Step;
-use crate::engine::border::StepReply;
 use crate::engine::clock::now;
 use crate::engine::event_log;
 use crate::engine::lease::Lease;
@@ -29,6 +27,8 @@
 use crate::engine::request::Failure;
 use crate::engine::request::Request;
 use crate::engine::request::Served;
+use crate::engine::server_connection::Step;
+use crate::engine::server_connection::StepReply;
 use crate::engine::session::Session;
 use crate::engine::shared::Engine;
 use crate::engine::single::Sent;
@@ -106,8 +106,8 @@
 
     /// Whether its statements go through another instance.
     #[must_use]
-    pub fn goes_remote(&self, engine: &Engine, meeting: &Meeting) -> bool {
-        let here = self.lease.is_some() || engine.serves_here(&self.route.group, meeting);
+    pub fn runs_remotely(&self, engine: &Engine, affinity: &Affinity) -> bool {
+        let here = self.lease.is_some() || engine.serves_here(&self.route.group, affinity);
         self.remote.is_some() || !here
     }
 
@@ -118,7 +118,7 @@
     }
 
     /// A statement of it is sent.
-    pub fn note_write(&mut self, writes: bool) {
+    pub fn record_write(&mut self, writes: bool) {
         self.wrote |= writes;
     }
 
@@ -140,7 +140,7 @@
 
     /// Rolls it back while the client rests. The client learns of it from the
     /// answer to its next statement.
-    pub fn end_rest(&mut self) {
+    pub fn end_idle(&mut self) {
         let untold = !self.has_failed();
         self.fail();
         if untold {
@@ -236,7 +236,7 @@
     let mut last = Failure::new(ErrorKind::Overloaded);
     while now() < request.deadline {
         let server = server_of(transaction);
-        let mut steps = session.layout_steps(transaction.lease.as_mut(), work.prepared.as_ref());
+        let mut steps = session.setup_steps(transaction.lease.as_mut(), work.prepared.as_ref());
         let main = steps.len();
         let id = Some(request.id.clone());
         steps.push(Step { id, floor: None, statement: work.statement.clone() });
@@ -259,12 +259,12 @@
                 session.shard().observe_time(
                     &server,
                     took,
-                    waits::slow_from(request.route.objective),
+                    waits::slow_threshold(request.route.objective),
                 );
                 observe(session, transaction, sent_at, &server, reply.position);
                 return Ok(Served { answer, position: reply.position });
             }
-            Err(refusal) if may_try_again(&refusal, reply.state) => {
+            Err(refusal) if is_retryable(&refusal, reply.state) => {
                 session.shard().observe_busy(&server);
                 last = refusal.into();
             }
@@ -278,7 +278,7 @@
     Err(last)
 }
 
-fn may_try_again(refusal: &ServerRefusal, state: TransactionState) -> bool {
+fn is_retryable(refusal: &ServerRefusal, state: TransactionState) -> bool {
     refusal.kind == RefusalKind::Busy && state == TransactionState::Open
 }
 
@@ -339,7 +339,7 @@
             Ok(()) => return Ok(()),
             Err((failure, None)) => return Err(failure),
             Err((failure, Some(pause))) => {
-                session.try_again(&failure);
+                session.report_retry(&failure);
                 last = failure;
                 tokio::time::sleep(pause.min(request.time_left(now()))).await;
             }
@@ -358,10 +358,10 @@
     let at_replica = transaction.read_only && consistency != Consistency::Latest;
     let floor = at_replica.then(|| session.floor_for(request.arrived_at, consistency)).flatten();
     let need = match floor {
-        Some(floor) => Need::Reader { floor, shunned: None },
+        Some(floor) => Need::Reader { floor, failed_server: None },
         None => Need::Leader,
     };
-    session.trail_mut().floor = floor;
+    session.trace_mut().floor = floor;
     let lease = session.acquire(request, need, work.prepared.as_ref()).await;
     let lease = lease.map_err(|failure| (failure, None))?;
     let server = lease.server().clone();
@@ -371,7 +371,7 @@
         return Err((Failure::new(ErrorKind::NoPrimary), Some(waits::BUSY_PAUSE)));
     }
     let mut lease = Some(lease);
-    let mut steps = session.layout_steps(lease.as_mut(), work.prepared.as_ref());
+    let mut steps = session.setup_steps(lease.as_mut(), work.prepared.as_ref());
     let setup = steps.len();
     // A read-only BEGIN at the primary would not be refused after it lost the
     // lead, so without a floor a transaction that may write is begun.
@@ -476,7 +476,7 @@
                 }
                 return Ok(Served { answer, position: reply.position });
             }
-            Err(refusal) if may_try_again(&refusal, reply.state) => {
+            Err(refusal) if is_retryable(&refusal, reply.state) => {
                 session.shard().observe_busy(&server);
                 last = refusal.into();
             }
--- a/daemon/src/engine/waiting.rs
+++ b/daemon/src/engine/waiting.rs
@@ -4,18 +4,18 @@
 use std::time::Duration;
 
 use chervilwharf_lib::admission::Priority;
-use chervilwharf_lib::arrival::Arrival;
-use chervilwharf_lib::arrival::Prospect;
+use chervilwharf_lib::connection_setup::SessionValues;
 use chervilwharf_lib::error_kind::ErrorKind;
 use chervilwharf_lib::event::Event;
 use chervilwharf_lib::event::EventKind;
 use chervilwharf_lib::id::TargetId;
-use chervilwharf_lib::layout::SessionValues;
+use chervilwharf_lib::load_shedding::QueueDecision;
+use chervilwharf_lib::load_shedding::WaitForecast;
 use chervilwharf_lib::moment::Moment;
-use chervilwharf_lib::pool_share::Need;
-use chervilwharf_lib::pool_share::Owner;
+use chervilwharf_lib::server_choice::Need;
+use chervilwharf_lib::server_choice::Owner;
 use chervilwharf_lib::statement::Prepared;
-use chervilwharf_lib::wait_pace::WaitLine;
+use chervilwharf_lib::wait_estimator::SubQueue;
 use chervilwharf_lib::wait_queue::Place;
 use chervilwharf_lib::wait_queue::Rank;
 use chervilwharf_lib::wait_queue::Tier;
@@ -30,7 +30,7 @@
 
 /// What a request wants of a connection.
 #[derive(Clone, Debug)]
-pub struct Want<'a> {
+pub struct ConnectionRequest<'a> {
     /// Which servers will do.
     pub need: Need,
     /// Whose connections will do.
@@ -41,20 +41,20 @@
     pub give_up_at: Moment,
     /// Until when the request is worth more than one that comes later: served
     /// after this it misses its objective.
-    pub patient_until: Moment,
+    pub in_time_until: Moment,
     /// Values of its session, to choose a connection that has them.
     pub values: &'a SessionValues,
     /// What it is about to execute.
     pub prepared: Option<&'a Prepared>,
 }
 
-impl Want<'_> {
+impl ConnectionRequest<'_> {
     pub(super) fn rank(&self, tier: Tier) -> Rank {
         Rank { tier, priority: self.priority, deadline: self.give_up_at }
     }
 
-    fn line(&self, tier: Tier) -> WaitLine {
-        WaitLine { class: self.need.class(), tier, priority: self.priority }
+    fn line(&self, tier: Tier) -> SubQueue {
+        SubQueue { class: self.need.class(), tier, priority: self.priority }
     }
 }
 
@@ -63,18 +63,18 @@
 const LATE_RESERVE: Duration = Duration::from_millis(100);
 
 /// Until when a request waits that cannot meet its objective any more.
-fn late_until(want: &Want<'_>) -> Moment {
+fn late_until(want: &ConnectionRequest<'_>) -> Moment {
     want.give_up_at.saturating_sub(LATE_RESERVE)
 }
 
 /// A place in the queue, given up when it is dropped: a client that leaves
 /// while it waits must not stay in the way of others.
-struct WaitingPlace {
+struct QueueGuard {
     shard: Arc<Shard>,
     place: Place,
 }
 
-impl Drop for WaitingPlace {
+impl Drop for QueueGuard {
     fn drop(&mut self) {
         self.shard.lock().queue.remove(self.place);
     }
@@ -94,7 +94,7 @@
     /// # Errors
     ///
     /// When none could be had in time. Nothing was sent then.
-    pub async fn acquire(self: &Arc<Self>, want: &Want<'_>) -> Result<Lease, Failure> {
+    pub async fn acquire(self: &Arc<Self>, want: &ConnectionRequest<'_>) -> Result<Lease, Failure> {
         let began_at = now();
         if want.need == Need::Leader {
             self.want_leader();
@@ -108,16 +108,17 @@
                 drop(inner);
                 return Ok(Lease::new(self.clone(), server, connection));
             }
-            inner.admit(began_at, want, want.patient_until.saturating_sub(began_at))?
+            inner.admit(began_at, want, want.in_time_until.saturating_sub(began_at))?
         };
         if tier == Tier::InTime {
             // Without a primary that answers there is nobody to be impatient
             // with: another one will lead soon. Where only the right to use it is
             // missing, that is back at once, or another instance has to serve.
-            let (answers, lacks_right) = self
-                .with_group(|group| (group.leader_answers(began_at), group.lacks_right(began_at)));
-            let patient = answers || lacks_right;
-            let until = if patient { want.patient_until } else { want.give_up_at };
+            let (answers, lacks_primary_lease) = self.with_group(|group| {
+                (group.leader_answers(began_at), group.lacks_primary_lease(began_at))
+            });
+            let patient = answers || lacks_primary_lease;
+            let until = if patient { want.in_time_until } else { want.give_up_at };
             if let Some(lease) = self.wait(want, Tier::InTime, until).await {
                 return Ok(lease);
             }
@@ -147,7 +148,12 @@
     }
 
     /// Waits for a connection in the queue.
-    async fn wait(self: &Arc<Self>, want: &Want<'_>, tier: Tier, until: Moment) -> Option<Lease> {
+    async fn wait(
+        self: &Arc<Self>,
+        want: &ConnectionRequest<'_>,
+        tier: Tier,
+        until: Moment,
+    ) -> Option<Lease> {
         let began_at = now();
         let (grant, mut granted) = oneshot::channel();
         let (place, ahead, measures) = {
@@ -158,7 +164,7 @@
             let (need, owner) = (want.need.clone(), want.owner.clone());
             let waiter = Waiter { need, owner, since: began_at, grant };
             let place = inner.queue.push(want.rank(tier), waiter);
-            (WaitingPlace { shard: self.clone(), place }, ahead, measures)
+            (QueueGuard { shard: self.clone(), place }, ahead, measures)
         };
         self.pump();
         let wait = until.saturating_sub(began_at);
@@ -190,8 +196,13 @@
 
 impl Inner {
     /// Decides whether a request waits, and in which line, or is refused.
-    /// `patience` is how long it can wait and still meet its objective.
-    fn admit(&self, now: Moment, want: &Want<'_>, patience: Duration) -> Result<Tier, Failure> {
+    /// `max_wait` is how long it can wait and still meet its objective.
+    fn admit(
+        &self,
+        now: Moment,
+        want: &ConnectionRequest<'_>,
+        max_wait: Duration,
+    ) -> Result<Tier, Failure> {
         if want.need == Need::Leader && self.group.is_cut_off(now) {
             return Err(Failure::new(ErrorKind::CutOff));
         }
@@ -203,16 +214,16 @@
         let late_waiting = self.competitors(now, want, &servers, Tier::Late);
         let measured = |tier, ahead| self.pace.expected_wait(now, want.line(tier), ahead);
         let in_time = measured(Tier::InTime, ahead);
-        let prospect = Prospect {
+        let prospect = WaitForecast {
             in_time: in_time.or_else(|| self.computed_wait(&servers, ahead)),
             late: measured(Tier::Late, late_waiting),
             late_waiting,
-            patience,
+            max_wait,
             time_left: late_until(want).saturating_sub(now),
         };
         match prospect.decide() {
-            Arrival::Wait(tier) => Ok(tier),
-            Arrival::Refuse(after) => {
+            QueueDecision::Wait(tier) => Ok(tier),
+            QueueDecision::Refuse(after) => {
                 Err(Failure::new(ErrorKind::Overloaded).with_retry_after(after))
             }
         }
@@ -226,7 +237,13 @@
     }
 
     /// Requests that go before this one in a tier, and want one of its servers.
-    fn competitors(&self, now: Moment, want: &Want<'_>, servers: &[TargetId], tier: Tier) -> usize {
+    fn competitors(
+        &self,
+        now: Moment,
+        want: &ConnectionRequest<'_>,
+        servers: &[TargetId],
+        tier: Tier,
+    ) -> usize {
         let competes = |(rank, waiter): &(Rank, &Waiter)| {
             rank.tier == tier && servers.iter().any(|id| waiter.need.accepts(&self.group, now, id))
         };
--- a/daemon/src/forward.rs
+++ b/daemon/src/forward.rs
@@ -32,7 +32,7 @@
 use crate::dispatch;
 use crate::inquiry;
 use crate::link::LinkError;
-use crate::owner::EXPECTED_GAP;
+use crate::owner::EXPECTED_FAILOVER_TIME;
 
 /// Longest delay before a retry with a new lookup of the owner.
 const RETRY_INTERVAL: Duration = Duration::from_millis(10);
@@ -68,7 +68,7 @@
 fn find_owner(context: &Shared, database: &str) -> Owner {
     let owned_locally = context
         .databases
-        .with_database(database, |state| state.ownership.is_engaged())
+        .with_database(database, |state| state.ownership.owns_or_is_taking())
         .unwrap_or(false);
     if owned_locally {
         return Owner::Local;
@@ -167,7 +167,7 @@
         // Without an owner for longer than a failover takes, the client gets the
         // failure now instead of at its deadline.
         let failover_overdue =
-            now.saturating_duration_since(started_at) >= EXPECTED_GAP && !maybe_running;
+            now.saturating_duration_since(started_at) >= EXPECTED_FAILOVER_TIME && !maybe_running;
         if deadline_near || failover_overdue {
             return Err(final_failure(&submit, last_failure, maybe_running));
         }
--- a/daemon/src/link_server.rs
+++ b/daemon/src/link_server.rs
@@ -193,7 +193,7 @@
     while tokio::time::Instant::now() < deadline {
         let changed = context.databases.changed.notified();
         let serving = context.databases.with_database(&offer.database, |state| {
-            (state.ownership.serving().is_some(), state.ownership.is_engaged())
+            (state.ownership.serving().is_some(), state.ownership.owns_or_is_taking())
         });
         match serving {
             Some((true, _)) => {
--- a/daemon/src/owner.rs
+++ b/daemon/src/owner.rs
@@ -98,7 +98,7 @@
 
 /// A request waits this long for a primary. Beyond the expected length of a
 /// failover it is refused at once, with a hint when to come back.
-pub const EXPECTED_GAP: Duration = Duration::from_secs(3);
+pub const EXPECTED_FAILOVER_TIME: Duration = Duration::from_secs(3);
 
 /// How often a wait looks again even when nothing was announced.
 const LOOK_AGAIN: Duration = Duration::from_millis(20);
@@ -133,7 +133,7 @@
             Entrance::Wait => {}
         }
         let now = Instant::now();
-        if now >= deadline || now.saturating_duration_since(began) >= EXPECTED_GAP {
+        if now >= deadline || now.saturating_duration_since(began) >= EXPECTED_FAILOVER_TIME {
             return Err(failure(ErrorKind::NoPrimary));
         }
         let _ = tokio::time::timeout(LOOK_AGAIN, changed).await;
@@ -148,7 +148,7 @@
 ) -> Entrance {
     let entrance = context.databases.with_database(database, |state| {
         state.ownership.requested(Instant::now());
-        if !state.ownership.is_engaged() {
+        if !state.ownership.owns_or_is_taking() {
             return Entrance::NotOurs;
         }
         let shut = match state.gate {
@@ -337,7 +337,7 @@
             context.databases.handle_ownership(database, OwnershipEvent::Tick);
         }
         if now >= deadline {
-            return Err(failure_after(ErrorKind::NoPrimary, EXPECTED_GAP));
+            return Err(failure_after(ErrorKind::NoPrimary, EXPECTED_FAILOVER_TIME));
         }
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
--- a/daemon/src/target.rs
+++ b/daemon/src/target.rs
@@ -187,7 +187,7 @@
         follows: text_value(&values, 3).map(Into::into),
         received: Position::new(number(4)?, number(5)?),
         applied: Position::new(number(6)?, number(7)?),
-        primary_heard: number(8).map(Duration::from_millis),
+        since_primary_contact: number(8).map(Duration::from_millis),
     })
 }
 
--- a/daemon/tests/test_duty.rs
+++ b/daemon/tests/test_duty.rs
@@ -17,7 +17,7 @@
 use chervilwharf_daemon::engine::directory::RecordKind;
 use chervilwharf_daemon::engine::directory::Revision;
 use chervilwharf_daemon::engine::directory::WriteError;
-use chervilwharf_daemon::engine::duty_control::DutyBook;
+use chervilwharf_daemon::engine::duty_control::DutyTable;
 use chervilwharf_daemon::engine::duty_control::OrderChange;
 use chervilwharf_daemon::engine::duty_control::claim;
 use chervilwharf_daemon::engine::shared::Engine;
@@ -26,7 +26,7 @@
 use chervilwharf_lib::duty::first_token;
 use chervilwharf_lib::duty::is_token_of_era;
 use chervilwharf_lib::engine_protos::TermEnd;
-use chervilwharf_lib::primary_right::Ending;
+use chervilwharf_lib::primary_lease::Ending;
 use stubs::NoServer;
 use stubs::instance;
 
@@ -87,7 +87,7 @@
 }
 
 #[tokio::test]
-async fn test_order_of_another_instance_is_not_overwritten_by_one_that_acts_on_older_news() {
+async fn test_order_of_another_instance_is_not_overwritten_after_a_decision_on_outdated_state() {
     // Symptom: two servers are promoted one after the other, and what was
     // committed at the first is lost.
     // Sequence: this instance decides to replace a primary, or to take its order
@@ -123,8 +123,8 @@
 /// Guards against an order, unsettled still, that is forgotten since the copy of the
 /// store does not have it.
 #[test]
-fn test_order_that_a_copy_lacks_stays_known() {
-    let mut duties = DutyBook::default();
+fn test_order_that_a_restored_store_lacks_stays_known() {
+    let mut duties = DutyTable::default();
     duties.learn(Revision::new(1, 50), duty_of("a", 7, Some(order("theirs"))));
     assert!(duties.learn(Revision::new(2, 40), duty_of("b", 5, None)));
     let known = duties.record(&"db".into()).unwrap();
@@ -139,8 +139,8 @@
 /// Guards against an order that was promised to another instance and whose record was
 /// never read here.
 #[test]
-fn test_promised_order_that_a_copy_lacks_is_known() {
-    let mut duties = DutyBook::default();
+fn test_promised_order_that_a_restored_store_lacks_is_known() {
+    let mut duties = DutyTable::default();
     let ending = Ending {
         term: 1,
         token: 7,
@@ -162,13 +162,13 @@
 /// An engine in a fleet of its own, in an era of the store, that votes.
 fn engine_in(era: u64, votes: bool) -> Engine {
     let engine = Engine::new(instance("me"), Arc::new(NoServer));
-    engine.take_instances(vec![instance("me")]);
+    engine.apply_instance_list(vec![instance("me")]);
     engine.note_store_era(era, "the test");
     let shard = engine.shard(&"db".into());
     if votes {
         shard.with_group(|group| {
-            group.right_mut().set_voters(&"me".into(), &["me".into()]);
-            group.right_mut().knows_orders();
+            group.primary_lease_mut().set_voters(&"me".into(), &["me".into()]);
+            group.primary_lease_mut().orders_known();
         });
     }
     engine
@@ -181,7 +181,7 @@
 
 /// Guards against a token that was given out before in the lost history.
 #[tokio::test]
-async fn test_duty_taken_after_a_copy_has_a_token_of_its_era() {
+async fn test_duty_taken_after_a_restore_has_a_token_of_its_era() {
     let (engine, directory) = (engine_in(2, true), store_in(2, 4));
     let claimed = claim(&engine, &directory, &"db".into(), OrderChange::Keep, 4).await.unwrap();
     assert!(is_token_of_era(claimed.duty.token, 2));
@@ -190,7 +190,7 @@
 
 /// Guards against a duty taken after a copy by one that cannot know what the copy lacks.
 #[tokio::test]
-async fn test_duty_is_not_taken_after_a_copy_without_the_word_of_most_voters() {
+async fn test_duty_is_not_taken_after_a_restore_without_reports_of_most_voters() {
     let (engine, directory) = (engine_in(2, false), store_in(2, 4));
     assert!(claim(&engine, &directory, &"db".into(), OrderChange::Keep, 4).await.is_none());
     assert_eq!(directory.duty().token, 4);
--- a/daemon/tests/test_event_log.rs
+++ b/daemon/tests/test_event_log.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn test_output_that_nobody_reads_delays_nobody() {
+fn test_blocked_log_output_does_not_delay_callers() {
     // Symptom: all requests of an instance hang.
     // Sequence: the collector of logs stops reading standard output.
     // Cause: a request waits until its line is written.
--- a/daemon/tests/test_follow.rs
+++ b/daemon/tests/test_follow.rs
@@ -17,7 +17,7 @@
 use chervilwharf_daemon::engine::directory::RecordKind;
 use chervilwharf_daemon::engine::directory::Revision;
 use chervilwharf_daemon::engine::follow::Follower;
-use chervilwharf_daemon::engine::follow::OTHERS_LISTED;
+use chervilwharf_daemon::engine::follow::PEER_LISTING_TIME;
 use chervilwharf_daemon::engine::follow::StoreState;
 use chervilwharf_daemon::engine::follow::follow;
 use chervilwharf_daemon::engine::server_control::ServerFollower;
@@ -82,7 +82,7 @@
 }
 
 #[tokio::test]
-async fn test_forgotten_history_does_not_make_a_flood_of_lists() {
+async fn test_dropped_history_does_not_cause_repeated_listings() {
     // Symptom: 11,000 calls to the store on a day, most of them in seconds.
     // Sequence: the store forgets its history while its old answers are
     // behind; an instance that takes old answers lists again.
@@ -110,7 +110,7 @@
 
 impl ServersRegister {
     fn revision(&self) -> u64 {
-        let watched_for = self.began_at.elapsed().saturating_sub(OTHERS_LISTED);
+        let watched_for = self.began_at.elapsed().saturating_sub(PEER_LISTING_TIME);
         let passed = watched_for.as_millis() / BETWEEN_CHANGES.as_millis();
         u64::try_from(passed).expect("a short time").min(REGISTERING) + 1
     }
@@ -281,7 +281,7 @@
 /// silent, an instance starts, the store comes back. Cause: calls that the store
 /// had received while it was silent were waited for to their end.
 #[tokio::test(start_paused = true)]
-async fn test_start_does_not_wait_for_calls_that_a_silent_store_received() {
+async fn test_start_does_not_wait_for_calls_that_an_unresponsive_store_received() {
     for outage_ms in [100, 450, 900, 1_300, 1_950, 2_600] {
         let ends_at = tokio::time::Instant::now() + Duration::from_millis(outage_ms);
         let store = Arc::new(Silent {
@@ -345,7 +345,7 @@
 /// is called again. Cause: there was no limit to the calls under way, and each makes
 /// the others slower.
 #[tokio::test(start_paused = true)]
-async fn test_first_lists_over_a_slow_link_are_not_called_without_end() {
+async fn test_first_listings_over_a_slow_link_are_not_requested_without_limit() {
     let store = Arc::new(SlowLink {
         under_way: AtomicUsize::new(0),
         lists: AtomicUsize::new(0),
@@ -451,7 +451,7 @@
 /// Guards against an answer that is seconds old, of before the store came back from a
 /// copy, that takes the place of what is known since.
 #[tokio::test(start_paused = true)]
-async fn test_list_of_an_earlier_era_than_others_told_is_not_taken() {
+async fn test_listing_of_an_earlier_era_than_the_latest_known_is_not_applied() {
     let store = ComesBack::new(&[(1, 20), (1, 20), (2, 25)], (2, 25));
     let era = Arc::new(StoreEra::default());
     era.note(2, "another instance");
@@ -465,7 +465,7 @@
 /// Guards against a watch that waits for its end, up to 15 s, while other instances
 /// know that the store came back from a copy.
 #[tokio::test(start_paused = true)]
-async fn test_watch_ends_when_another_instance_tells_of_a_later_era() {
+async fn test_watch_ends_when_another_instance_reports_a_later_era() {
     let store = ComesBack::new(&[(1, 20), (2, 25)], (1, 20));
     let era = Arc::new(StoreEra::default());
     let follower = Counting(Arc::default());
--- a/daemon/tests/test_guest.rs
+++ b/daemon/tests/test_forwarded_session.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use chervilwharf_daemon::engine::guest::GuestSession;
-use chervilwharf_daemon::engine::peers::Guest;
+use chervilwharf_daemon::engine::forwarded_session::ForwardedSession;
+use chervilwharf_daemon::engine::peers::ForwardedStatementHandler;
 use chervilwharf_daemon::engine::records;
 use chervilwharf_daemon::engine::shared::Engine;
 use chervilwharf_lib::catalog::Consistency;
@@ -54,7 +54,7 @@
         (no_work, ErrorKind::BadStatement),
     ];
     for (statement, kind) in refused {
-        let reply = GuestSession::new(engine.clone()).run(statement).await;
+        let reply = ForwardedSession::new(engine.clone()).run(statement).await;
         assert_eq!(reply.error, kind.name());
         assert_eq!((reply.floor_term, reply.floor_index), (3, 1_207), "{kind}");
     }
--- a/daemon/tests/test_holding_ends.rs
+++ b/daemon/tests/test_holding_ends.rs
@@ -36,14 +36,14 @@
     let read = Statement::Read { item: "1".into() };
     world.shared.expect("r", None, session.values());
     session.run("r".into(), read).await.result.expect("it is served");
-    engine.take_instances(others());
-    engine.share_connections();
+    engine.apply_instance_list(others());
+    engine.recompute_assignments();
     assert!(!engine.is_holder(&group), "others hold it now");
     let in_use: Vec<_> = engine.used_shards().iter().map(|shard| shard.id().clone()).collect();
     assert_eq!(in_use, vec![group.clone()]);
     let voters = engine.voters(&group);
     let shard = engine.shard(&group);
-    assert!(shard.with_group(|group| group.right().has_voters(&engine.me().id, &voters)));
+    assert!(shard.with_group(|group| group.primary_lease().has_voters(&engine.me().id, &voters)));
     // Once it is over, the group is others' business.
     session.run("e".into(), Statement::Rollback).await.result.expect("rolled back");
     assert_eq!(session.state(), TransactionState::Idle);
--- a/daemon/tests/test_metrics.rs
+++ b/daemon/tests/test_metrics.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn test_accounts_have_counters_up_to_a_number() {
+fn test_number_of_accounts_with_own_counters_is_limited() {
     let engine = Engine::new(instance("instance"), Arc::new(NoServer));
     for number in 0..300 {
         let account = format!("account{number}").into();
--- a/daemon/tests/test_probe.rs
+++ b/daemon/tests/test_probe.rs
@@ -5,10 +5,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use chervilwharf_daemon::engine::border::Connector;
 use chervilwharf_daemon::engine::clock::now;
 use chervilwharf_daemon::engine::probe::Probed;
 use chervilwharf_daemon::engine::probe::probe;
+use chervilwharf_daemon::engine::server_connection::Connector;
 use chervilwharf_daemon::engine::shard::Shard;
 use chervilwharf_lib::id::TargetId;
 use stubs::Full;
@@ -33,7 +33,7 @@
 }
 
 #[tokio::test]
-async fn test_server_that_answers_statements_is_busy_though_it_greets_nobody() {
+async fn test_server_that_answers_statements_but_no_new_connection_is_busy() {
     // Symptom: a loaded primary looks dead, and its instances ask it again and
     // again on new connections, which take the slots that statements wait for.
     // Sequence: all its slots are taken; it answers statements, but no new
--- a/daemon/tests/test_session_values.rs
+++ b/daemon/tests/test_session_values.rs
@@ -9,13 +9,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use chervilwharf_daemon::engine::guest::GuestSession;
-use chervilwharf_daemon::engine::peers::Guest;
+use chervilwharf_daemon::engine::forwarded_session::ForwardedSession;
+use chervilwharf_daemon::engine::peers::ForwardedStatementHandler;
 use chervilwharf_daemon::engine::records;
 use chervilwharf_daemon::engine::session::Reply;
 use chervilwharf_daemon::engine::session::Session;
 use chervilwharf_daemon::engine::shard::ConnectionCounts;
 use chervilwharf_lib::account::KeyDigest;
+use chervilwharf_lib::connection_setup::SessionValues;
 use chervilwharf_lib::engine_protos;
 use chervilwharf_lib::engine_protos::Execution;
 use chervilwharf_lib::engine_protos::SessionValue;
@@ -23,7 +24,6 @@
 use chervilwharf_lib::engine_protos::statement::Work;
 use chervilwharf_lib::error_kind::ErrorKind;
 use chervilwharf_lib::id::AccountId;
-use chervilwharf_lib::layout::SessionValues;
 use chervilwharf_lib::statement::Statement;
 use chervilwharf_lib::statement::TransactionState;
 use futures::poll;
@@ -86,7 +86,7 @@
         }
         waiting.await.result.expect("the server leads again");
     }
-    let violations = world.shared.with_ledger(|ledger| ledger.violations.clone());
+    let violations = world.shared.with_checker(|ledger| ledger.violations.clone());
     assert!(violations.is_empty(), "{violations:?}");
 }
 
@@ -115,7 +115,7 @@
 /// statements on.
 enum Client {
     Here(Session, Option<AccountId>, SessionValues),
-    There(GuestSession, Option<AccountId>, SessionValues),
+    There(ForwardedSession, Option<AccountId>, SessionValues),
 }
 
 impl Client {
@@ -127,7 +127,7 @@
         let key = account;
         let account = has_accounts.then(|| account.into());
         if rng.random_bool(0.5) {
-            return Self::There(GuestSession::new(world.engine.clone()), account, values);
+            return Self::There(ForwardedSession::new(world.engine.clone()), account, values);
         }
         let (session, values) = session(world, key, &values["zone"]).await;
         Self::Here(session, account, values)
@@ -147,11 +147,11 @@
                 operate_here(&mut session, &id, kind).await;
                 Self::Here(session, account, values)
             }
-            Self::There(mut guest, account, values) => {
+            Self::There(mut forwarded_session, account, values) => {
                 let id = format!("{key}");
                 shared.expect(&id, account.as_ref(), &values);
-                operate_there(&mut guest, &id, kind, account.as_ref(), &values).await;
-                Self::There(guest, account, values)
+                operate_there(&mut forwarded_session, &id, kind, account.as_ref(), &values).await;
+                Self::There(forwarded_session, account, values)
             }
         }
     }
@@ -171,7 +171,7 @@
 }
 
 async fn operate_there(
-    guest: &mut GuestSession,
+    forwarded_session: &mut ForwardedSession,
     id: &str,
     kind: u32,
     account: Option<&AccountId>,
@@ -199,7 +199,7 @@
         configuration_version: 2,
         ..engine_protos::Statement::default()
     };
-    let reply = guest.run(statement.clone()).await;
+    let reply = forwarded_session.run(statement.clone()).await;
     if reply.in_transaction && kind == 3 {
         let commit = engine_protos::Statement {
             begin: Begin::No.into(),
@@ -207,7 +207,7 @@
             work: Some(Work::Commit(true)),
             ..statement
         };
-        let _committed = guest.run(commit).await;
+        let _committed = forwarded_session.run(commit).await;
     }
 }
 
@@ -268,7 +268,7 @@
             tokio::time::sleep(Duration::from_millis(16)).await;
         }
     }
-    world.shared.with_ledger(|ledger| (ledger.ran, std::mem::take(&mut ledger.violations)))
+    world.shared.with_checker(|ledger| (ledger.ran, std::mem::take(&mut ledger.violations)))
 }
 
 #[tokio::test]
@@ -319,7 +319,7 @@
     let begun = Session::begin(world.engine.clone(), start("app", "a")).await;
     assert_eq!(begun.err().map(|failure| failure.kind), Some(ErrorKind::UnknownKey));
     let (ran, violations) =
-        world.shared.with_ledger(|ledger| (ledger.ran, std::mem::take(&mut ledger.violations)));
+        world.shared.with_checker(|ledger| (ledger.ran, std::mem::take(&mut ledger.violations)));
     assert_eq!((ran, violations), (2, Vec::new()));
 }
 
@@ -344,13 +344,13 @@
     for name in ["a", "b", "c"] {
         world.shared.expect(name, Some(&name.into()), &SessionValues::new());
     }
-    let mut guest = GuestSession::new(world.engine.clone());
-    let reply = guest.run(statement("a", 2)).await;
+    let mut forwarded_session = ForwardedSession::new(world.engine.clone());
+    let reply = forwarded_session.run(statement("a", 2)).await;
     assert_eq!(reply.error, ErrorKind::UnknownKey.name());
-    assert_eq!(guest.run(statement("b", 2)).await.error, "");
+    assert_eq!(forwarded_session.run(statement("b", 2)).await.error, "");
     // A sender with a newer configuration knows accounts that are new.
-    assert_eq!(guest.run(statement("c", 9)).await.error, "");
-    let violations = world.shared.with_ledger(|ledger| ledger.violations.clone());
+    assert_eq!(forwarded_session.run(statement("c", 9)).await.error, "");
+    let violations = world.shared.with_checker(|ledger| ledger.violations.clone());
     assert!(violations.is_empty(), "{violations:?}");
 }
 
@@ -360,7 +360,7 @@
 /// Guards against connections that went silent together and take one statement after
 /// the other.
 #[tokio::test]
-async fn test_idle_connections_are_closed_when_one_went_silent() {
+async fn test_idle_connections_are_closed_when_one_stops_responding() {
     let world = ValuesWorld::new(OPEN, true).await;
     let mut sessions = Vec::new();
     for number in 0..OPEN {
--- a/daemon/tests/test_silent_store.rs
+++ b/daemon/tests/test_silent_store.rs
@@ -162,7 +162,7 @@
 /// Guards against a watch that the store swallowed and that holds up what is told
 /// after the store is back, and against a retry that is swallowed as well.
 #[tokio::test(start_paused = true)]
-async fn test_configuration_is_in_force_in_time_after_a_silence_of_any_length() {
+async fn test_configuration_is_in_force_in_time_after_an_outage_of_any_length() {
     let silences: Vec<_> = [100, 500, 900, 1_500, 2_500, 3_300, 4_500, 5_600, 8_000]
         .map(|lasts_ms| Silence::Store(Duration::from_millis(lasts_ms)))
         .into();
@@ -173,7 +173,7 @@
 /// Guards against a watch on a connection that went silent without a reset, while the
 /// store answers on others.
 #[tokio::test(start_paused = true)]
-async fn test_configuration_is_in_force_in_time_after_open_connections_went_silent() {
+async fn test_configuration_is_in_force_in_time_after_open_connections_stop_answering() {
     let late = late(&[Silence::CallsUnderWay], &[100, 1_000]).await;
     assert!(late.is_empty(), "{} late: {:#?}", late.len(), &late[..late.len().min(5)]);
 }
--- a/daemon/tests/test_start.rs
+++ b/daemon/tests/test_start.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use chervilwharf_daemon::engine::shared::Engine;
-use chervilwharf_daemon::engine::shared::STORE_FIRST;
+use chervilwharf_daemon::engine::shared::PEER_FALLBACK_DELAY;
 use chervilwharf_lib::catalog::Catalog;
 use chervilwharf_lib::catalog::GroupSettings;
 use chervilwharf_lib::engine_protos::DirectoryPull;
@@ -40,15 +40,15 @@
 /// before the list of instances. Cause: it took itself for the only one, and so
 /// for a holder of the connections to every group.
 #[tokio::test]
-async fn test_instance_holds_nothing_before_it_knows_the_others() {
+async fn test_instance_holds_no_group_before_it_knows_the_other_instances() {
     let (me, group) = (record(40), GroupId::from("db"));
     let engine = engine(me.clone());
-    engine.share_connections();
+    engine.recompute_assignments();
     assert!(!engine.is_holder(&group));
     assert!(engine.held_shards().is_empty());
     assert!(!engine.wait_until_prepared(Duration::ZERO).await);
     let others = (1..=72).filter(|number| *number != 40).map(record);
-    engine.take_instances(others.collect());
+    engine.apply_instance_list(others.collect());
     let holders = engine.holders(&group);
     assert!(!holders.is_empty() && holders.len() < 10);
     assert_eq!(engine.is_holder(&group), holders.contains(&me));
@@ -57,9 +57,9 @@
 
 /// Without a store and without others an instance serves alone.
 #[tokio::test]
-async fn test_instance_that_hears_of_nobody_holds_everything() {
+async fn test_instance_without_peers_holds_every_group() {
     let engine = engine(record(1));
-    engine.know_fleet();
+    engine.set_fleet_known();
     assert!(engine.is_holder(&"db".into()));
     assert!(engine.wait_until_prepared(Duration::ZERO).await);
 }
@@ -71,17 +71,17 @@
 /// Cause: it took that for the whole fleet, itself for a holder of every group, and
 /// asked no more.
 #[tokio::test]
-async fn test_instance_that_was_told_of_nobody_tells_of_nobody() {
+async fn test_instance_without_a_listed_fleet_reports_no_instances() {
     let alone = engine(record(1));
-    alone.know_fleet();
+    alone.set_fleet_known();
     let told = alone.directory_state(DirectoryPull::default());
     assert!(told.instances.is_empty(), "{:?}", told.instances);
     let asks = engine(record(2));
-    asks.take_directory(told);
+    asks.apply_directory_state(told);
     assert!(!asks.is_fleet_known());
     let knows = engine(record(3));
-    knows.take_instances((1..=72).map(record).collect());
-    asks.take_directory(knows.directory_state(DirectoryPull::default()));
+    knows.apply_instance_list((1..=72).map(record).collect());
+    asks.apply_directory_state(knows.directory_state(DirectoryPull::default()));
     assert!(asks.is_fleet_listed());
     assert!(asks.holders(&"db".into()).len() < 10);
 }
@@ -89,26 +89,26 @@
 /// An instance that lacks the records, and was told nothing by the store, asks one
 /// that watches it to tell them, and not all of them at once.
 #[tokio::test]
-async fn test_instance_without_records_invites_one_to_tell_them() {
+async fn test_instance_without_records_requests_them_from_one_peer() {
     let started = engine(record(2));
     let asked = || started.heartbeat_reply(&Heartbeat::default()).lacks_records;
     assert!(!asked(), "the store comes first");
-    tokio::time::sleep(STORE_FIRST).await;
+    tokio::time::sleep(PEER_FALLBACK_DELAY).await;
     assert!(asked());
     assert!(!asked(), "another one was asked just now");
     let knows = engine(record(3));
-    knows.take_instances((1..=72).map(record).collect());
+    knows.apply_instance_list((1..=72).map(record).collect());
     knows.update_servers(|list| list.advance(Revision::new(0, 7)));
-    started.take_directory(knows.directory_state(DirectoryPull::default()));
-    assert!(!started.invites_records());
+    started.apply_directory_state(knows.directory_state(DirectoryPull::default()));
+    assert!(!started.take_records_request());
 }
 
 /// Symptom: instances that start over slow links take seconds. Sequence: the store
 /// answers, and its lists take a while. Cause: others sent the same over that link.
 #[tokio::test]
-async fn test_instance_that_the_store_answers_invites_nobody() {
+async fn test_instance_with_a_responding_store_requests_no_records_from_peers() {
     let started = engine(record(2));
-    tokio::time::sleep(STORE_FIRST).await;
+    tokio::time::sleep(PEER_FALLBACK_DELAY).await;
     started.note_store_answered();
     assert!(!started.heartbeat_reply(&Heartbeat::default()).lacks_records);
 }
--- a/daemon/tests/test_store_lines.rs
+++ b/daemon/tests/test_store_lines.rs
@@ -20,8 +20,8 @@
 use chervilwharf_daemon::engine::shared::Engine;
 use chervilwharf_lib::account::KeyDigest;
 use chervilwharf_lib::catalog::Catalog;
-use chervilwharf_lib::story::LogLine;
-use chervilwharf_lib::story::parse_line;
+use chervilwharf_lib::explanation::LogLine;
+use chervilwharf_lib::explanation::parse_line;
 use stubs::ListsOnly;
 use stubs::NoServer;
 use stubs::ReadOnly;
@@ -58,12 +58,12 @@
 /// Guards against a refused session that cannot be traced: neither to its client, nor
 /// to a call to the store that got no answer.
 #[tokio::test]
-async fn test_lines_lead_from_a_refused_session_to_a_call_without_an_answer() {
+async fn test_log_lines_lead_from_a_refused_session_to_an_unanswered_call() {
     let kept = Kept::default();
     event_log::start_with("a".into(), Box::new(kept.clone())).unwrap();
     let engine = Arc::new(Engine::new(stubs::instance("a"), Arc::new(NoServer)));
     engine.set_catalog(&Arc::new(Catalog { version: 7, ..Catalog::default() }));
-    engine.know_fleet();
+    engine.set_fleet_known();
     let store = ReadOnly::new(&Arc::new(ListsOnly(DirectoryError::Silent)));
     let directory = CountedDirectory::new(store, engine.metrics().store.clone());
     let kind = RecordKind::Configuration;
--- a/daemon/tests/test_waiting.rs
+++ b/daemon/tests/test_waiting.rs
@@ -9,11 +9,11 @@
 use chervilwharf_daemon::engine::clock::now;
 use chervilwharf_daemon::engine::request::Failure;
 use chervilwharf_daemon::engine::shard::Shard;
-use chervilwharf_daemon::engine::waiting::Want;
+use chervilwharf_daemon::engine::waiting::ConnectionRequest;
+use chervilwharf_lib::connection_setup::SessionValues;
 use chervilwharf_lib::error_kind::ErrorKind;
-use chervilwharf_lib::layout::SessionValues;
-use chervilwharf_lib::pool_share::Need;
-use chervilwharf_lib::pool_share::Owner;
+use chervilwharf_lib::server_choice::Need;
+use chervilwharf_lib::server_choice::Owner;
 use futures::future::join_all;
 use stubs::NoServer;
 use stubs::shard_with_primary;
@@ -28,14 +28,14 @@
 }
 
 /// Waits for the primary, and tells why it was not had.
-async fn failure(shard: &Arc<Shard>, patience: Duration) -> Failure {
+async fn failure(shard: &Arc<Shard>, max_wait: Duration) -> Failure {
     let values = SessionValues::new();
-    let want = Want {
+    let want = ConnectionRequest {
         owner: Owner::Account(None),
         need: Need::Leader,
         priority: 1,
-        give_up_at: now() + patience,
-        patient_until: now() + patience,
+        give_up_at: now() + max_wait,
+        in_time_until: now() + max_wait,
         values: &values,
         prepared: None,
     };
@@ -55,8 +55,8 @@
     let shard = shard_with_silent_primary();
     let waited_for_nothing = Failure::new(ErrorKind::Overloaded);
     for (requests, patience_ms) in [(3, 300), (6, 150)] {
-        let patience = Duration::from_millis(patience_ms);
-        let failures = join_all((0..requests).map(|_| failure(&shard, patience))).await;
+        let max_wait = Duration::from_millis(patience_ms);
+        let failures = join_all((0..requests).map(|_| failure(&shard, max_wait))).await;
         // Refused at arrival they would be told how long the queue is.
         assert_eq!(failures, vec![waited_for_nothing.clone(); requests]);
     }
--- a/daemon/tests/values_world/mod.rs
+++ b/daemon/tests/values_world/mod.rs
@@ -12,12 +12,12 @@
 use std::time::Duration;
 
 use async_trait::async_trait;
-use chervilwharf_daemon::engine::border::ConnectError;
-use chervilwharf_daemon::engine::border::Connector;
-use chervilwharf_daemon::engine::border::ExchangeError;
-use chervilwharf_daemon::engine::border::ServerConnection;
-use chervilwharf_daemon::engine::border::Step;
-use chervilwharf_daemon::engine::border::StepReply;
+use chervilwharf_daemon::engine::server_connection::ConnectError;
+use chervilwharf_daemon::engine::server_connection::Connector;
+use chervilwharf_daemon::engine::server_connection::ExchangeError;
+use chervilwharf_daemon::engine::server_connection::ServerConnection;
+use chervilwharf_daemon::engine::server_connection::Step;
+use chervilwharf_daemon::engine::server_connection::StepReply;
 use chervilwharf_daemon::engine::session::SessionStart;
 use chervilwharf_daemon::engine::shared::Engine;
 use chervilwharf_lib::account::Account;
@@ -27,13 +27,13 @@
 use chervilwharf_lib::catalog::Consistency;
 use chervilwharf_lib::catalog::GroupSettings;
 use chervilwharf_lib::catalog::Route;
+use chervilwharf_lib::connection_setup::SessionValues;
 use chervilwharf_lib::engine_protos::PrimaryNews;
 use chervilwharf_lib::engine_protos::TermEnd;
 use chervilwharf_lib::group::ServerInfo;
 use chervilwharf_lib::group::ServerStatus;
 use chervilwharf_lib::id::AccountId;
 use chervilwharf_lib::id::GroupId;
-use chervilwharf_lib::layout::SessionValues;
 use chervilwharf_lib::position::Position;
 use chervilwharf_lib::revision::Revision;
 use chervilwharf_lib::server_refusal::RefusalKind;
@@ -85,7 +85,7 @@
 
 /// What the checker knows.
 #[derive(Default)]
-pub struct Ledger {
+pub struct CheckerState {
     /// How each statement has to run.
     expected: HashMap<Arc<str>, Expected>,
     /// How the next exchanges go; answered when there is none.
@@ -99,7 +99,7 @@
 /// What test and server share.
 #[derive(Default)]
 pub struct Shared {
-    ledger: Mutex<Ledger>,
+    ledger: Mutex<CheckerState>,
     /// Exchanges may only end while there are permits, if this is set.
     gate: Option<Semaphore>,
     position: AtomicU64,
@@ -107,7 +107,7 @@
 
 impl Shared {
     /// Reads or updates what the checker knows.
-    pub fn with_ledger<R>(&self, f: impl FnOnce(&mut Ledger) -> R) -> R {
+    pub fn with_checker<R>(&self, f: impl FnOnce(&mut CheckerState) -> R) -> R {
         f(&mut self.ledger.lock().expect("never poisoned"))
     }
 
@@ -121,12 +121,12 @@
     /// A client is about to run a statement like this.
     pub fn expect(&self, id: &str, account: Option<&AccountId>, values: &SessionValues) {
         let expected = Expected { account: account.cloned(), values: values.clone() };
-        self.with_ledger(|ledger| ledger.expected.insert(id.into(), expected));
+        self.with_checker(|ledger| ledger.expected.insert(id.into(), expected));
     }
 
     /// The exchange after those already set goes like this.
     pub fn next_exchange(&self, exchange: Exchange) {
-        self.with_ledger(|ledger| ledger.script.push(exchange));
+        self.with_checker(|ledger| ledger.script.push(exchange));
     }
 }
 
@@ -165,7 +165,7 @@
     fn check(&self, id: &str, statement: &Statement) {
         let unprepared =
             matches!(statement, Statement::Execute { name, .. } if !self.prepared.contains(name));
-        self.shared.with_ledger(|ledger| {
+        self.shared.with_checker(|ledger| {
             ledger.ran += 1;
             let expected = ledger.expected.get(id);
             let found = Expected { account: self.account.clone(), values: self.values.clone() };
@@ -211,7 +211,7 @@
 #[async_trait]
 impl ServerConnection for ValuesConnection {
     async fn run(&mut self, steps: &[Step]) -> Result<Vec<StepReply>, ExchangeError> {
-        let how = self.shared.with_ledger(|ledger| {
+        let how = self.shared.with_checker(|ledger| {
             let how = ledger.script.first().copied().unwrap_or(Exchange::Answered);
             ledger.script.drain(..ledger.script.len().min(1));
             how
@@ -280,9 +280,9 @@
         });
         let me = instance("one");
         let engine = Arc::new(Engine::new(me, Arc::new(ValuesServer(shared.clone()))));
-        engine.set_knows_orders();
+        engine.set_orders_known();
         engine.set_registered();
-        engine.know_fleet();
+        engine.set_fleet_known();
         // Two are kept back for probes.
         let settings = GroupSettings { max_connections: connections + 2, sync_replicas: 0 };
         let route = route();
--- a/lib/src/admission.rs
+++ b/lib/src/admission.rs
@@ -96,7 +96,7 @@
     /// For a statement of an open transaction: those in the slots may wait
     /// for its locks, and if it had to wait for a slot in turn, all of them
     /// would stand still until their deadlines.
-    pub fn overdraw(&mut self) {
+    pub fn acquire_unconditionally(&mut self) {
         self.in_use += 1;
     }
 
--- a/lib/src/concurrency.rs
+++ b/lib/src/concurrency.rs
@@ -60,9 +60,15 @@
     }
 
     /// A statement took `took` at the server while `running` others were there.
-    /// `slow_from` is the time from which on it is a sign of a queue.
-    pub fn answered(&mut self, now: Moment, running: usize, took: Duration, slow_from: Duration) {
-        if took >= slow_from {
+    /// `slow_threshold` is the time from which on it is a sign of a queue.
+    pub fn answered(
+        &mut self,
+        now: Moment,
+        running: usize,
+        took: Duration,
+        slow_threshold: Duration,
+    ) {
+        if took >= slow_threshold {
             self.cut(now, SLOW_FACTOR);
         } else if !self.allows(running + 1) {
             self.limit = (self.limit + RISE / self.limit).min(MOST);
--- a/lib/src/connection_budget.rs
+++ b/lib/src/connection_budget.rs
@@ -6,7 +6,7 @@
 
 /// Connections of each server that no instance counts as its own: room for
 /// probes, and for instances whose last numbers are not known everywhere yet.
-pub const RESERVE: usize = 2;
+pub const RESERVED_CONNECTIONS: usize = 2;
 
 /// Least demand that an instance is counted with, so that one which was idle
 /// can begin without waiting for the others to hear of it.
@@ -26,7 +26,7 @@
 #[must_use]
 pub fn budget(max_connections: usize, own_demand: f64, demand_of_others: &[f64]) -> usize {
     let instances = demand_of_others.len() + 1;
-    let shared = max_connections.saturating_sub(RESERVE);
+    let shared = max_connections.saturating_sub(RESERVED_CONNECTIONS);
     let divided = shared.saturating_sub(instances);
     let own = own_demand.max(LEAST_DEMAND);
     let others: f64 = demand_of_others.iter().map(|demand| demand.max(LEAST_DEMAND)).sum();
@@ -46,7 +46,7 @@
 /// none of their next lives. Where requests wait, each connection that is closed for
 /// another account costs a slot that they wait for: there all are kept.
 #[must_use]
-pub fn kept_for_accounts(budget: usize, own_demand: f64) -> usize {
+pub fn account_connection_budget(budget: usize, own_demand: f64) -> usize {
     let wanted = own_demand.ceil().clamp(0.0, MOST_WANTED);
     #[allow(
         clippy::cast_possible_truncation,
--- a/lib/src/layout.rs
+++ b/lib/src/connection_setup.rs
@@ -12,12 +12,12 @@
 
 /// What is set up on one connection to a server.
 #[derive(Clone, Debug, Default)]
-pub struct ConnectionLayout {
+pub struct ConnectionSetup {
     values: SessionValues,
     prepared: HashSet<Prepared>,
 }
 
-impl ConnectionLayout {
+impl ConnectionSetup {
     /// Statements that make the connection fit a session with `values` that
     /// is about to use `prepared`. The layout counts them as done.
     pub fn adapt(&mut self, values: &SessionValues, prepared: Option<&Prepared>) -> Vec<Statement> {
--- a/lib/src/detector.rs
+++ b/lib/src/detector.rs
@@ -60,7 +60,7 @@
 
     /// Other traffic sent at `sent_at` was answered, which proves as much as a
     /// probe would have.
-    pub fn answered_otherwise(&mut self, sent_at: Instant) {
+    pub fn answered_by_other_traffic(&mut self, sent_at: Instant) {
         self.outstanding.retain(|(_, probe_sent_at)| *probe_sent_at > sent_at);
         self.misses = 0;
         self.last_sent_at = self.last_sent_at.max(Some(sent_at));
@@ -92,7 +92,7 @@
     /// Called when this process itself was paused: every probe it had sent
     /// looks unanswered then, and without this it would replace a primary
     /// that had answered all along.
-    pub fn forgive(&mut self) {
+    pub fn clear_misses(&mut self) {
         self.outstanding.clear();
         self.misses = 0;
     }
--- a/lib/src/story.rs
+++ b/lib/src/explanation.rs
@@ -80,7 +80,7 @@
 
 /// A line of a story: a log line, and how often the same was said.
 #[derive(Clone, Debug, PartialEq)]
-pub struct StoryLine {
+pub struct ExplanationLine {
     /// The first of the lines.
     pub line: LogLine,
     /// How many there were.
@@ -91,9 +91,9 @@
 
 /// The story of one request.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Story {
+pub struct Explanation {
     /// What the logs say, in order of time.
-    pub lines: Vec<StoryLine>,
+    pub lines: Vec<ExplanationLine>,
     /// The cause, as far as the logs tell it.
     pub cause: Option<String>,
     /// What the logs do not tell.
@@ -102,11 +102,11 @@
 
 /// Puts the story of a request together.
 #[must_use]
-pub fn tell(id: &str, mut log: Vec<LogLine>) -> Story {
+pub fn explain_request(id: &str, mut log: Vec<LogLine>) -> Explanation {
     log.sort_by_key(|line| line.at_ms);
     let own: Vec<&LogLine> = log.iter().filter(|line| line.text("id") == Some(id)).collect();
     let (Some(first), Some(last)) = (own.first(), own.last()) else {
-        return Story { missing: absent(&log), ..Story::default() };
+        return Explanation { missing: absent(&log), ..Explanation::default() };
     };
     let took_ms = last.number("took_ms").clamp(0.0, 1.0e9);
     #[allow(
@@ -124,14 +124,14 @@
             && CONTEXT_EVENTS.contains(&&*line.event)
             && concerns(line, &group, &servers, &instances)
     };
-    let mut lines: Vec<StoryLine> = Vec::new();
+    let mut lines: Vec<ExplanationLine> = Vec::new();
     for line in log.iter().filter(|line| line.text("id") == Some(id) || related(line)) {
         let own = line.text("id") == Some(id);
         add(&mut lines, line, own);
     }
     let cause = cause_of(last, &lines);
     let missing = missing_for(last, &log);
-    Story { lines, cause, missing }
+    Explanation { lines, cause, missing }
 }
 
 fn concerns(
@@ -149,8 +149,8 @@
 }
 
 /// Adds a line, or counts it with one that said the same.
-fn add(lines: &mut Vec<StoryLine>, line: &LogLine, own: bool) {
-    let same = |known: &&mut StoryLine| {
+fn add(lines: &mut Vec<ExplanationLine>, line: &LogLine, own: bool) {
+    let same = |known: &&mut ExplanationLine| {
         !own && !known.own
             && known.line.instance == line.instance
             && known.line.event == line.event
@@ -159,7 +159,7 @@
     };
     match lines.iter_mut().find(same) {
         Some(known) => known.count += 1,
-        None => lines.push(StoryLine { line: line.clone(), count: 1, own }),
+        None => lines.push(ExplanationLine { line: line.clone(), count: 1, own }),
     }
 }
 
@@ -193,7 +193,7 @@
 
 /// What the lines say of the cause, from the last line of the request and
 /// what happened around it.
-fn cause_of(last: &LogLine, lines: &[StoryLine]) -> Option<String> {
+fn cause_of(last: &LogLine, lines: &[ExplanationLine]) -> Option<String> {
     let event = |name: &str| lines.iter().find(|line| line.line.event == name);
     let server = last.text("server").unwrap_or("none");
     let waited = last.number("waited_ms");
