--- a/lib/src/fleet.rs
+++ b/lib/src/fleet.rs
@@ -39,7 +39,7 @@
 /// An instance that did not answer for this long does not count as alive.
 /// Six heartbeats; longer than servers keep the connections of a dead caller
 /// (3 s), so that what they held is free when the others take it over.
-pub const SILENT_AFTER: Duration = Duration::from_millis(3_200);
+pub const UNREACHABLE_AFTER: Duration = Duration::from_millis(3_200);
 
 /// The record of one that was silent for this long is removed. A frozen
 /// instance usually wakes up before and finds its record in place.
@@ -129,7 +129,7 @@
     /// These are all records of a copy of the store, which lacks the latest ones.
     /// Instances that it does not list may be alive, and write their records again; until
     /// then they hold connections and vote as before.
-    pub fn replace_by_copy(&mut self, now: Moment, records: Vec<InstanceRecord>) {
+    pub fn replace_after_store_restore(&mut self, now: Moment, records: Vec<InstanceRecord>) {
         let is_listed = |id: &InstanceId| records.iter().any(|record| record.id == *id);
         for (id, member) in &mut self.members {
             if !is_listed(id) {
@@ -168,7 +168,7 @@
     pub fn restorable(&self, now: Moment) -> Vec<InstanceRecord> {
         let unlisted = |record: &InstanceRecord| {
             let member = self.members.get(&record.id);
-            let heard = member.filter(|member| member.heard_at + SILENT_AFTER > now);
+            let heard = member.filter(|member| member.heard_at + UNREACHABLE_AFTER > now);
             let since = heard.and_then(|member| member.unlisted_since);
             since.is_some_and(|since| since + RESTORED_AFTER <= now)
         };
@@ -229,7 +229,7 @@
     pub fn live(&self, now: Moment) -> Vec<InstanceId> {
         let watched = if self.is_cut_off(now) { Vec::new() } else { self.watched() };
         let silent = |member: &Member| {
-            member.heard_at + SILENT_AFTER <= now
+            member.heard_at + UNREACHABLE_AFTER <= now
                 && watched.iter().any(|record| record.id == member.record.id)
         };
         let mut live: Vec<_> = self
@@ -298,7 +298,7 @@
 
     /// This instance stood still itself: that nobody answered meanwhile says
     /// nothing of the others.
-    pub fn stood_still(&mut self, now: Moment) {
+    pub fn process_paused(&mut self, now: Moment) {
         for member in self.members.values_mut() {
             member.heard_at = now;
         }
@@ -308,7 +308,7 @@
         let watched = self.watched();
         let silent = |record: &&InstanceRecord| {
             let member = self.members.get(&record.id);
-            member.is_some_and(|member| member.heard_at + SILENT_AFTER <= now)
+            member.is_some_and(|member| member.heard_at + UNREACHABLE_AFTER <= now)
         };
         watched.iter().filter(silent).count() * 2 > watched.len()
     }
--- a/lib/src/group.rs
+++ b/lib/src/group.rs
@@ -13,10 +13,10 @@
 use crate::id::Term;
 use crate::moment::Moment;
 use crate::position::Position;
-use crate::primary_right::Ending;
-use crate::primary_right::Objection;
-use crate::primary_right::PrimaryRight;
-use crate::primary_right::Promise;
+use crate::primary_lease::Ending;
+use crate::primary_lease::Objection;
+use crate::primary_lease::PrimaryLease;
+use crate::primary_lease::Promise;
 use crate::samples::Samples;
 
 /// A server as the platform lists it.
@@ -102,7 +102,7 @@
     /// Highest term that any server was seen in.
     seen_term: Term,
     /// The right to use the primary.
-    right: PrimaryRight,
+    primary_lease: PrimaryLease,
     samples: Samples,
     /// Last position before each term, where it is known: what lies beyond it
     /// in earlier terms was rolled back.
@@ -211,7 +211,7 @@
         // The entry has no term, so it cannot be compared with what servers
         // said themselves: an old primary that goes on calls itself one. It
         // only fills the gap of an instance that has just started.
-        if self.leader.is_none() && self.seen_term == 0 && self.right.retired() == 0 {
+        if self.leader.is_none() && self.seen_term == 0 && self.primary_lease.retired() == 0 {
             self.leader = Some(Leader { id: view.info.id.clone(), term: 0, since: now });
         }
     }
@@ -232,7 +232,7 @@
             return self.observe_not_leading(id, status.term) || outdated;
         }
         // An old primary goes on after another one was promoted.
-        if status.term < self.seen_term || status.term <= self.right.retired() {
+        if status.term < self.seen_term || status.term <= self.primary_lease.retired() {
             return false;
         }
         // Started again without its log, it lacks what it acknowledged: it is
@@ -254,8 +254,8 @@
 
     /// Another instance knows a leader in a term. Returns whether this one
     /// takes it for its own leader now, since it knew none in such a late term.
-    pub fn hear_of_leader(&mut self, now: Moment, id: &TargetId, term: Term) -> bool {
-        let outdated = term < self.highest_term || term <= self.right.retired();
+    pub fn observe_reported_leader(&mut self, now: Moment, id: &TargetId, term: Term) -> bool {
+        let outdated = term < self.highest_term || term <= self.primary_lease.retired();
         if !self.servers.contains_key(id) || outdated {
             return false;
         }
@@ -278,13 +278,13 @@
 
     /// The right to use the primary.
     #[must_use]
-    pub fn right(&self) -> &PrimaryRight {
-        &self.right
+    pub fn primary_lease(&self) -> &PrimaryLease {
+        &self.primary_lease
     }
 
     /// The right to use the primary, to change it.
-    pub fn right_mut(&mut self) -> &mut PrimaryRight {
-        &mut self.right
+    pub fn primary_lease_mut(&mut self) -> &mut PrimaryLease {
+        &mut self.primary_lease
     }
 
     /// Uses and grants a term no more.
@@ -296,7 +296,7 @@
         if self.seen_term > ending.term {
             return Err(Objection::LaterTerm(self.seen_term));
         }
-        let promise = self.right.promise(now, ending)?;
+        let promise = self.primary_lease.promise(now, ending)?;
         self.leader.take_if(|leader| leader.term <= ending.term);
         Ok(promise)
     }
@@ -311,36 +311,37 @@
     /// The primary and its term, if new work may begin there now.
     #[must_use]
     pub fn usable_leader(&self, now: Moment) -> Option<&Leader> {
-        self.leader.as_ref().filter(|leader| self.right.may_begin(now, leader.term))
+        self.leader.as_ref().filter(|leader| self.primary_lease.may_begin(now, leader.term))
     }
 
     /// The term in which a server may be used as the primary now.
     #[must_use]
     pub fn usable_term(&self, now: Moment, id: &str) -> Option<Term> {
         let leader = self.leader.as_ref().filter(|leader| *leader.id == *id)?;
-        self.right.holds(now, leader.term).then_some(leader.term)
+        self.primary_lease.holds(now, leader.term).then_some(leader.term)
     }
 
     /// The primary is wanted. Returns whether it may be used, as far as the
     /// right to do so goes.
     pub fn want_leader(&mut self, now: Moment) -> bool {
         let term = self.confirmed_leader().map(|leader| leader.term);
-        term.is_none_or(|term| self.right.want(now, term))
+        term.is_none_or(|term| self.primary_lease.want(now, term))
     }
 
     /// Whether there is a primary that only the right to use it is missing for.
     #[must_use]
-    pub fn lacks_right(&self, now: Moment) -> bool {
-        self.confirmed_leader().is_some_and(|leader| !self.right.holds(now, leader.term))
+    pub fn lacks_primary_lease(&self, now: Moment) -> bool {
+        self.confirmed_leader().is_some_and(|leader| !self.primary_lease.holds(now, leader.term))
     }
 
     /// Whether another instance should serve what needs the primary: the right
     /// to use it is missing, or nobody on this side of a partition reaches it.
     #[must_use]
     pub fn is_cut_off(&self, now: Moment) -> bool {
-        let lacks_right =
-            self.confirmed_leader().is_some_and(|leader| self.right.is_cut_off(now, leader.term));
-        lacks_right || self.is_out_of_reach()
+        let lacks_primary_lease = self
+            .confirmed_leader()
+            .is_some_and(|leader| self.primary_lease.is_cut_off(now, leader.term));
+        lacks_primary_lease || self.is_out_of_reach()
     }
 
     fn is_out_of_reach(&self) -> bool {
@@ -366,7 +367,7 @@
     /// use it when it asked: an old primary that goes on lacks what was
     /// committed since, and floors taken from it would let reads miss that.
     fn record_sample(&mut self, asked_at: Moment, term: Term, position: Position) {
-        if self.right.holds(asked_at, term) {
+        if self.primary_lease.holds(asked_at, term) {
             self.samples.record(asked_at, position);
         }
     }
--- a/lib/src/group/reading.rs
+++ b/lib/src/group/reading.rs
@@ -202,7 +202,7 @@
 
     /// Replicas that are too far behind to get reads, and so do not tell by
     /// themselves when they have caught up.
-    pub fn laggards(&self, now: Moment) -> impl Iterator<Item = &ServerView> {
+    pub fn lagging_replicas(&self, now: Moment) -> impl Iterator<Item = &ServerView> {
         self.servers.values().filter(move |view| {
             let silent = view.answered_at + LAGGARD_CHECK <= now;
             silent && view.behind > LAGGARD_BEHIND && !self.leads(&view.info.id)
@@ -226,7 +226,7 @@
     ///
     /// Without these an instance whose own questions a busy primary refuses
     /// knows no floor, and sends all its reads to that primary as well.
-    pub fn hear_of_position(&mut self, asked_at: Moment, position: Position) {
+    pub fn observe_reported_position(&mut self, asked_at: Moment, position: Position) {
         let leader_term = self.leader.as_ref().map_or(0, |leader| leader.term);
         // The log may have been cut back since.
         if position.term >= leader_term || self.term_bases.contains_key(&leader_term) {
--- a/lib/src/holder_choice.rs
+++ b/lib/src/holder_choice.rs
@@ -14,14 +14,14 @@
     pub contact: Contact,
     /// Whether it just refused a statement of this group that another holder
     /// may be able to serve.
-    pub unable: bool,
+    pub recently_refused: bool,
     /// Whether it runs in the sender's failure domain.
     pub near: bool,
 }
 
 /// What the statements have in common that should meet at one holder.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Meeting {
+pub enum Affinity {
     /// The session: a number that stays the same for it.
     Session(u32),
     /// The account, whose connections serve nobody else. Spread over all holders,
@@ -36,20 +36,20 @@
 /// A session goes to a near holder. An account has one home among all of a group:
 /// when a holder goes, only the accounts that were at home there move.
 #[must_use]
-pub fn choose<'a>(candidates: &'a [Candidate], meeting: &Meeting) -> Option<&'a Candidate> {
+pub fn choose<'a>(candidates: &'a [Candidate], affinity: &Affinity) -> Option<&'a Candidate> {
     let rank = |candidate: &Candidate| {
         let silent = candidate.contact == Contact::Silent;
-        let far = matches!(meeting, Meeting::Session(_)) && !candidate.near;
-        (silent, candidate.unable, far)
+        let far = matches!(affinity, Affinity::Session(_)) && !candidate.near;
+        (silent, candidate.recently_refused, far)
     };
     let best = candidates.iter().map(rank).min()?;
     let equal: Vec<_> = candidates.iter().filter(|candidate| rank(candidate) == best).collect();
-    match meeting {
-        Meeting::Session(number) => {
+    match affinity {
+        Affinity::Session(number) => {
             let index = usize::try_from(*number).unwrap_or_default() % equal.len();
             equal.get(index).copied()
         }
-        Meeting::Account(account) => {
+        Affinity::Account(account) => {
             let score =
                 |candidate: &&&Candidate| stable_hash(&["home", account, &candidate.record.id]);
             equal.iter().max_by_key(score).copied()
--- a/lib/src/holders.rs
+++ b/lib/src/holders.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use crate::connection_budget::RESERVE;
+use crate::connection_budget::RESERVED_CONNECTIONS;
 use crate::fleet::InstanceRecord;
 use crate::id::FailureDomainId;
 use crate::id::GroupId;
@@ -45,7 +45,7 @@
     groups: usize,
     staying: &[InstanceRecord],
 ) -> Vec<InstanceRecord> {
-    let shared = max_connections.saturating_sub(RESERVE);
+    let shared = max_connections.saturating_sub(RESERVED_CONNECTIONS);
     if staying.len() <= MOST_HOLDERS && staying.len() * LEAST_CONNECTIONS <= shared {
         return staying.to_vec();
     }
--- a/lib/src/instance.rs
+++ b/lib/src/instance.rs
@@ -415,7 +415,7 @@
         for shard in &self.shards {
             let shard = lock(shard);
             let active = shard.active.iter().filter_map(|id| shard.databases.get_key_value(id));
-            let engaged = active.filter(|(_, state)| state.ownership.is_engaged());
+            let engaged = active.filter(|(_, state)| state.ownership.owns_or_is_taking());
             owned.extend(engaged.map(|(id, state)| {
                 let term = state.ownership.serving().map_or(0, |(term, _)| term);
                 (id.clone(), term)
@@ -467,7 +467,7 @@
             }));
         }
         for database in concerns {
-            let idle = self.with_database(&database, |state| !state.ownership.is_engaged());
+            let idle = self.with_database(&database, |state| !state.ownership.owns_or_is_taking());
             if idle == Some(true) {
                 actions.extend(self.take_if_due(now, &database));
             }
@@ -510,7 +510,7 @@
             // The offer may have arrived and only its answer be lost. The
             // other does not wait out our currency, so there must be none
             // left until a majority has confirmed our term anew.
-            self.with_database(database, |state| state.ownership.forget_currency());
+            self.with_database(database, |state| state.ownership.clear_term_confirmations());
             return Vec::new();
         }
         self.ownership_event(now, database, OwnershipEvent::Release)
@@ -534,7 +534,7 @@
                     let database = database.clone();
                     published.push(InstanceAction::PublishOwner { database, record });
                 }
-                OwnershipAction::Lost { .. } => self.membership().attempted(database),
+                OwnershipAction::Lost { .. } => self.membership().clear_vacancy(database),
                 _ => {}
             }
         }
--- a/lib/src/keeper_lease.rs
+++ b/lib/src/keeper_lease.rs
@@ -15,7 +15,7 @@
 
 /// Shards of accounts. More would divide the asking of a large fleet further;
 /// each costs its keeper a round of questions to the voters.
-pub const SHARDS: u32 = 8;
+pub const ACCOUNT_SHARDS: u32 = 8;
 
 /// Voters of a shard. Even, as those of a group: when one instance joins or goes,
 /// majorities before and after have a voter in common.
@@ -32,7 +32,7 @@
 const USED_LEASE: Duration = Duration::from_millis(1_100);
 
 /// Time between two rounds of questions of a keeper to the voters.
-pub const RENEWAL: Duration = Duration::from_millis(300);
+pub const RENEWAL_INTERVAL: Duration = Duration::from_millis(300);
 
 /// How much later each next candidate tries. Two that try together divide the
 /// votes, and nobody keeps the shard until they are over.
@@ -45,7 +45,7 @@
 #[must_use]
 #[allow(clippy::cast_possible_truncation, reason = "less than the number of shards")]
 pub fn shard_of(account: &str) -> ShardNumber {
-    (stable_hash(&["account", account]) % u64::from(SHARDS)) as ShardNumber
+    (stable_hash(&["account", account]) % u64::from(ACCOUNT_SHARDS)) as ShardNumber
 }
 
 /// The instances in the order in which they should keep a shard: those with the
--- a/lib/src/leader_watch.rs
+++ b/lib/src/leader_watch.rs
@@ -47,7 +47,7 @@
 
 /// What other instances say about a primary.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Opinions {
+pub struct PeerReports {
     /// Those that it answers.
     pub reached: usize,
     /// Those that it does not answer.
@@ -154,8 +154,8 @@
     pub fn tick(&mut self, now: Moment, group: &Group, rank: Option<usize>) -> Vec<WatchAction> {
         let mut actions = Vec::new();
         self.sample(now, group, &mut actions);
-        let laggards = group.laggards(now).filter(|view| view.failures == 0);
-        actions.extend(laggards.map(|view| WatchAction::Sample(view.info.id.clone())));
+        let lagging_replicas = group.lagging_replicas(now).filter(|view| view.failures == 0);
+        actions.extend(lagging_replicas.map(|view| WatchAction::Sample(view.info.id.clone())));
         self.probe_failed_replicas(now, group, &mut actions);
         self.watch_leaving(now, group, rank, &mut actions);
         self.watch_failing(now, group, rank, &mut actions);
@@ -313,7 +313,7 @@
     }
 
     /// Other instances answered.
-    pub fn heard(&mut self, now: Moment, about: Option<&TargetId>, opinions: Opinions) {
+    pub fn heard(&mut self, now: Moment, about: Option<&TargetId>, opinions: PeerReports) {
         if opinions.replacing {
             self.replacing(now);
         }
@@ -374,7 +374,7 @@
 /// the other five went on writing, and 45 acknowledged commits were lost. When
 /// the doubt is `lasting`, the silent ones are taken for dead.
 #[must_use]
-pub fn should_replace(opinions: Opinions, rounds: u32, lasting: bool) -> bool {
+pub fn should_replace(opinions: PeerReports, rounds: u32, lasting: bool) -> bool {
     if opinions.reached > 0 {
         return false;
     }
@@ -388,7 +388,7 @@
 
 /// Whether nobody who answers reaches a primary, and too few answer to replace
 /// it.
-fn is_out_of_reach(opinions: Opinions) -> bool {
+fn is_out_of_reach(opinions: PeerReports) -> bool {
     let nobody = opinions.reached == 0 && opinions.unknown == 0 && !opinions.replacing;
     let answering = opinions.failed + 1;
     nobody && answering <= opinions.silent
--- a/lib/src/arrival.rs
+++ b/lib/src/load_shedding.rs
@@ -6,7 +6,7 @@
 
 /// What a request can expect when it comes, or when its patience is over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Prospect {
+pub struct WaitForecast {
     /// Expected wait among those that can meet their objective; `None` if
     /// nobody can tell. Zero patience makes it worthless.
     pub in_time: Option<Duration>,
@@ -16,14 +16,14 @@
     /// Requests that wait there now.
     pub late_waiting: usize,
     /// How long it can wait and still meet its objective.
-    pub patience: Duration,
+    pub max_wait: Duration,
     /// How long it can wait and still be answered before its deadline.
     pub time_left: Duration,
 }
 
 /// What is decided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Arrival {
+pub enum QueueDecision {
     /// It waits.
     Wait(Tier),
     /// It is refused, and may come again after this time.
@@ -34,7 +34,7 @@
 /// measure it, few enough that those who hope in vain are few.
 const UNMEASURED: usize = 2;
 
-impl Prospect {
+impl WaitForecast {
     /// Decides.
     ///
     /// While more comes than the servers can take, a queue served in order
@@ -42,18 +42,18 @@
     /// who can still meet it, and is refused at once when even the deadline
     /// cannot be met: held in vain, it could not use its time elsewhere.
     #[must_use]
-    pub fn decide(&self) -> Arrival {
+    pub fn decide(&self) -> QueueDecision {
         let in_time = self.in_time.unwrap_or_default();
-        if self.patience > Duration::ZERO && in_time <= self.patience {
-            return Arrival::Wait(Tier::InTime);
+        if self.max_wait > Duration::ZERO && in_time <= self.max_wait {
+            return QueueDecision::Wait(Tier::InTime);
         }
         let can_be_late = match self.late {
             Some(late) => late < self.time_left,
             None => self.time_left > Duration::ZERO && self.late_waiting < UNMEASURED,
         };
         if can_be_late {
-            return Arrival::Wait(Tier::Late);
+            return QueueDecision::Wait(Tier::Late);
         }
-        Arrival::Refuse(in_time.saturating_sub(self.patience))
+        QueueDecision::Refuse(in_time.saturating_sub(self.max_wait))
     }
 }
--- a/lib/src/loss.rs
+++ b/lib/src/loss.rs
@@ -9,8 +9,8 @@
 
 use serde::Serialize;
 
-use crate::story::CAUSE_WITHIN_MS;
-use crate::story::LogLine;
+use crate::explanation::CAUSE_WITHIN_MS;
+use crate::explanation::LogLine;
 
 /// Length of a window of time, in milliseconds.
 pub const WINDOW_MS: u64 = 1_000;
--- a/lib/src/membership.rs
+++ b/lib/src/membership.rs
@@ -22,11 +22,11 @@
     /// Pace of heartbeats to each watched instance.
     pub heartbeat_interval: Duration,
     /// The same where not every instance watches every other one.
-    pub heartbeat_interval_of_many: Duration,
+    pub heartbeat_interval_large_fleet: Duration,
     /// A heartbeat without an answer for this long is missed.
     pub heartbeat_timeout: Duration,
     /// Heartbeats missed in a row that make an instance silent.
-    pub misses_to_silent: u32,
+    pub misses_to_unresponsive: u32,
     /// Wait after start before any database is considered vacant.
     pub settle: Duration,
     /// Each later successor waits this much longer than the one before.
@@ -43,9 +43,9 @@
     fn default() -> Self {
         Self {
             heartbeat_interval: Duration::from_millis(150),
-            heartbeat_interval_of_many: Duration::from_millis(400),
+            heartbeat_interval_large_fleet: Duration::from_millis(400),
             heartbeat_timeout: Duration::from_millis(350),
-            misses_to_silent: 3,
+            misses_to_unresponsive: 3,
             settle: Duration::from_millis(700),
             stagger: Duration::from_millis(500),
             omitted_grace: Duration::from_millis(300),
@@ -192,7 +192,7 @@
 
     /// Keeps the succession in line with what is known of an instance.
     fn sync_candidate(&mut self, id: &str) {
-        let limit = self.timing.misses_to_silent;
+        let limit = self.timing.misses_to_unresponsive;
         match self.peers.get(id) {
             Some(peer) if peer.detector.misses() < limit && !peer.info.leaving => {
                 let info = peer.info.clone();
@@ -246,7 +246,7 @@
     /// Forgets instances that the platform no longer lists and that are
     /// silent as well.
     pub fn retain_listed(&mut self, listed: &BTreeSet<InstanceId>) {
-        let limit = self.timing.misses_to_silent;
+        let limit = self.timing.misses_to_unresponsive;
         let gone: Vec<_> = self
             .peers
             .iter()
@@ -272,7 +272,7 @@
     }
 
     fn is_alive(&self, peer: &Peer) -> bool {
-        peer.detector.misses() < self.timing.misses_to_silent
+        peer.detector.misses() < self.timing.misses_to_unresponsive
     }
 
     /// Who owns a database, as far as is known.
@@ -319,7 +319,7 @@
 
     /// A heartbeat was answered.
     pub fn answered(&mut self, now: Instant, peer: &str, sequence: u64) {
-        let limit = self.timing.misses_to_silent;
+        let limit = self.timing.misses_to_unresponsive;
         let Some(entry) = self.peers.get_mut(peer) else {
             return;
         };
@@ -369,7 +369,7 @@
         if self.peers.len() <= WATCH_ALL_LIMIT {
             self.timing.heartbeat_interval
         } else {
-            self.timing.heartbeat_interval_of_many
+            self.timing.heartbeat_interval_large_fleet
         }
     }
 
@@ -381,7 +381,7 @@
                 continue;
             };
             if paused {
-                peer.detector.forgive();
+                peer.detector.clear_misses();
             }
             peer.detector.tick(now);
             if peer.detector.is_settled() {
@@ -400,7 +400,7 @@
             let Some(record) = self.owners.get(database) else {
                 continue;
             };
-            let rank = self.succession.rank_of_me(database, Some(&record.owner));
+            let rank = self.succession.own_rank(database, Some(&record.owner));
             if rank.is_some_and(|rank| rank < SUCCESSORS) {
                 watched.insert(record.owner.clone());
             }
@@ -467,7 +467,7 @@
         let since = *self.vacant_since.entry(database.clone()).or_insert(now);
         let owner = record.as_ref().map(|record| &record.owner);
         let without = owner.filter(|owner| **owner != self.me.id);
-        let rank = self.succession.rank_of_me(database, without.map(|id| &**id))?;
+        let rank = self.succession.own_rank(database, without.map(|id| &**id))?;
         let grace =
             if fault == OwnerFault::Omitted { self.timing.omitted_grace } else { Duration::ZERO };
         let wait = grace + self.timing.stagger * u32::try_from(rank).unwrap_or(u32::MAX);
@@ -491,7 +491,7 @@
     }
 
     /// Forgets that a database looked vacant, after an attempt to take it.
-    pub fn attempted(&mut self, database: &str) {
+    pub fn clear_vacancy(&mut self, database: &str) {
         self.vacant_since.remove(database);
     }
 
--- a/lib/src/ownership.rs
+++ b/lib/src/ownership.rs
@@ -72,7 +72,7 @@
         /// First entry of the term.
         first: Position,
         /// Acknowledge nothing before this time.
-        answers_from: Instant,
+        acknowledge_from: Instant,
     },
     /// Waiting after a failed attempt.
     BackingOff {
@@ -202,7 +202,7 @@
 
     /// Whether we own the database or are about to.
     #[must_use]
-    pub fn is_engaged(&self) -> bool {
+    pub fn owns_or_is_taking(&self) -> bool {
         matches!(
             self.phase,
             Phase::Fencing { .. } | Phase::Promoting { .. } | Phase::Serving { .. }
@@ -239,7 +239,7 @@
     /// Send times count, not receive times: whatever a server did between
     /// our sending and our receiving happened after the sending.
     #[must_use]
-    pub fn current_as_of(&self) -> Option<Instant> {
+    pub fn majority_confirmed_at(&self) -> Option<Instant> {
         let mut times: Vec<_> =
             self.servers.values().filter_map(|view| view.confirmed_sent_at).collect();
         times.sort_unstable_by(|a, b| b.cmp(a));
@@ -247,23 +247,23 @@
     }
 
     /// Forgets which servers have confirmed our term.
-    pub fn forget_currency(&mut self) {
+    pub fn clear_term_confirmations(&mut self) {
         for view in self.servers.values_mut() {
             view.confirmed_sent_at = None;
-            view.detector.forgive();
+            view.detector.clear_misses();
         }
     }
 
     /// Whether reads may be answered at `now`.
     #[must_use]
     pub fn is_current(&self, now: Instant) -> bool {
-        let Phase::Serving { answers_from, .. } = &self.phase else {
+        let Phase::Serving { acknowledge_from, .. } = &self.phase else {
             return false;
         };
         let confirmed = self
-            .current_as_of()
+            .majority_confirmed_at()
             .is_some_and(|at| now.saturating_duration_since(at) < self.timing.currency);
-        confirmed && now >= *answers_from
+        confirmed && now >= *acknowledge_from
     }
 
     /// The newest position of our term that a replica has received. Whatever
@@ -343,7 +343,7 @@
             Phase::BackingOff { until } => now < until && cause != TakeCause::Handover,
             _ => false,
         };
-        if self.is_engaged() || backing_off {
+        if self.owns_or_is_taking() || backing_off {
             return Vec::new();
         }
         self.avoid.clear();
@@ -390,7 +390,7 @@
             return;
         }
         for view in self.servers.values_mut() {
-            view.detector.forgive();
+            view.detector.clear_misses();
         }
         self.majority_seen_at = Some(now);
     }
@@ -414,7 +414,7 @@
     }
 
     fn lose(&mut self, now: Instant, reason: LossReason) -> Vec<OwnershipAction> {
-        if !self.is_engaged() {
+        if !self.owns_or_is_taking() {
             return Vec::new();
         }
         // One who could not reach a majority leaves the field to instances
--- a/lib/src/ownership/fencing.rs
+++ b/lib/src/ownership/fencing.rs
@@ -148,7 +148,7 @@
         };
         // The servers that did not answer may be dead. Waiting a little for
         // them avoids promoting a replica when the old primary is alive.
-        let waited = now.saturating_duration_since(majority_at) >= self.timing.choose_wait;
+        let waited = now.saturating_duration_since(majority_at) >= self.timing.straggler_wait;
         let rest_is_silent =
             self.servers.iter().filter(|(id, _)| !granted.contains_key(*id)).all(|(id, view)| {
                 failed.contains(id) || view.detector.misses() >= self.timing.misses_to_suspect
@@ -216,12 +216,12 @@
                 return self.promotion_failed(now, server.clone());
             }
         };
-        let answers_from = if cause.earlier_owner_may_serve() {
+        let acknowledge_from = if cause.earlier_owner_may_serve() {
             majority_at + self.timing.currency
         } else {
             majority_at
         };
-        self.serve(server, term, first, answers_from, cause)
+        self.serve(server, term, first, acknowledge_from, cause)
     }
 
     pub(super) fn serve(
@@ -229,12 +229,12 @@
         primary: &TargetId,
         term: Term,
         first: Position,
-        answers_from: Instant,
+        acknowledge_from: Instant,
         cause: TakeCause,
     ) -> Vec<OwnershipAction> {
         self.primary = Some(primary.clone());
         self.avoid.clear();
-        self.phase = Phase::Serving { term, primary: primary.clone(), first, answers_from };
+        self.phase = Phase::Serving { term, primary: primary.clone(), first, acknowledge_from };
         if let Some(state) = self.servers.get_mut(primary).and_then(|view| view.state.as_mut()) {
             state.is_primary = true;
             state.received = first;
@@ -244,7 +244,7 @@
             term,
             primary: primary.clone(),
             first,
-            answers_from,
+            acknowledge_from,
             cause,
         }];
         let others = self.servers.keys().filter(|id| *id != primary);
--- a/lib/src/ownership/watching.rs
+++ b/lib/src/ownership/watching.rs
@@ -86,7 +86,7 @@
             let others = self.reachable_others(primary).count();
             return (others >= self.majority()).then_some(TakeCause::PrimarySilent);
         }
-        if self.is_unheard(primary) {
+        if self.is_cut_off_from_replicas(primary) {
             return Some(TakeCause::PrimaryUnheard);
         }
         None
@@ -104,17 +104,17 @@
     /// Whether a majority of servers, all of them replicas we can reach, has
     /// not heard from the primary. It still answers us, but no write on it
     /// can be confirmed.
-    pub(super) fn is_unheard(&self, primary: &TargetId) -> bool {
+    pub(super) fn is_cut_off_from_replicas(&self, primary: &TargetId) -> bool {
         let mut unheard = 0;
         for view in self.reachable_others(primary) {
             let Some(state) = &view.state else {
                 continue;
             };
             let follows = state.follows.as_ref() == Some(primary);
-            let Some(heard) = state.primary_heard else {
+            let Some(heard) = state.since_primary_contact else {
                 continue;
             };
-            if !follows || heard < self.timing.unheard_limit {
+            if !follows || heard < self.timing.replication_timeout {
                 return false;
             }
             unheard += 1;
@@ -244,7 +244,7 @@
         let Some(view) = self.servers.get_mut(server) else {
             return;
         };
-        view.detector.answered_otherwise(sent_at);
+        view.detector.answered_by_other_traffic(sent_at);
         view.confirmed_sent_at = view.confirmed_sent_at.max(Some(sent_at));
         if let Some(state) = view.state.as_mut().filter(|state| state.term == term) {
             state.applied = state.applied.max(applied);
--- a/lib/src/ownership_types.rs
+++ b/lib/src/ownership_types.rs
@@ -31,11 +31,11 @@
     /// Longest wait for the servers to answer a fence.
     pub fence_timeout: Duration,
     /// Wait for the remaining servers once a majority is fenced.
-    pub choose_wait: Duration,
+    pub straggler_wait: Duration,
     /// Longest wait for a promotion.
     pub promote_timeout: Duration,
     /// A primary from which no replica heard for this long is replaced.
-    pub unheard_limit: Duration,
+    pub replication_timeout: Duration,
     /// Without a majority for this long an owner gives up.
     pub isolation_limit: Duration,
     /// Shortest pause before another attempt after a lost race.
@@ -53,9 +53,9 @@
             misses_to_suspect: 3,
             currency: Duration::from_millis(500),
             fence_timeout: Duration::from_millis(400),
-            choose_wait: Duration::from_millis(20),
+            straggler_wait: Duration::from_millis(20),
             promote_timeout: Duration::from_millis(400),
-            unheard_limit: Duration::from_millis(500),
+            replication_timeout: Duration::from_millis(500),
             isolation_limit: Duration::from_millis(1500),
             backoff: Duration::from_millis(150),
         }
@@ -105,7 +105,7 @@
     /// Last log entry applied.
     pub applied: Position,
     /// Time since it last heard from the primary it follows.
-    pub primary_heard: Option<Duration>,
+    pub since_primary_contact: Option<Duration>,
 }
 
 /// A server of the group, from the configuration.
@@ -217,7 +217,7 @@
         /// First entry of the term.
         first: Position,
         /// Acknowledge nothing before this time.
-        answers_from: Instant,
+        acknowledge_from: Instant,
         /// What started it.
         cause: TakeCause,
     },
--- a/lib/src/peer_contact.rs
+++ b/lib/src/peer_contact.rs
@@ -23,11 +23,11 @@
 ///
 /// Many times the way there and back twice (6 ms between failure domains), and
 /// more than the turns that an instance with an eighth of a core waits for.
-pub const SIGN_LIMIT: Duration = Duration::from_millis(100);
+pub const LIVENESS_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// A statement without an answer for this long makes its sender ask for a sign
 /// of life. Three times the usual statement (18 ms), so that few ask in vain.
-pub const SIGN_AFTER: Duration = Duration::from_millis(60);
+pub const LIVENESS_CHECK_AFTER: Duration = Duration::from_millis(60);
 
 /// After an instance was found silent, others have to have given a sign of life
 /// for this long: a partition rarely takes one alone. Longer than the time in
@@ -48,7 +48,7 @@
     Heard,
     /// Others are silent, and it has not been heard since: it has to give a
     /// sign of life first.
-    Unproven,
+    Unverified,
     /// It did not answer when it was last asked.
     Silent,
 }
@@ -111,17 +111,17 @@
         if known.heard_at >= since && known.heard_at + SIGN_LASTS > now {
             return Contact::Heard;
         }
-        Contact::Unproven
+        Contact::Unverified
     }
 
     /// Whether an instance that is not heard should be asked now for a sign of
     /// life. It counts as asked.
-    pub fn take_question(&mut self, now: Moment, id: &InstanceId) -> bool {
+    pub fn take_due_liveness_check(&mut self, now: Moment, id: &InstanceId) -> bool {
         if self.contact(now, id) == Contact::Heard {
             return false;
         }
         let known = self.known.entry(id.clone()).or_default();
-        let pause = if known.silent { ASK_AGAIN } else { SIGN_LIMIT };
+        let pause = if known.silent { ASK_AGAIN } else { LIVENESS_TIMEOUT };
         let due = known.asked_at + pause <= now;
         if due {
             known.asked_at = now;
--- a/lib/src/primary_right.rs
+++ b/lib/src/primary_lease.rs
@@ -48,7 +48,7 @@
 /// The right to use the primary of one group, as held by this instance and as
 /// granted by it to others.
 #[derive(Clone, Debug)]
-pub struct PrimaryRight {
+pub struct PrimaryLease {
     /// Whether this instance is one of the voters.
     votes: bool,
     /// The other voters.
@@ -59,7 +59,7 @@
     used: Term,
     /// Whether orders that an earlier life of this instance may have voted for
     /// are known.
-    knows_orders: bool,
+    orders_known: bool,
     /// No new work before this time: the primary is about to be replaced.
     paused_until: Moment,
     grants: BTreeMap<InstanceId, Grant>,
@@ -81,7 +81,7 @@
 /// How long after a start it matters what an earlier life may have promised: a
 /// replacement that collected the promise has sent its order by then, or never
 /// will, and the new term can be seen.
-pub const FORGETFUL: Duration = Duration::from_secs(4);
+pub const RESTART_PROMISE_WINDOW: Duration = Duration::from_secs(4);
 
 /// How long an order that got no answer may still be carried out. The platform
 /// does so within seconds; until then only the server that it names may be
@@ -134,14 +134,14 @@
     pub given: Vec<(InstanceId, Duration)>,
 }
 
-impl Default for PrimaryRight {
+impl Default for PrimaryLease {
     /// The right of an instance that has no others.
     fn default() -> Self {
-        Self { votes: true, knows_orders: true, ..Self::unknown() }
+        Self { votes: true, orders_known: true, ..Self::unknown() }
     }
 }
 
-impl PrimaryRight {
+impl PrimaryLease {
     /// The right of an instance that knows neither who votes nor what was
     /// ordered: it has none, and grants nothing.
     #[must_use]
@@ -151,7 +151,7 @@
             others: Vec::new(),
             retired: 0,
             used: 0,
-            knows_orders: false,
+            orders_known: false,
             paused_until: Moment::ZERO,
             grants: BTreeMap::new(),
             store_grant: None,
@@ -169,7 +169,7 @@
     /// term no more, to somebody who could not write to the store.
     #[must_use]
     pub fn with_start(self, started_at: Moment) -> Self {
-        Self { store_from: started_at + FORGETFUL, ..self }
+        Self { store_from: started_at + RESTART_PROMISE_WINDOW, ..self }
     }
 
     /// Sets who votes. Grants of all others count no more.
@@ -193,14 +193,14 @@
     /// Without this an instance that promised something, and was restarted,
     /// would grant an old term again. Time alone does not help: an old primary
     /// that is cut off from its successor goes on for as long.
-    pub fn knows_orders(&mut self) {
-        self.knows_orders = true;
+    pub fn orders_known(&mut self) {
+        self.orders_known = true;
     }
 
     /// The store holds an order that ends `term`, or tells that it is retired. An
     /// instance that has just started takes it for a promise of its own.
-    pub fn take_ended(&mut self, term: Term) {
-        if !self.knows_orders {
+    pub fn adopt_ended_term(&mut self, term: Term) {
+        if !self.orders_known {
             self.retired = self.retired.max(term);
         }
     }
@@ -209,7 +209,7 @@
     /// up to which term nothing is granted; `None` while this instance does
     /// not vote.
     pub fn grant(&mut self, now: Moment, to: &InstanceId, term: Term) -> Option<Term> {
-        if !self.knows_orders {
+        if !self.orders_known {
             return None;
         }
         if term > self.retired {
@@ -233,18 +233,18 @@
         }
         self.note_era(era);
         self.grants.insert(voter.clone(), Grant { asked_at, retired, era });
-        if !self.knows_orders && self.grants.len() >= self.majority() {
+        if !self.orders_known && self.grants.len() >= self.majority() {
             // One of them promised whatever an earlier life of this instance
             // helped to end.
             let retired = self.grants.values().map(|grant| grant.retired).max();
             self.retired = self.retired.max(retired.unwrap_or_default());
-            self.knows_orders = true;
+            self.orders_known = true;
         }
     }
 
     /// The store was read at `asked_at`, in an era, and held no order beyond `retired`
     /// + 1.
-    pub fn granted_by_store(&mut self, asked_at: Moment, retired: Term, era: Era) {
+    pub fn record_store_grant(&mut self, asked_at: Moment, retired: Term, era: Era) {
         self.note_era(era);
         self.store_grant = Some(Grant { asked_at, retired, era });
     }
@@ -285,7 +285,7 @@
     /// since they know the latest era of the store; `None` if fewer did.
     fn retired_by(&self, count: usize) -> Option<Term> {
         let others = self.grants.values().filter(|grant| grant.era == self.era);
-        let mine = (self.votes && self.knows_orders).then_some(self.retired);
+        let mine = (self.votes && self.orders_known).then_some(self.retired);
         let told: Vec<_> = others.map(|grant| grant.retired).chain(mine).collect();
         (told.len() >= count).then(|| told.into_iter().max().unwrap_or_default())
     }
@@ -293,14 +293,14 @@
     /// The highest term that is retired, as most voters told since they know the
     /// latest era of the store; `None` if fewer did.
     #[must_use]
-    pub fn retired_by_most(&self) -> Option<Term> {
+    pub fn retired_by_majority(&self) -> Option<Term> {
         self.retired_by(self.majority())
     }
 
     fn end_by_voters(&self, term: Term) -> Option<Moment> {
         let valid = self.grants.values().filter(|grant| grant.retired < term);
         let mut ends: Vec<_> = valid.map(|grant| grant.asked_at + LEASE).collect();
-        if self.votes && self.knows_orders {
+        if self.votes && self.orders_known {
             ends.push(Moment::MAX);
         }
         ends.sort_unstable_by(|a, b| b.cmp(a));
@@ -348,7 +348,7 @@
     }
 
     /// A token of the group's duty was seen.
-    pub fn see_token(&mut self, token: DutyToken) {
+    pub fn observe_token(&mut self, token: DutyToken) {
         self.highest_token = self.highest_token.max(token);
     }
 
@@ -412,7 +412,7 @@
 /// The promises that a replacement of a primary collects, and when its order may
 /// go out.
 #[derive(Clone, Debug)]
-pub struct Agreement {
+pub struct PromiseTally {
     voters: Vec<InstanceId>,
     asked: Vec<InstanceId>,
     /// When the order was written into the store; `None` if it could not be.
@@ -430,10 +430,10 @@
     TooFewVotes,
     /// Some are silent, and the store does not hold the order that they could
     /// read there.
-    SomeSilent,
+    SomeUnreachable,
 }
 
-impl Agreement {
+impl PromiseTally {
     /// Nobody has promised yet.
     #[must_use]
     pub fn new(
@@ -478,7 +478,7 @@
         }
         match self.written_at {
             Some(written_at) => Readiness::From(by_voters.max(written_at + STORE_LEASE)),
-            None => Readiness::SomeSilent,
+            None => Readiness::SomeUnreachable,
         }
     }
 }
--- a/lib/src/quota.rs
+++ b/lib/src/quota.rs
@@ -50,14 +50,14 @@
 
 /// What an account may begin, as its keeper counts it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct QuotaGrant {
+pub struct EnforcedQuota {
     /// Operations a second, and at once.
     pub limit: QuotaLimit,
     /// Operations at once where the keeper is new.
     pub first: f64,
 }
 
-impl From<QuotaLimit> for QuotaGrant {
+impl From<QuotaLimit> for EnforcedQuota {
     fn from(limit: QuotaLimit) -> Self {
         Self { limit, first: first_tokens(limit.burst) }
     }
@@ -66,7 +66,7 @@
 impl QuotaTolerance {
     /// The rate and burst that keep an account within the tolerance.
     #[must_use]
-    pub fn applied_to(self, limit: QuotaLimit) -> QuotaGrant {
+    pub fn applied_to(self, limit: QuotaLimit) -> EnforcedQuota {
         let window_s = self.window.as_secs_f64();
         if window_s <= 0.0 || limit.rate_per_s <= 0.0 {
             return limit.into();
@@ -77,7 +77,7 @@
         let burst = (limit.burst * BURST_PART + BURST_TOKENS).min(limit.burst.max(1.0)).max(first);
         let rate_per_s = (allowed * GIVEN_PART - burst - first) / window_s;
         let limit = QuotaLimit { rate_per_s: rate_per_s.max(0.0), burst };
-        QuotaGrant { limit, first }
+        EnforcedQuota { limit, first }
     }
 }
 
@@ -155,20 +155,20 @@
 
 /// The keeper's counts, by account.
 #[derive(Clone, Debug, Default)]
-pub struct QuotaBook {
+pub struct QuotaCounters {
     counts: HashMap<AccountId, Counted>,
 }
 
-impl QuotaBook {
+impl QuotaCounters {
     /// An entry wants to begin `wanted` operations of an account.
     pub fn ask(
         &mut self,
         now: Moment,
         id: &AccountId,
-        grant: QuotaGrant,
+        grant: EnforcedQuota,
         wanted: u32,
     ) -> QuotaAnswer {
-        let QuotaGrant { limit, first } = grant;
+        let EnforcedQuota { limit, first } = grant;
         let counted = self.counts.entry(id.clone()).or_insert_with(|| Counted {
             bucket: TokenBucket::new(now, first),
             refused: 0.0,
@@ -191,7 +191,7 @@
     }
 
     /// Another instance may have counted meanwhile: goes on as a new keeper does.
-    pub fn begin_again(&mut self) {
+    pub fn restart_counts(&mut self) {
         for counted in self.counts.values_mut() {
             counted.begins_again = true;
         }
@@ -318,7 +318,12 @@
 
     /// No keeper answers: whether an operation may begin without being counted,
     /// at one of `instances`.
-    pub fn admit_alone(&mut self, now: Moment, limit: QuotaLimit, instances: usize) -> bool {
+    pub fn admit_without_keeper(
+        &mut self,
+        now: Moment,
+        limit: QuotaLimit,
+        instances: usize,
+    ) -> bool {
         let instances = number_of(instances);
         let share = QuotaLimit {
             rate_per_s: limit.rate_per_s * ALONE_PART / instances,
--- a/lib/src/arrivals.rs
+++ b/lib/src/received_statements.rs
@@ -48,14 +48,14 @@
 
 /// What became of statements of other instances.
 #[derive(Clone, Debug)]
-pub struct Arrivals {
+pub struct ReceivedStatements {
     /// Before that an earlier life of this instance may have run statements.
     began_at: Moment,
     states: HashMap<StatementTicket, State>,
     tidied_at: Moment,
 }
 
-impl Arrivals {
+impl ReceivedStatements {
     /// Nothing has arrived since this instance began to run.
     #[must_use]
     pub fn new(began_at: Moment) -> Self {
--- a/lib/src/pool_share.rs
+++ b/lib/src/server_choice.rs
@@ -6,7 +6,7 @@
 use crate::id::TargetId;
 use crate::moment::Moment;
 use crate::position::Position;
-use crate::wait_pace::WaitClass;
+use crate::wait_estimator::WaitClass;
 
 /// Which servers will do for a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -18,7 +18,7 @@
         /// Lowest position that the read has to see.
         floor: Position,
         /// A server that just failed this request: only if no other will do.
-        shunned: Option<TargetId>,
+        failed_server: Option<TargetId>,
     },
     /// This server, to ask for its state.
     Server(TargetId),
@@ -50,7 +50,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Owner {
     /// Any: no client's statement is run.
-    Anybody,
+    AnyAccount,
     /// Those of an account; `None` where clients have none. A server runs what
     /// comes on a connection in the name of the account that it was opened for.
     Account(Option<AccountId>),
@@ -61,7 +61,7 @@
     #[must_use]
     pub fn accepts(&self, account: Option<&AccountId>) -> bool {
         match self {
-            Self::Anybody => true,
+            Self::AnyAccount => true,
             Self::Account(wanted) => wanted.as_ref() == account,
         }
     }
@@ -70,7 +70,7 @@
     #[must_use]
     pub fn account(&self) -> Option<&AccountId> {
         match self {
-            Self::Anybody => None,
+            Self::AnyAccount => None,
             Self::Account(account) => account.as_ref(),
         }
     }
@@ -78,7 +78,7 @@
 
 /// Connections to one server, as one request sees them.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct PoolShare {
+pub struct PoolView {
     /// Open, idle ones included.
     pub open: usize,
     /// Not in use, and of the request's account.
@@ -108,7 +108,7 @@
 /// them: writes have nowhere else to go.
 const LEADER_RESERVE: usize = 2;
 
-impl PoolShare {
+impl PoolView {
     fn has_room(&self) -> bool {
         self.open + self.opening < self.budget
     }
@@ -153,7 +153,7 @@
     group: &Group,
     now: Moment,
     need: &Need,
-    share_of: impl Fn(&TargetId) -> PoolShare,
+    share_of: impl Fn(&TargetId) -> PoolView,
 ) -> Choice {
     match need {
         Need::Leader => match group.usable_leader(now) {
@@ -161,8 +161,8 @@
             None => Choice::Wait,
         },
         Need::Server(id) => among(group, now, std::slice::from_ref(id), &share_of),
-        Need::Reader { floor, shunned } => {
-            choose_reader(group, now, *floor, shunned.as_ref(), &share_of)
+        Need::Reader { floor, failed_server } => {
+            choose_reader(group, now, *floor, failed_server.as_ref(), &share_of)
         }
     }
 }
@@ -171,13 +171,13 @@
     group: &Group,
     now: Moment,
     floor: Position,
-    shunned: Option<&TargetId>,
-    share_of: &impl Fn(&TargetId) -> PoolShare,
+    failed_server: Option<&TargetId>,
+    share_of: &impl Fn(&TargetId) -> PoolView,
 ) -> Choice {
     let able = group.readers(now, floor);
     let sound = |id: &TargetId| {
         let avoided = group.server(id).is_none_or(|view| view.is_avoided(now));
-        !avoided && shunned != Some(id)
+        !avoided && failed_server != Some(id)
     };
     let (sound, doubtful): (Vec<_>, Vec<_>) = able.into_iter().partition(sound);
     let (leader, replicas): (Vec<_>, Vec<_>) = sound.into_iter().partition(|id| group.leads(id));
@@ -202,7 +202,7 @@
     group: &Group,
     now: Moment,
     ids: &[TargetId],
-    share_of: &impl Fn(&TargetId) -> PoolShare,
+    share_of: &impl Fn(&TargetId) -> PoolView,
 ) -> Choice {
     let allowed = |id: &&TargetId| {
         let running = group.server(id).map_or(0, |view| view.running);
--- a/lib/src/server_refusal.rs
+++ b/lib/src/server_refusal.rs
@@ -43,7 +43,7 @@
 impl RefusalKind {
     /// Whether the server promises that the statement did not run.
     #[must_use]
-    pub fn promises_no_run(self) -> bool {
+    pub fn guarantees_not_run(self) -> bool {
         match self {
             Self::Busy
             | Self::UnknownPreparedName
--- a/lib/src/succession.rs
+++ b/lib/src/succession.rs
@@ -17,7 +17,7 @@
 
 /// Instances kept of each ranking. One is the owner, two watch it, and one
 /// more is ready when one of these goes.
-pub const DEPTH: usize = 4;
+pub const RANKING_DEPTH: usize = 4;
 
 /// An instance in a ranking; greater is better.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug, Default)]
 struct Ranking {
     near: Option<FailureDomainId>,
-    /// Best first, at most [`DEPTH`].
+    /// Best first, at most [`RANKING_DEPTH`].
     top: Vec<Ranked>,
 }
 
@@ -78,7 +78,7 @@
     }
 
     fn rank_all(&self, database: &str, near: Option<FailureDomainId>) -> Ranking {
-        let mut top: Vec<Ranked> = Vec::with_capacity(DEPTH + 1);
+        let mut top: Vec<Ranked> = Vec::with_capacity(RANKING_DEPTH + 1);
         for (id, domain) in &self.candidates {
             insert(&mut top, rank_one(database, near.as_ref(), id, domain));
         }
@@ -140,7 +140,7 @@
 
     /// Our place among the first few, not counting `without`.
     #[must_use]
-    pub fn rank_of_me(&self, database: &str, without: Option<&str>) -> Option<usize> {
+    pub fn own_rank(&self, database: &str, without: Option<&str>) -> Option<usize> {
         let ranking = self.rankings.get(database)?;
         let others = ranking.top.iter().filter(|ranked| Some(&*ranked.id) != without);
         let mut ids = others.map(|ranked| &ranked.id);
@@ -164,10 +164,10 @@
 /// Puts an instance in its place if it is among the first few.
 fn insert(top: &mut Vec<Ranked>, ranked: Ranked) -> bool {
     let place = top.partition_point(|other| *other > ranked);
-    if place >= DEPTH {
+    if place >= RANKING_DEPTH {
         return false;
     }
     top.insert(place, ranked);
-    top.truncate(DEPTH);
+    top.truncate(RANKING_DEPTH);
     true
 }
--- a/lib/src/wait_pace.rs
+++ b/lib/src/wait_estimator.rs
@@ -21,7 +21,7 @@
 
 /// Requests that wait for the same and are served in turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct WaitLine {
+pub struct SubQueue {
     /// What they wait for.
     pub class: WaitClass,
     /// Whether they can meet their objective.
@@ -38,8 +38,8 @@
 /// under overload most of the refused had waited for three quarters of their
 /// objective first. So the wait for each place in the queue is measured.
 #[derive(Clone, Debug, Default)]
-pub struct WaitPace {
-    paces: HashMap<WaitLine, Pace>,
+pub struct WaitEstimator {
+    paces: HashMap<SubQueue, Pace>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -56,10 +56,10 @@
 /// was served: both make it worthless.
 const FRESH_FOR: Duration = Duration::from_millis(500);
 
-impl WaitPace {
+impl WaitEstimator {
     /// A request that had `ahead` others before it waited so long until it got
     /// a connection, or gave up.
-    pub fn observe(&mut self, now: Moment, line: WaitLine, ahead: usize, waited: Duration) {
+    pub fn observe(&mut self, now: Moment, line: SubQueue, ahead: usize, waited: Duration) {
         let wait_per_place = waited / places(ahead);
         let pace = self.paces.entry(line).or_insert(Pace { wait_per_place, observed_at: now });
         if pace.observed_at + FRESH_FOR < now {
@@ -76,7 +76,7 @@
     /// Whoever is next is never told a wait: only those that are let in
     /// measure how it changes.
     #[must_use]
-    pub fn expected_wait(&self, now: Moment, line: WaitLine, ahead: usize) -> Option<Duration> {
+    pub fn expected_wait(&self, now: Moment, line: SubQueue, ahead: usize) -> Option<Duration> {
         let pace = self.paces.get(&line)?;
         let fresh = pace.observed_at + FRESH_FOR >= now;
         (fresh && ahead > 0).then(|| pace.wait_per_place * places(ahead))
--- a/lib/src/waits.rs
+++ b/lib/src/waits.rs
@@ -37,7 +37,7 @@
 /// A server that goes dark closes nothing. Without this question it was missed
 /// only when statements reached their deadline, 0.8 s later.
 #[must_use]
-pub fn doubt_after(usual_time: Duration) -> Duration {
+pub fn liveness_check_after(usual_time: Duration) -> Duration {
     SHORTEST_DOUBT.max(usual_time * STALL_FACTOR)
 }
 
@@ -49,7 +49,7 @@
 /// with three slots, and urgent ones waited 100 to 170 ms behind the others. At
 /// an eighth, long statements of a calm server are taken for a queue.
 #[must_use]
-pub fn slow_from(objective: Duration) -> Duration {
+pub fn slow_threshold(objective: Duration) -> Duration {
     objective / 6
 }
 
@@ -58,6 +58,6 @@
 /// Three quarters; the rest is about the usual time of a statement with the
 /// ways to the client.
 #[must_use]
-pub fn patience(objective: Duration) -> Duration {
+pub fn max_wait(objective: Duration) -> Duration {
     objective * 3 / 4
 }
--- a/lib/tests/exploration/servers.rs
+++ b/lib/tests/exploration/servers.rs
@@ -61,7 +61,7 @@
             follows: self.follows.map(server_name),
             received: self.last(),
             applied: self.last(),
-            primary_heard: self
+            since_primary_contact: self
                 .follows
                 .map(|_| std::time::Duration::from_millis(self.heard_ago_ms)),
         }
--- a/lib/tests/right_world/mod.rs
+++ b/lib/tests/lease_world/mod.rs
@@ -17,14 +17,14 @@
 use chervilwharf_lib::id::Term;
 use chervilwharf_lib::moment::Moment;
 use chervilwharf_lib::position::Position;
-use chervilwharf_lib::primary_right::Agreement;
-use chervilwharf_lib::primary_right::Ending;
-use chervilwharf_lib::primary_right::FORGETFUL;
-use chervilwharf_lib::primary_right::Objection;
-use chervilwharf_lib::primary_right::PrimaryRight;
-use chervilwharf_lib::primary_right::Promise;
-use chervilwharf_lib::primary_right::Readiness;
-use chervilwharf_lib::primary_right::STORE_LEASE;
+use chervilwharf_lib::primary_lease::Ending;
+use chervilwharf_lib::primary_lease::Objection;
+use chervilwharf_lib::primary_lease::PrimaryLease;
+use chervilwharf_lib::primary_lease::Promise;
+use chervilwharf_lib::primary_lease::PromiseTally;
+use chervilwharf_lib::primary_lease::RESTART_PROMISE_WINDOW;
+use chervilwharf_lib::primary_lease::Readiness;
+use chervilwharf_lib::primary_lease::STORE_LEASE;
 use chervilwharf_lib::revision::Era;
 use std::time::Duration;
 
@@ -103,7 +103,7 @@
     /// The order is being written.
     Claim { until_ms: u64 },
     /// Promises are being collected.
-    Collect { agreement: Agreement, until_ms: u64, asked_ms: u64 },
+    Collect { agreement: PromiseTally, until_ms: u64, asked_ms: u64 },
     /// The best replica has to receive what the old primary has.
     Receive { until_ms: u64 },
 }
@@ -238,9 +238,9 @@
 
     fn start_instance(&mut self) -> Instance {
         let mut group = Group::default();
-        *group.right_mut() = PrimaryRight::unknown().with_start(at(self.now_ms));
+        *group.primary_lease_mut() = PrimaryLease::unknown().with_start(at(self.now_ms));
         if self.taken_out == TakenOut::OrdersBeforeVotes {
-            group.right_mut().knows_orders();
+            group.primary_lease_mut().orders_known();
         }
         group.set_servers(at(self.now_ms), listed());
         Instance {
@@ -371,14 +371,14 @@
     fn note_era(&mut self, number: usize, era: Era) {
         let me = &mut self.instances[number];
         me.era = me.era.max(era);
-        me.group.right_mut().note_era(me.era);
+        me.group.primary_lease_mut().note_era(me.era);
     }
 
     fn act(&mut self, number: usize) {
         let now_ms = self.now_ms;
         let ids: Vec<_> = (0..INSTANCES).map(instance_id).collect();
         let me = &mut self.instances[number];
-        me.group.right_mut().set_voters(&ids[number], &ids);
+        me.group.primary_lease_mut().set_voters(&ids[number], &ids);
         if now_ms >= me.next_heartbeat_ms {
             me.next_heartbeat_ms = now_ms + HEARTBEAT_MS;
             self.heartbeat(number);
@@ -444,16 +444,16 @@
             Message::Heartbeat { from, asked_ms, term, era } => {
                 self.note_era(to, era);
                 let era = self.instances[to].era;
-                let right = self.instances[to].group.right_mut();
-                if let Some(retired) = right.grant(now, &instance_id(from), term) {
+                let primary_lease = self.instances[to].group.primary_lease_mut();
+                if let Some(retired) = primary_lease.grant(now, &instance_id(from), term) {
                     let grant = Message::Grant { from: to, asked_ms, retired, era };
                     self.send_peer(to, from, grant);
                 }
             }
             Message::Grant { from, asked_ms, retired, era } => {
                 self.note_era(to, era);
-                let right = self.instances[to].group.right_mut();
-                right.granted(&instance_id(from), at(asked_ms), retired, era);
+                let primary_lease = self.instances[to].group.primary_lease_mut();
+                primary_lease.granted(&instance_id(from), at(asked_ms), retired, era);
             }
             Message::TermEnd { from, life, ending, planned } => {
                 let side = self.instances[to].side;
@@ -472,7 +472,9 @@
                     self.take_promise(to, from, token, reply);
                 }
             }
-            Message::Settled { token } => self.instances[to].group.right_mut().settle(token),
+            Message::Settled { token } => {
+                self.instances[to].group.primary_lease_mut().settle(token)
+            }
             Message::StoreRead { asked_ms } => {
                 let (stored, era) = (self.stored.clone(), self.era);
                 if self.store_up {
@@ -496,16 +498,16 @@
     fn take_reading(&mut self, to: usize, asked_ms: u64, stored: StoredOrder, era: Era) {
         let me = &mut self.instances[to];
         let ended = stored.ended_term();
-        let right = me.group.right_mut();
-        right.take_ended(ended);
-        right.granted_by_store(at(asked_ms), ended, era);
-        let settled = at(self.now_ms) >= at(me.started_ms) + FORGETFUL;
+        let primary_lease = me.group.primary_lease_mut();
+        primary_lease.adopt_ended_term(ended);
+        primary_lease.record_store_grant(at(asked_ms), ended, era);
+        let settled = at(self.now_ms) >= at(me.started_ms) + RESTART_PROMISE_WINDOW;
         let trusted = era == 0
             || is_token_of_era(stored.token, era)
             || settled
             || self.taken_out == TakenOut::OrdersOfTheEra;
         if asked_ms >= me.started_ms && trusted {
-            right.knows_orders();
+            primary_lease.orders_known();
         }
         if stored.token > me.known.token {
             me.known = stored.clone();
@@ -519,11 +521,11 @@
         let me = &self.instances[number];
         let fresh = me.reading.as_ref().filter(|(asked_ms, _)| {
             at(*asked_ms) + STORE_LEASE > at(self.now_ms)
-                && at(*asked_ms) >= at(me.started_ms) + FORGETFUL
+                && at(*asked_ms) >= at(me.started_ms) + RESTART_PROMISE_WINDOW
         });
         let granted = fresh.is_some_and(|(_, stored)| stored.ended_term() < term);
         let taken_out = self.taken_out == TakenOut::GrantsBeforeStore;
-        taken_out && granted && term > me.group.right().retired()
+        taken_out && granted && term > me.group.primary_lease().retired()
     }
 
     /// An instance promised an order, which a copy of the store may lack.
@@ -541,7 +543,7 @@
     }
 
     fn acknowledge(&mut self, to: usize, entry: usize, term: Term) {
-        let holds = self.instances[to].group.right().holds(at(self.now_ms), term)
+        let holds = self.instances[to].group.primary_lease().holds(at(self.now_ms), term)
             || self.trusts_store(to, term);
         if !holds && self.taken_out != TakenOut::CheckOfAcknowledgements {
             return;
@@ -596,7 +598,7 @@
             return;
         }
         let group = &self.instances[number].group;
-        let term = group.seen_term().max(group.right().retired()).max(1);
+        let term = group.seen_term().max(group.primary_lease().retired()).max(1);
         let known = group.leader().filter(|leader| leader.term > 0);
         let from = known.map(|leader| number_of(&leader.id));
         let side = self.instances[number].side;
@@ -664,7 +666,7 @@
         }
         let ids: Vec<_> = (0..INSTANCES).map(instance_id).collect();
         let written_at = replacement.written.map(|written| at(written.at_ms));
-        let agreement = Agreement::new(ids.clone(), ids, written_at);
+        let agreement = PromiseTally::new(ids.clone(), ids, written_at);
         let until_ms = self.now_ms + PROMISE_LIMIT_MS;
         replacement.step = Step::Collect { agreement, until_ms, asked_ms: 0 };
         true
@@ -692,7 +694,8 @@
         let word_is_needed = self.era > 0 && !is_token_of_era(self.stored.token, self.era);
         if word_is_needed && self.taken_out != TakenOut::WordOfMost {
             // It was told in the era that it knows.
-            let told = me.group.right().retired_by_most().filter(|_| me.era == self.era)?;
+            let told =
+                me.group.primary_lease().retired_by_majority().filter(|_| me.era == self.era)?;
             retired = retired.max(told);
         }
         let token = if self.taken_out == TakenOut::TokensOfTheEra {
@@ -721,7 +724,7 @@
         &mut self,
         number: usize,
         replacement: &mut Replacement,
-        agreement: &Agreement,
+        agreement: &PromiseTally,
         until_ms: u64,
         asked_ms: u64,
     ) -> bool {
@@ -729,7 +732,7 @@
             Readiness::From(from) => {
                 from <= at(self.now_ms) || self.taken_out == TakenOut::WaitForSilent
             }
-            Readiness::SomeSilent => self.taken_out == TakenOut::WaitForSilent,
+            Readiness::SomeUnreachable => self.taken_out == TakenOut::WaitForSilent,
             Readiness::TooFewVotes => {
                 let written = replacement.written;
                 let waited = written.is_some_and(|written| written.at_ms + 900 <= self.now_ms);
--- a/lib/tests/quota_world/mod.rs
+++ b/lib/tests/quota_simulation/mod.rs
@@ -12,7 +12,7 @@
 use chervilwharf_lib::id::AccountId;
 use chervilwharf_lib::keeper_lease::Candidate;
 use chervilwharf_lib::keeper_lease::KeeperLease;
-use chervilwharf_lib::keeper_lease::RENEWAL;
+use chervilwharf_lib::keeper_lease::RENEWAL_INTERVAL;
 use chervilwharf_lib::keeper_lease::Vote;
 use chervilwharf_lib::keeper_lease::Votes;
 use chervilwharf_lib::keeper_lease::voters;
@@ -20,7 +20,7 @@
 use chervilwharf_lib::quota::Admission;
 use chervilwharf_lib::quota::Allowance;
 use chervilwharf_lib::quota::QuotaAnswer;
-use chervilwharf_lib::quota::QuotaBook;
+use chervilwharf_lib::quota::QuotaCounters;
 use chervilwharf_lib::quota::QuotaTolerance;
 use chervilwharf_lib::quota::ask_again_after;
 use rand::Rng;
@@ -67,7 +67,7 @@
     votes: Votes,
     lease: KeeperLease,
     renewed_at: Moment,
-    book: QuotaBook,
+    book: QuotaCounters,
     allowance: Allowance,
     fleet: Fleet,
     /// Whether it knows the others.
@@ -92,7 +92,7 @@
             votes: Votes::new(now),
             lease: KeeperLease::default(),
             renewed_at: Moment::ZERO,
-            book: QuotaBook::default(),
+            book: QuotaCounters::default(),
             allowance: Allowance::new(now),
         }
     }
@@ -204,7 +204,7 @@
             if self.without == Some(Rule::UnlistedCount) {
                 one.fleet.replace(now, listed.clone());
             } else {
-                one.fleet.replace_by_copy(now, listed.clone());
+                one.fleet.replace_after_store_restore(now, listed.clone());
             }
         }
     }
@@ -315,7 +315,7 @@
         };
         let rank = u32::try_from(rank).expect("few voters");
         let due = if me.lease.is_held(self.now) {
-            me.renewed_at + RENEWAL <= self.now
+            me.renewed_at + RENEWAL_INTERVAL <= self.now
         } else {
             me.votes.should_try(self.now, SHARD, rank)
         };
@@ -336,9 +336,9 @@
         if me.lease.check(self.now, &needed) {
             self.seen.keepers += 1;
             if self.without == Some(Rule::BeginsWithLittle) {
-                me.book = QuotaBook::default();
+                me.book = QuotaCounters::default();
             } else {
-                me.book.begin_again();
+                me.book.restart_counts();
             }
         }
         if !me.lease.is_held(self.now) {
@@ -401,7 +401,7 @@
         let keeps = |to: &usize| self.instances[*to].lease.is_held(now) && self.reaches(index, *to);
         let Some(keeper) = (0..instances).find(keeps) else {
             let instances = if self.without == Some(Rule::AloneLittle) { 1 } else { instances };
-            return self.instances[index].allowance.admit_alone(now, LIMIT, instances);
+            return self.instances[index].allowance.admit_without_keeper(now, LIMIT, instances);
         };
         let mut grant = TOLERANCE.applied_to(LIMIT);
         if self.without == Some(Rule::BeginsWithLittle) {
--- a/lib/tests/test_accounts.rs
+++ b/lib/tests/test_accounts.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn test_key_in_two_accounts_is_nobodys() {
+fn test_key_in_two_accounts_belongs_to_neither() {
     // Symptom: statements of one account run in the name of another.
     // Sequence: an operator writes the same key under two accounts.
     // Cause: whichever is read last would hold it.
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn test_key_digests_show_nothing() {
+fn test_key_digests_are_not_printed() {
     let shown = format!("{:?}", account(&["secret"], None));
     assert!(!shown.contains("secret") && !shown.contains("43"), "{shown}");
     let digest = KeyDigest::of("secret");
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn test_account_that_asks_more_often_wants_its_connection_more() {
+fn test_account_that_requests_more_often_has_the_higher_rate() {
     let mut rates = AccountRates::default();
     for ms in (0..4_000).step_by(100) {
         rates.observe(Moment::from_millis(ms), &"often".into());
--- a/lib/tests/test_config_check.rs
+++ b/lib/tests/test_config_check.rs
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn test_circle_of_services_is_named() {
+fn test_cycle_of_services_is_reported() {
     let text = r#"{"failure_domains": [], "databases": {}, "accounts": {}, "services": {
         "a": {"depends_on": {"services": ["b"]}},
         "b": {"depends_on": {"services": ["c"]}},
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn test_name_that_stands_twice_is_an_error() {
+fn test_duplicate_name_is_an_error() {
     let text = "{\"services\": {\n\"a\": {},\n\"a\": {}}}";
     let found = errors(text);
     assert_eq!(found.len(), 1, "{found:?}");
--- a/lib/tests/test_decisions.rs
+++ b/lib/tests/test_decisions.rs
@@ -30,7 +30,7 @@
 use chervilwharf_lib::routing::ReadTarget;
 use chervilwharf_lib::routing::Route;
 use chervilwharf_lib::routing::choose;
-use chervilwharf_lib::succession::DEPTH;
+use chervilwharf_lib::succession::RANKING_DEPTH;
 use chervilwharf_lib::succession::Succession;
 use prost::Message;
 use quickcheck::quickcheck;
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn test_full_queue_pushes_out_the_least_important() {
+fn test_full_queue_displaces_the_lowest_priority() {
     let now = Instant::now();
     let mut queue = SlotQueue::new(1);
     queue.request(now, 1, now + ms(60_000));
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn test_promotion_lifts_all_floors_to_its_first_entry() {
+fn test_promotion_raises_all_floors_to_its_first_entry() {
     let mut floors = Floors::new(Position::new(1, 1));
     floors.raise(&"a".into(), Position::new(1, 99));
     floors.promoted(Position::new(2, 50));
@@ -251,7 +251,7 @@
 }
 
 #[test]
-fn test_account_over_its_rate_is_told_when_to_come_back() {
+fn test_account_over_its_rate_gets_time_until_next_request() {
     let now = Instant::now();
     let mut limits = AccountLimits::new(now, 10);
     (0..10).for_each(|_| limits.try_request(now, 10).unwrap());
@@ -343,7 +343,7 @@
 
 /// The kept rankings are those one would get by ranking everything anew.
 #[test]
-fn test_succession_follows_every_change_of_membership() {
+fn test_succession_matches_full_ranking_after_every_membership_change() {
     fn property(changes: Vec<(bool, u8)>) -> bool {
         let me: InstanceId = "instance-0".into();
         let domain = |n: u8| -> Arc<str> { format!("domain-{}", n % 3).into() };
@@ -371,8 +371,8 @@
                 .collect();
             for view in &views {
                 let all = rank(&view.id, &candidates, view.near.as_ref());
-                let place = all.iter().take(DEPTH).position(|id| *id == me);
-                if succession.rank_of_me(&view.id, None) != place {
+                let place = all.iter().take(RANKING_DEPTH).position(|id| *id == me);
+                if succession.own_rank(&view.id, None) != place {
                     return false;
                 }
                 if succession.best(&view.id, view.near.as_ref()) != all.first().cloned() {
--- a/lib/tests/test_docs.rs
+++ b/lib/tests/test_docs.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn test_bad_settings_are_refused_in_words() {
+fn test_bad_settings_are_refused_with_a_reason() {
     let cases = [
         ("{}", "missing field `instance`"),
         ("{\"instance\": \"a\", \"colour\": 1}", "unknown field `colour`"),
--- a/lib/tests/test_story.rs
+++ b/lib/tests/test_explanation.rs
@@ -6,12 +6,12 @@
 use chervilwharf_lib::event::EventKind;
 use chervilwharf_lib::event::LineBudget;
 use chervilwharf_lib::event::LineCounter;
-use chervilwharf_lib::story;
-use chervilwharf_lib::story::LogLine;
+use chervilwharf_lib::explanation;
+use chervilwharf_lib::explanation::LogLine;
 use quickcheck::quickcheck;
 
 fn line(at_ms: u128, instance: &str, event: &Event) -> LogLine {
-    story::parse_line(&event.line(at_ms, instance)).expect("a line that we wrote")
+    explanation::parse_line(&event.line(at_ms, instance)).expect("a line that we wrote")
 }
 
 fn request(kind: EventKind, id: &str, reason: &str) -> Event {
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn test_story_of_a_commit_lost_with_its_primary() {
+fn test_explanation_of_a_commit_lost_with_its_primary() {
     // Symptom: a client is told that nobody knows whether its write is kept.
     // Sequence: the primary goes dark at COMMIT; another instance replaces it.
     // Cause: told from the lines of two instances.
@@ -65,62 +65,62 @@
         line(10_710, "a", &request(EventKind::RequestRefused, "r2", "overloaded")),
         line(2_000, "b", &replaced),
     ];
-    let story = story::tell("r1", log);
-    let told: Vec<_> = story.lines.iter().map(|line| (&*line.line.event, line.own)).collect();
+    let explanation = explanation::explain_request("r1", log);
+    let told: Vec<_> = explanation.lines.iter().map(|line| (&*line.line.event, line.own)).collect();
     assert_eq!(told, [("replacement_begun", false), ("request_unknown", true)]);
-    let cause = story.cause.expect("a cause");
+    let cause = explanation.cause.expect("a cause");
     assert!(cause.contains("s1 did not answer") && cause.contains("replaced by s2"), "{cause}");
-    assert!(story.missing.is_empty());
+    assert!(explanation.missing.is_empty());
 }
 
 #[test]
-fn test_story_counts_what_was_said_often_and_names_what_is_missing() {
+fn test_explanation_counts_repeated_lines_and_lists_missing_information() {
     let failed = Event::new(EventKind::ProbeFailed).with("group", "db").with("server", "s1");
     let left_out = Event::new(EventKind::LinesLeftOut).with("of", "probe_failed").with("count", 12);
     let mut log: Vec<_> = (0..5).map(|step| line(10_000 + step, "a", &failed)).collect();
     log.push(line(10_100, "a", &request(EventKind::RequestMoved, "r1", "overloaded")));
     log.push(line(10_200, "a", &left_out));
-    let story = story::tell("r1", log.clone());
-    assert_eq!(story.lines[0].count, 5);
-    assert_eq!(story.missing.len(), 2, "its end, and 12 lines: {:?}", story.missing);
-    let absent = story::tell("other", log);
+    let explanation = explanation::explain_request("r1", log.clone());
+    assert_eq!(explanation.lines[0].count, 5);
+    assert_eq!(explanation.missing.len(), 2, "its end, and 12 lines: {:?}", explanation.missing);
+    let absent = explanation::explain_request("other", log);
     assert!(absent.lines.is_empty() && absent.cause.is_none());
     assert!(absent.missing[0].contains("no line names this id"));
 }
 
 #[test]
-fn test_text_before_the_object_is_passed_over() {
+fn test_text_before_the_json_object_is_ignored() {
     let text = Event::new(EventKind::Started).line(5, "a");
-    let line = story::parse_line(&format!("  12.5 front-1 {text}")).unwrap();
+    let line = explanation::parse_line(&format!("  12.5 front-1 {text}")).unwrap();
     assert_eq!((line.at_ms, &*line.instance, &*line.event), (5, "a", "started"));
-    assert_eq!(story::parse_line("plain words"), None);
-    assert_eq!(story::parse_line("{\"event\":\"x\"}"), None);
+    assert_eq!(explanation::parse_line("plain words"), None);
+    assert_eq!(explanation::parse_line("{\"event\":\"x\"}"), None);
 }
 
 quickcheck! {
     /// Whatever a client sends, a line is one line of valid JSON, and bounded.
     fn prop_any_text_makes_one_valid_line(text: String, instance: String) -> bool {
         let line = Event::new(EventKind::RequestRefused).with("text", &text).line(1, &instance);
-        let parsed = story::parse_line(&line);
+        let parsed = explanation::parse_line(&line);
         !line.contains('\n') && line.len() < 6_000 && parsed.is_some()
     }
 }
 
 #[test]
-fn test_story_tells_why_an_instance_refused_and_why_a_commit_is_unknown() {
+fn test_explanation_says_why_an_instance_refused_and_why_a_commit_is_unknown() {
     // Symptom: the reason names the refusal, not what was behind it.
     // Sequence: an instance has not the right to use the primary; another one
     // gets a commit acknowledged after its right has ended.
     // Cause: only the name of the error was told.
     let refused = request(EventKind::RequestRefused, "r1", "cut_off");
-    let story = story::tell("r1", vec![line(5_000, "a", &refused)]);
-    let cause = story.cause.expect("a cause");
+    let explanation = explanation::explain_request("r1", vec![line(5_000, "a", &refused)]);
+    let cause = explanation.cause.expect("a cause");
     assert!(cause.contains("instance a had not the right"), "{cause}");
 
     let unconfirmed = Event::new(EventKind::CommitUnconfirmed).with("id", "r2").with("group", "db");
     let unknown = request(EventKind::RequestUnknown, "r2", "outcome_unknown");
     let log = vec![line(5_000, "a", &unconfirmed), line(5_001, "a", &unknown)];
-    let cause = story::tell("r2", log).cause.expect("a cause");
+    let cause = explanation::explain_request("r2", log).cause.expect("a cause");
     assert!(cause.contains("may have been succeeded"), "{cause}");
 }
 
@@ -136,7 +136,7 @@
     ];
     for (reason, text, expected) in cases {
         let log = [line(1_000, "a", &refused(reason, text))];
-        let cause = story::tell("r", log.to_vec()).cause.expect("a cause");
+        let cause = explanation::explain_request("r", log.to_vec()).cause.expect("a cause");
         assert!(cause.contains("alder") && cause.contains(expected), "{cause}");
     }
 }
--- a/lib/tests/test_exploration.rs
+++ b/lib/tests/test_exploration.rs
@@ -71,21 +71,21 @@
 }
 
 #[test]
-fn test_missing_confirm_wait_is_noticed() {
+fn test_missing_confirm_wait_is_detected() {
     assert_noticed(MissingRule::ConfirmWait);
 }
 
 #[test]
-fn test_missing_term_check_is_noticed() {
+fn test_missing_term_check_is_detected() {
     assert_noticed(MissingRule::TermCheck);
 }
 
 #[test]
-fn test_missing_confirmation_in_own_term_is_noticed() {
+fn test_missing_confirmation_in_own_term_is_detected() {
     assert_noticed(MissingRule::ConfirmInOwnTerm);
 }
 
 #[test]
-fn test_missing_currency_is_noticed() {
+fn test_missing_recent_confirmation_is_detected() {
     assert_noticed(MissingRule::Currency);
 }
--- a/lib/tests/test_group.rs
+++ b/lib/tests/test_group.rs
@@ -148,8 +148,9 @@
     assert!(!group.can_read(at(5_000), &id("r1"), Position::new(1, 130)));
     assert!(group.can_read(at(6_900), &id("r1"), Position::new(1, 130)));
     // Silent for half a second, it is asked whether it has caught up.
-    let laggards: Vec<_> = group.laggards(at(5_600)).map(|view| view.info.id.clone()).collect();
-    assert_eq!(laggards, [id("r1")]);
+    let lagging_replicas: Vec<_> =
+        group.lagging_replicas(at(5_600)).map(|view| view.info.id.clone()).collect();
+    assert_eq!(lagging_replicas, [id("r1")]);
 }
 
 #[test]
@@ -185,9 +186,9 @@
 #[test]
 fn test_leader_that_others_know_in_a_later_term_is_believed() {
     let mut group = group();
-    assert!(!group.hear_of_leader(at(5), &id("r1"), 1));
-    assert!(!group.hear_of_leader(at(5), &id("unlisted"), 2));
-    assert!(group.hear_of_leader(at(5), &id("r1"), 2));
+    assert!(!group.observe_reported_leader(at(5), &id("r1"), 1));
+    assert!(!group.observe_reported_leader(at(5), &id("unlisted"), 2));
+    assert!(group.observe_reported_leader(at(5), &id("r1"), 2));
     assert!(group.leads(&id("r1")));
 }
 
@@ -197,7 +198,7 @@
     // Sequence: the primary refuses the instance's questions for its position.
     // Cause: without a sample no replica may answer.
     let mut group = group();
-    group.hear_of_position(at(2_000), Position::new(1, 140));
+    group.observe_reported_position(at(2_000), Position::new(1, 140));
     let floor = group.floor(at(2_500), Consistency::Bounded(STALENESS), None);
     assert_eq!(floor, Some(Position::new(1, 140)));
 }
--- a/lib/tests/test_right_exploration.rs
+++ b/lib/tests/test_lease_exploration.rs
@@ -2,7 +2,7 @@
 //! commit is acknowledged by one that was succeeded, no read that must see every
 //! commit misses one, and a planned change loses nothing.
 
-mod right_world;
+mod lease_world;
 
 use right_world::TakenOut;
 use right_world::World;
--- a/lib/tests/test_loss.rs
+++ b/lib/tests/test_loss.rs
@@ -4,13 +4,13 @@
 
 use chervilwharf_lib::event::Event;
 use chervilwharf_lib::event::EventKind;
+use chervilwharf_lib::explanation;
+use chervilwharf_lib::explanation::LogLine;
 use chervilwharf_lib::loss;
-use chervilwharf_lib::story;
-use chervilwharf_lib::story::LogLine;
 use quickcheck::quickcheck;
 
 fn line(at_ms: u64, instance: &str, event: &Event) -> LogLine {
-    story::parse_line(&event.line(at_ms.into(), instance)).expect("a line that we wrote")
+    explanation::parse_line(&event.line(at_ms.into(), instance)).expect("a line that we wrote")
 }
 
 fn ended(kind: EventKind, group: &str, reason: &str, took_ms: u64) -> Event {
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn test_refusals_are_told_apart_by_the_cause_behind_them() {
+fn test_refusals_are_grouped_by_their_cause() {
     let out_of_reach = Event::new(EventKind::PrimaryOutOfReach).with("group", "hot");
     let silent = Event::new(EventKind::PeerSilent).with("peer", "h1");
     let cut_off = |group| ended(EventKind::RequestRefused, group, "cut_off", 2);
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn test_a_cause_of_another_group_is_none() {
+fn test_event_of_another_group_is_not_a_cause() {
     let replaced = Event::new(EventKind::ReplacementBegun).with("group", "other");
     let refused = ended(EventKind::RequestRefused, "db", "no_primary", 800);
     let log = [line(1_000, "a", &replaced), line(1_500, "a", &refused)];
@@ -91,9 +91,9 @@
 }
 
 #[test]
-fn test_refusals_of_accounts_are_not_put_down_to_what_happened_beside_them() {
-    let stood_still = Event::new(EventKind::StoodStill);
-    let mut log = vec![line(10_000, "a", &stood_still)];
+fn test_refusals_of_accounts_are_not_attributed_to_concurrent_events() {
+    let process_paused = Event::new(EventKind::StoodStill);
+    let mut log = vec![line(10_000, "a", &process_paused)];
     for reason in ["rate_limited", "unknown_key", "quota_unknown"] {
         log.push(line(10_100, "a", &ended(EventKind::RequestRefused, "db", reason, 1)));
     }
--- a/lib/tests/test_ownership.rs
+++ b/lib/tests/test_ownership.rs
@@ -35,7 +35,7 @@
         follows: None,
         received,
         applied: received,
-        primary_heard: None,
+        since_primary_contact: None,
     }
 }
 
@@ -85,7 +85,7 @@
 /// primary has a long tail that was never confirmed, a replica a shorter log
 /// of a newer term. Cause: logs are compared by length alone.
 #[test]
-fn test_log_of_the_newer_term_wins_over_the_longer_one() {
+fn test_log_of_newer_term_is_preferred_to_longer_log() {
     let promoted = promoted_server([
         ("a", Position::new(1, 900)),
         ("b", Position::new(2, 20)),
@@ -99,7 +99,7 @@
 /// all its probes look unanswered. Cause: its own pause is taken for the
 /// silence of the server.
 #[test]
-fn test_own_pause_is_not_taken_for_a_silent_primary() {
+fn test_own_pause_does_not_replace_the_primary() {
     let start = Instant::now();
     let mut ownership = new_ownership("2");
     ownership.handle(start, OwnershipEvent::Take(TakeCause::Vacant));
--- a/lib/tests/test_peer_contact.rs
+++ b/lib/tests/test_peer_contact.rs
@@ -6,17 +6,17 @@
 use std::time::Duration;
 
 use chervilwharf_lib::fleet::InstanceRecord;
+use chervilwharf_lib::holder_choice::Affinity;
 use chervilwharf_lib::holder_choice::Candidate;
-use chervilwharf_lib::holder_choice::Meeting;
 use chervilwharf_lib::holder_choice::choose;
 use chervilwharf_lib::holders::holders;
 use chervilwharf_lib::id::GroupId;
 use chervilwharf_lib::id::InstanceId;
 use chervilwharf_lib::moment::Moment;
 use chervilwharf_lib::peer_contact::Contact;
+use chervilwharf_lib::peer_contact::LIVENESS_CHECK_AFTER;
+use chervilwharf_lib::peer_contact::LIVENESS_TIMEOUT;
 use chervilwharf_lib::peer_contact::PeerContacts;
-use chervilwharf_lib::peer_contact::SIGN_AFTER;
-use chervilwharf_lib::peer_contact::SIGN_LIMIT;
 use rand::Rng;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -30,42 +30,42 @@
 }
 
 #[test]
-fn test_instance_is_trusted_until_one_is_silent() {
-    let mut contacts = PeerContacts::default();
-    assert_eq!(contacts.contact(at(0), &id("a")), Contact::Heard);
-    contacts.heard(at(900), &id("b"));
-    assert!(contacts.missed(at(1_100), at(1_000), &id("a")));
-    assert_eq!(contacts.contact(at(1_100), &id("a")), Contact::Silent);
+fn test_instance_is_presumed_reachable_until_another_is_unreachable() {
+    let mut peer_contacts = PeerContacts::default();
+    assert_eq!(peer_contacts.contact(at(0), &id("a")), Contact::Heard);
+    peer_contacts.heard(at(900), &id("b"));
+    assert!(peer_contacts.missed(at(1_100), at(1_000), &id("a")));
+    assert_eq!(peer_contacts.contact(at(1_100), &id("a")), Contact::Silent);
     // It was heard before the other one fell silent, which shows nothing.
-    assert_eq!(contacts.contact(at(1_100), &id("b")), Contact::Unproven);
-    contacts.heard(at(1_150), &id("b"));
-    assert_eq!(contacts.contact(at(1_160), &id("b")), Contact::Heard);
+    assert_eq!(peer_contacts.contact(at(1_100), &id("b")), Contact::Unverified);
+    peer_contacts.heard(at(1_150), &id("b"));
+    assert_eq!(peer_contacts.contact(at(1_160), &id("b")), Contact::Heard);
     // Long after, all are trusted again but the silent one.
-    assert_eq!(contacts.contact(at(9_000), &id("c")), Contact::Heard);
-    assert_eq!(contacts.contact(at(9_000), &id("a")), Contact::Silent);
+    assert_eq!(peer_contacts.contact(at(9_000), &id("c")), Contact::Heard);
+    assert_eq!(peer_contacts.contact(at(9_000), &id("a")), Contact::Silent);
 }
 
 #[test]
-fn test_silent_instance_is_asked_now_and_then_until_it_answers() {
-    let mut contacts = PeerContacts::default();
-    contacts.missed(at(1_000), at(900), &id("a"));
-    assert!(!contacts.take_question(at(1_100), &id("a")), "it was asked just now");
-    assert!(contacts.take_question(at(1_500), &id("a")));
-    assert!(!contacts.take_question(at(1_501), &id("a")));
-    assert!(contacts.heard(at(1_502), &id("a")), "it was silent");
-    assert!(!contacts.take_question(at(2_500), &id("a")));
+fn test_unreachable_instance_is_checked_again_until_it_answers() {
+    let mut peer_contacts = PeerContacts::default();
+    peer_contacts.missed(at(1_000), at(900), &id("a"));
+    assert!(!peer_contacts.take_due_liveness_check(at(1_100), &id("a")), "it was asked just now");
+    assert!(peer_contacts.take_due_liveness_check(at(1_500), &id("a")));
+    assert!(!peer_contacts.take_due_liveness_check(at(1_501), &id("a")));
+    assert!(peer_contacts.heard(at(1_502), &id("a")), "it was silent");
+    assert!(!peer_contacts.take_due_liveness_check(at(2_500), &id("a")));
 }
 
 /// A question that was lost before an answer to a later one says nothing.
 #[test]
-fn test_instance_that_was_heard_since_is_not_silent() {
-    let mut contacts = PeerContacts::default();
-    contacts.heard(at(1_050), &id("a"));
-    assert!(!contacts.missed(at(1_100), at(1_000), &id("a")));
-    assert_ne!(contacts.contact(at(1_100), &id("a")), Contact::Silent);
+fn test_instance_that_answered_since_is_not_unreachable() {
+    let mut peer_contacts = PeerContacts::default();
+    peer_contacts.heard(at(1_050), &id("a"));
+    assert!(!peer_contacts.missed(at(1_100), at(1_000), &id("a")));
+    assert_ne!(peer_contacts.contact(at(1_100), &id("a")), Contact::Silent);
 }
 
-fn candidate(name: &str, contact: Contact, unable: bool, near: bool) -> Candidate {
+fn candidate(name: &str, contact: Contact, recently_refused: bool, near: bool) -> Candidate {
     let record = InstanceRecord {
         id: name.into(),
         life: 1,
@@ -73,11 +73,11 @@
         failure_domain: "a".into(),
         capacity_millicores: 120,
     };
-    Candidate { record, contact, unable, near }
+    Candidate { record, contact, recently_refused, near }
 }
 
 #[test]
-fn test_far_holder_that_can_serve_goes_before_near_ones_that_cannot() {
+fn test_far_holder_that_can_serve_is_preferred_to_near_ones_that_cannot() {
     let candidates = [
         candidate("silent", Contact::Silent, false, true),
         candidate("unable", Contact::Heard, true, true),
@@ -85,11 +85,11 @@
     ];
     for key in 0..5 {
         assert_eq!(
-            &*choose(&candidates, &Meeting::Session(key)).expect("one of three").record.id,
+            &*choose(&candidates, &Affinity::Session(key)).expect("one of three").record.id,
             "able"
         );
     }
-    assert!(choose(&[], &Meeting::Session(0)).is_none());
+    assert!(choose(&[], &Affinity::Session(0)).is_none());
 }
 
 /// Instances, groups and requests of the large deployment.
@@ -149,7 +149,7 @@
 /// An entry that knows nothing of a partition that began at 0.
 struct Entry<'a> {
     record: &'a InstanceRecord,
-    contacts: PeerContacts,
+    peer_contacts: PeerContacts,
     /// Without signs of life: silent holders, until they are forgotten.
     forgotten_at: HashMap<InstanceId, Moment>,
     /// Where the present request's time has got to.
@@ -158,8 +158,8 @@
 
 impl<'a> Entry<'a> {
     fn new(record: &'a InstanceRecord) -> Self {
-        let (contacts, forgotten_at) = (PeerContacts::default(), HashMap::new());
-        Self { record, contacts, forgotten_at, now: Moment::ZERO }
+        let (peer_contacts, forgotten_at) = (PeerContacts::default(), HashMap::new());
+        Self { record, peer_contacts, forgotten_at, now: Moment::ZERO }
     }
 
     fn reaches(&self, id: &InstanceId) -> bool {
@@ -168,7 +168,7 @@
 
     fn contact(&self, way: Way, id: &InstanceId) -> Contact {
         match way {
-            Way::BySigns => self.contacts.contact(self.now, id),
+            Way::BySigns => self.peer_contacts.contact(self.now, id),
             Way::ByStatement => match self.forgotten_at.get(id) {
                 Some(until) if *until > self.now => Contact::Silent,
                 _ => Contact::Heard,
@@ -186,7 +186,7 @@
         let others = untried.filter(|record| record.id != self.record.id);
         let candidate = |record: &InstanceRecord| Candidate {
             contact: self.contact(way, &record.id),
-            unable: false,
+            recently_refused: false,
             near: record.failure_domain == self.record.failure_domain,
             record: record.clone(),
         };
@@ -198,13 +198,13 @@
         let reached = asked.iter().any(|id| self.reaches(id));
         for id in asked {
             if self.reaches(id) {
-                self.contacts.heard(self.now, id);
+                self.peer_contacts.heard(self.now, id);
             } else {
-                self.contacts.missed(self.now + SIGN_LIMIT, self.now, id);
+                self.peer_contacts.missed(self.now + LIVENESS_TIMEOUT, self.now, id);
             }
         }
         if !asked.is_empty() {
-            self.now += if reached { ROUND_TRIP } else { SIGN_LIMIT };
+            self.now += if reached { ROUND_TRIP } else { LIVENESS_TIMEOUT };
         }
         reached
     }
@@ -215,26 +215,27 @@
         let mut tried = Vec::new();
         while self.now < give_up_at {
             let candidates = self.candidates(way, holders, &tried);
-            let Some(chosen) = choose(&candidates, &Meeting::Session(key)) else {
+            let Some(chosen) = choose(&candidates, &Affinity::Session(key)) else {
                 return false;
             };
             let id = chosen.record.id.clone();
             match (way, chosen.contact) {
-                (Way::BySigns, Contact::Unproven) => {
+                (Way::BySigns, Contact::Unverified) => {
                     let all: Vec<_> = candidates.iter().map(|c| c.record.id.clone()).collect();
                     self.ask(&all);
                 }
                 (Way::BySigns, Contact::Silent) => {
                     let now = self.now;
                     let ids = candidates.iter().map(|c| c.record.id.clone());
-                    let due: Vec<_> =
-                        ids.filter(|id| self.contacts.take_question(now, id)).collect();
+                    let due: Vec<_> = ids
+                        .filter(|id| self.peer_contacts.take_due_liveness_check(now, id))
+                        .collect();
                     if !self.ask(&due) {
                         return false;
                     }
                 }
                 _ if self.reaches(&id) => {
-                    self.contacts.heard(self.now, &id);
+                    self.peer_contacts.heard(self.now, &id);
                     self.now += ROUND_TRIP + SERVICE;
                     return true;
                 }
@@ -255,8 +256,8 @@
                 self.forgotten_at.insert(id.clone(), self.now + Duration::from_secs(1));
             }
             Way::BySigns => {
-                self.now += SIGN_AFTER + SIGN_LIMIT;
-                self.contacts.missed(self.now, sent_at, id);
+                self.now += LIVENESS_CHECK_AFTER + LIVENESS_TIMEOUT;
+                self.peer_contacts.missed(self.now, sent_at, id);
             }
         }
     }
@@ -294,7 +295,7 @@
 /// statement waited for silent holders by its own time, and what it had learned
 /// was forgotten after a second.
 #[test]
-fn test_partition_costs_entries_only_what_is_behind_it() {
+fn test_partition_delays_only_requests_without_reachable_holder() {
     for seed in 0..5 {
         let by_statement = play(Way::ByStatement, seed);
         let by_signs = play(Way::BySigns, seed);
@@ -312,8 +313,8 @@
     let holders: Vec<_> =
         (0..8).map(|index| holder(&format!("h{index}"), index % 3 == 0)).collect();
     let home = |candidates: &[Candidate], account: &str| {
-        let meeting = Meeting::Account(account.into());
-        choose(candidates, &meeting).expect("one of them").record.id.clone()
+        let affinity = Affinity::Account(account.into());
+        choose(candidates, &affinity).expect("one of them").record.id.clone()
     };
     let mut homes = std::collections::BTreeMap::new();
     for number in 0..76 {
@@ -343,5 +344,5 @@
         failure_domain: "a".into(),
         capacity_millicores: 120,
     };
-    Candidate { record, contact: Contact::Heard, unable: false, near }
+    Candidate { record, contact: Contact::Heard, recently_refused: false, near }
 }
--- a/lib/tests/test_quota_exploration.rs
+++ b/lib/tests/test_quota_exploration.rs
@@ -1,7 +1,7 @@
 //! No account begins more operations than its limit allows, in any window, whatever
 //! happens to the instances that count them.
 
-mod quota_world;
+mod quota_simulation;
 
 use quota_world::LIMIT;
 use quota_world::QuotaWorld;
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn test_each_rule_taken_out_is_noticed() {
+fn test_each_removed_rule_causes_a_violation() {
     let rules = [
         Rule::Majority,
         Rule::OneVote,
--- a/lib/tests/test_replacement.rs
+++ b/lib/tests/test_replacement.rs
@@ -12,7 +12,7 @@
 use chervilwharf_lib::id::InstanceId;
 use chervilwharf_lib::id::TargetId;
 use chervilwharf_lib::leader_watch::LeaderWatch;
-use chervilwharf_lib::leader_watch::Opinions;
+use chervilwharf_lib::leader_watch::PeerReports;
 use chervilwharf_lib::leader_watch::ReplaceReason;
 use chervilwharf_lib::leader_watch::WatchAction;
 use chervilwharf_lib::leader_watch::should_replace;
@@ -59,8 +59,8 @@
     actions.iter().any(|action| matches!(action, WatchAction::AskPeers(_)))
 }
 
-const NOBODY_REACHES: Opinions =
-    Opinions { reached: 0, failed: 5, unknown: 0, silent: 0, replacing: false };
+const NOBODY_REACHES: PeerReports =
+    PeerReports { reached: 0, failed: 5, unknown: 0, silent: 0, replacing: false };
 
 /// Lets every probe fail until others are asked; returns the time.
 fn until_asked(watch: &mut LeaderWatch, group: &mut Group, from_ms: u64) -> u64 {
@@ -133,7 +133,7 @@
     // term that it needs a right for.
     let (mut watch, mut group) = (LeaderWatch::default(), group(false));
     for ms in (0..2_000).step_by(100) {
-        group.hear_of_position(at(ms), Position::new(1, ms + 1));
+        group.observe_reported_position(at(ms), Position::new(1, ms + 1));
         let actions = watch.tick(at(ms), &group, Some(0));
         let asks = actions.contains(&WatchAction::Sample(id("p")));
         assert_eq!(asks, ms % 200 == 0, "at {ms} ms: {actions:?}");
@@ -163,7 +163,7 @@
     let (mut watch, mut group) = (LeaderWatch::default(), group(false));
     group.observe_failure(at(0), &id("p"));
     let asked_ms = until_asked(&mut watch, &mut group, 0);
-    let opinions = Opinions { reached: 1, failed: 4, ..Opinions::default() };
+    let opinions = PeerReports { reached: 1, failed: 4, ..PeerReports::default() };
     for round in 0..20 {
         let ms = asked_ms + round * 200;
         watch.heard(at(ms), Some(&id("p")), opinions);
@@ -189,7 +189,7 @@
 
 #[test]
 fn test_instances_that_know_nothing_delay_the_decision_only_for_a_while() {
-    let opinions = Opinions { failed: 2, unknown: 3, ..Opinions::default() };
+    let opinions = PeerReports { failed: 2, unknown: 3, ..PeerReports::default() };
     assert!(!should_replace(opinions, 1, false));
     assert!(should_replace(opinions, 3, false));
 }
@@ -201,11 +201,11 @@
     // Sequence: a partition leaves the primary with five instances, and its
     // replicas with the other three.
     // Cause: the three took the silence of the five for agreement.
-    let minority = Opinions { failed: 2, silent: 5, ..Opinions::default() };
+    let minority = PeerReports { failed: 2, silent: 5, ..PeerReports::default() };
     assert!(!should_replace(minority, 9, false));
-    let half = Opinions { failed: 2, silent: 3, ..Opinions::default() };
+    let half = PeerReports { failed: 2, silent: 3, ..PeerReports::default() };
     assert!(!should_replace(half, 9, false));
-    let majority = Opinions { failed: 4, silent: 3, ..Opinions::default() };
+    let majority = PeerReports { failed: 4, silent: 3, ..PeerReports::default() };
     assert!(should_replace(majority, 9, false));
     // Instances that stay silent are taken for dead at last.
     assert!(should_replace(minority, 9, true));
@@ -218,7 +218,7 @@
 /// waiting for it or for a successor that they cannot make.
 #[test]
 fn test_primary_beyond_a_partition_is_given_up_until_it_answers() {
-    let minority = Opinions { reached: 0, failed: 1, unknown: 0, silent: 6, replacing: false };
+    let minority = PeerReports { reached: 0, failed: 1, unknown: 0, silent: 6, replacing: false };
     let mut watch = LeaderWatch::default();
     let mut group = group(false);
     group.observe_failure(at(0), &id("p"));
@@ -237,12 +237,12 @@
 /// Where it can be replaced, or reached, or is being replaced, it is waited for.
 #[test]
 fn test_primary_that_can_be_replaced_or_reached_is_not_given_up() {
-    let some = Opinions { reached: 0, failed: 1, unknown: 0, silent: 6, replacing: false };
+    let some = PeerReports { reached: 0, failed: 1, unknown: 0, silent: 6, replacing: false };
     let waited_for = [
-        Opinions { failed: 6, silent: 1, ..some },
-        Opinions { reached: 1, ..some },
-        Opinions { unknown: 1, ..some },
-        Opinions { replacing: true, ..some },
+        PeerReports { failed: 6, silent: 1, ..some },
+        PeerReports { reached: 1, ..some },
+        PeerReports { unknown: 1, ..some },
+        PeerReports { replacing: true, ..some },
     ];
     for opinions in waited_for {
         let mut watch = LeaderWatch::default();
@@ -294,7 +294,7 @@
     let (mut watch, mut group) = (LeaderWatch::default(), group(false));
     group.observe_failure(at(0), &id("p"));
     let asked_ms = until_asked(&mut watch, &mut group, 0);
-    let replacing = Opinions { replacing: true, ..NOBODY_REACHES };
+    let replacing = PeerReports { replacing: true, ..NOBODY_REACHES };
     watch.heard(at(asked_ms), Some(&id("p")), replacing);
     assert_eq!(replaces(&watch.tick(at(asked_ms + 2_000), &group, Some(0))), None);
     assert!(replaces(&watch.tick(at(asked_ms + 2_600), &group, Some(0))).is_some());
@@ -332,7 +332,7 @@
 fn test_group_without_a_primary_waits_for_one_before_it_promotes() {
     let (mut watch, mut group) = (LeaderWatch::default(), group(false));
     group.observe_not_leading(&id("p"), 0);
-    let unknown = Opinions { unknown: 5, ..Opinions::default() };
+    let unknown = PeerReports { unknown: 5, ..PeerReports::default() };
     let mut replaced_at = None;
     for ms in (0..12_000).step_by(100) {
         let actions = watch.tick(at(ms), &group, Some(0));
--- a/lib/tests/test_replacement_exploration.rs
+++ b/lib/tests/test_replacement_exploration.rs
@@ -14,7 +14,7 @@
 use chervilwharf_lib::id::InstanceId;
 use chervilwharf_lib::id::TargetId;
 use chervilwharf_lib::leader_watch::LeaderWatch;
-use chervilwharf_lib::leader_watch::Opinions;
+use chervilwharf_lib::leader_watch::PeerReports;
 use chervilwharf_lib::leader_watch::ReplaceReason;
 use chervilwharf_lib::leader_watch::WatchAction;
 use chervilwharf_lib::moment::Moment;
@@ -217,7 +217,7 @@
     }
 
     fn ask(&mut self, instance: usize, leader: Option<&TargetId>) {
-        let mut opinions = Opinions::default();
+        let mut opinions = PeerReports::default();
         let now = self.now();
         for other in (0..INSTANCES).filter(|other| *other != instance) {
             if self.instance_side[other] != self.instance_side[instance] {
@@ -228,7 +228,7 @@
             opinions.replacing |= self.pending.is_some() && self.ordered_by == Some(other);
             let known = self.instances[other].group.leader().cloned();
             if let Some(known) = known {
-                self.instances[instance].group.hear_of_leader(now, &known.id, known.term);
+                self.instances[instance].group.observe_reported_leader(now, &known.id, known.term);
             }
             let number = (0..SERVERS).find(|number| leader == Some(&server_id(*number)));
             match number {
--- a/lib/tests/test_server_queue.rs
+++ b/lib/tests/test_server_queue.rs
@@ -75,9 +75,9 @@
         };
         self.now = ends_at;
         let took = ends_at.saturating_sub(sent_at);
-        let slow_from = waits::slow_from(OBJECTIVE);
+        let slow_threshold = waits::slow_threshold(OBJECTIVE);
         let others = self.running[instance] - 1;
-        self.limits[instance].answered(ends_at, others, took, slow_from);
+        self.limits[instance].answered(ends_at, others, took, slow_threshold);
         self.running[instance] -= 1;
         self.times.push(took);
     }
--- a/lib/tests/test_session_parts.rs
+++ b/lib/tests/test_session_parts.rs
@@ -3,9 +3,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use chervilwharf_lib::connection_setup::ConnectionSetup;
+use chervilwharf_lib::connection_setup::SessionValues;
 use chervilwharf_lib::group::ServerInfo;
-use chervilwharf_lib::layout::ConnectionLayout;
-use chervilwharf_lib::layout::SessionValues;
 use chervilwharf_lib::revision::Revision;
 use chervilwharf_lib::server_list::ServerList;
 use chervilwharf_lib::statement::Access;
@@ -24,27 +24,27 @@
 
 #[test]
 fn test_connection_is_reset_only_for_values_that_cannot_be_replaced() {
-    let mut layout = ConnectionLayout::default();
+    let mut connection_setup = ConnectionSetup::default();
     let both = values(&[("a", "1"), ("b", "2")]);
-    assert_eq!(layout.adapt(&both, None).len(), 2);
-    assert!(layout.adapt(&both, None).is_empty());
+    assert_eq!(connection_setup.adapt(&both, None).len(), 2);
+    assert!(connection_setup.adapt(&both, None).is_empty());
     let changed = values(&[("a", "9"), ("b", "2")]);
     let expected = Statement::Set { name: "a".into(), value: "9".into() };
-    assert_eq!(layout.adapt(&changed, None), [expected]);
+    assert_eq!(connection_setup.adapt(&changed, None), [expected]);
     let fewer = values(&[("a", "9")]);
-    assert_eq!(layout.adapt(&fewer, None)[0], Statement::Reset);
+    assert_eq!(connection_setup.adapt(&fewer, None)[0], Statement::Reset);
 }
 
 #[test]
-fn test_reset_forgets_prepared_shapes_too() {
+fn test_reset_clears_prepared_statements_too() {
     // Symptom: EXECUTE of a prepared statement is answered "no such name".
     // Sequence: a connection is reset for another session, then lent back.
     // Cause: the reset clears prepared names as well as values.
-    let mut layout = ConnectionLayout::default();
+    let mut connection_setup = ConnectionSetup::default();
     let read = shape(Access::Read, "q");
-    layout.adapt(&values(&[("a", "1")]), Some(&read));
-    assert!(layout.adapt(&values(&[("a", "1")]), Some(&read)).is_empty());
-    let steps = layout.adapt(&values(&[]), Some(&read));
+    connection_setup.adapt(&values(&[("a", "1")]), Some(&read));
+    assert!(connection_setup.adapt(&values(&[("a", "1")]), Some(&read)).is_empty());
+    let steps = connection_setup.adapt(&values(&[]), Some(&read));
     assert!(matches!(steps[..], [Statement::Reset, Statement::Prepare { .. }]));
 }
 
@@ -64,7 +64,7 @@
     fn prop_adapted_connection_has_exactly_the_session_values(
         sessions: Vec<Vec<(u8, u8)>>
     ) -> bool {
-        let mut layout = ConnectionLayout::default();
+        let mut connection_setup = ConnectionSetup::default();
         let mut actual = SessionValues::new();
         for session in sessions {
             let wanted: SessionValues = session
@@ -73,8 +73,8 @@
                     ((name % 4).to_string().into(), (value % 3).to_string().into())
                 })
                 .collect();
-            let distance = layout.distance(&wanted, None);
-            let steps = layout.adapt(&wanted, None);
+            let distance = connection_setup.distance(&wanted, None);
+            let steps = connection_setup.adapt(&wanted, None);
             if distance != steps.len() {
                 return false;
             }
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn test_only_groups_that_changed_are_told_and_only_news_moves_the_list() {
+fn test_only_changed_groups_are_reported_and_only_changes_advance_the_list() {
     // Symptom: with 640 groups each change of one server costs every instance
     // as much as the whole list, and all pull it from each other again.
     // Sequence: a server is listed again as it was; the store counts on for
@@ -182,7 +182,7 @@
 /// Guards against a copy of the store that shows a server as it was before it began to
 /// drain, and against one that brings back a list of the lost history.
 #[test]
-fn test_list_of_a_store_that_came_back_from_a_copy_takes_the_place_of_a_later_number() {
+fn test_list_of_a_restored_store_replaces_a_list_with_a_higher_number() {
     let mut list = ServerList::default();
     let listed = |names: &[&str]| {
         names.iter().map(|name| ("db".into(), server(name, false))).collect::<Vec<_>>()
--- a/lib/tests/test_sharing.rs
+++ b/lib/tests/test_sharing.rs
@@ -6,22 +6,22 @@
 
 use chervilwharf_lib::concurrency::ConcurrencyLimit;
 use chervilwharf_lib::connection_budget::Demand;
+use chervilwharf_lib::connection_budget::account_connection_budget;
 use chervilwharf_lib::connection_budget::budget;
-use chervilwharf_lib::connection_budget::kept_for_accounts;
 use chervilwharf_lib::fleet::Fleet;
 use chervilwharf_lib::fleet::InstanceRecord;
-use chervilwharf_lib::fleet::SILENT_AFTER;
+use chervilwharf_lib::fleet::UNREACHABLE_AFTER;
 use chervilwharf_lib::group::Group;
 use chervilwharf_lib::group::ServerInfo;
 use chervilwharf_lib::group::ServerStatus;
 use chervilwharf_lib::holders::holders;
 use chervilwharf_lib::holders::voters;
 use chervilwharf_lib::moment::Moment;
-use chervilwharf_lib::pool_share::Choice;
-use chervilwharf_lib::pool_share::Need;
-use chervilwharf_lib::pool_share::PoolShare;
-use chervilwharf_lib::pool_share::choose;
 use chervilwharf_lib::position::Position;
+use chervilwharf_lib::server_choice::Choice;
+use chervilwharf_lib::server_choice::Need;
+use chervilwharf_lib::server_choice::PoolView;
+use chervilwharf_lib::server_choice::choose;
 use chervilwharf_lib::wait_queue::Rank;
 use chervilwharf_lib::wait_queue::Tier;
 use chervilwharf_lib::wait_queue::WaitQueue;
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn test_silent_instance_stops_counting_and_its_record_is_removed_once() {
+fn test_unresponsive_instance_stops_counting_and_its_record_is_removed_once() {
     let mut fleets: Vec<_> = [["b", "c"], ["a", "c"]]
         .iter()
         .zip(["a", "b"])
@@ -150,7 +150,7 @@
         fleets[1].heard(at(ms), "a", false);
     }
     for fleet in &fleets {
-        assert!(!fleet.live(SILENT_AFTER + at(500)).contains(&"c".into()));
+        assert!(!fleet.live(UNREACHABLE_AFTER + at(500)).contains(&"c".into()));
         assert_eq!(fleet.live(at(9_000)).len(), 2);
     }
     let removing: usize = fleets.iter().map(|fleet| fleet.removable(at(9_000)).len()).sum();
@@ -172,9 +172,9 @@
 }
 
 #[test]
-fn test_instance_that_stood_still_does_not_take_the_others_for_dead() {
+fn test_paused_instance_does_not_count_the_others_as_dead() {
     let mut fleet = fleet(&["a", "b", "c"]);
-    fleet.stood_still(at(20_000));
+    fleet.process_paused(at(20_000));
     assert_eq!(fleet.live(at(20_001)).len(), 4);
 }
 
@@ -271,14 +271,14 @@
     group
 }
 
-fn share(idle: usize, open: usize) -> PoolShare {
-    PoolShare { idle, open, budget: 4, ..PoolShare::default() }
+fn share(idle: usize, open: usize) -> PoolView {
+    PoolView { idle, open, budget: 4, ..PoolView::default() }
 }
 
 #[test]
 fn test_reads_leave_the_last_connections_to_the_primary_free() {
     let group = group();
-    let need = Need::Reader { floor: Position::new(1, 10), shunned: None };
+    let need = Need::Reader { floor: Position::new(1, 10), failed_server: None };
     // The replica's connections are all in use, the primary has two left.
     let tight = |id: &std::sync::Arc<str>| if &**id == "p" { share(2, 4) } else { share(0, 4) };
     assert_eq!(choose(&group, at(1), &need, tight), Choice::Wait);
@@ -293,7 +293,7 @@
     let floor = Position::new(1, 30);
     group.observe_leading(at(1_000), at(1_000), &"p".into(), floor);
     group.observe_lagging(at(1_001), &"r".into(), floor, Some(Position::new(1, 10)));
-    let need = Need::Reader { floor, shunned: None };
+    let need = Need::Reader { floor, failed_server: None };
     let choice = choose(&group, at(1_002), &need, |_| share(1, 4));
     assert_eq!(choice, Choice::Idle("p".into()));
 }
@@ -301,7 +301,7 @@
 #[test]
 fn test_server_that_just_failed_the_request_is_the_last_choice() {
     let group = group();
-    let need = Need::Reader { floor: Position::new(1, 10), shunned: Some("r".into()) };
+    let need = Need::Reader { floor: Position::new(1, 10), failed_server: Some("r".into()) };
     assert_eq!(choose(&group, at(1), &need, |_| share(1, 4)), Choice::Idle("p".into()));
 }
 
@@ -329,7 +329,7 @@
 }
 
 #[test]
-fn test_voters_found_before_and_after_one_record_have_majorities_that_meet() {
+fn test_voters_before_and_after_one_change_have_overlapping_majorities() {
     // Symptom: two replacements of a primary at the same time.
     // Sequence: an instance joins or goes; some know of it already.
     // Cause: the voters of both views had majorities without a common member.
@@ -348,11 +348,11 @@
     }
 }
 
-fn account_share(open: usize, idle: usize, replaceable: usize, own: usize) -> PoolShare {
-    PoolShare { open, idle, replaceable, own, budget: 3, ..PoolShare::default() }
+fn account_share(open: usize, idle: usize, replaceable: usize, own: usize) -> PoolView {
+    PoolView { open, idle, replaceable, own, budget: 3, ..PoolView::default() }
 }
 
-fn choice(share: &PoolShare) -> Choice {
+fn choice(share: &PoolView) -> Choice {
     let group = group();
     choose(&group, at(0), &Need::Server("p".into()), |_| share.clone())
 }
@@ -377,8 +377,8 @@
 fn test_connections_being_opened_count_as_statements_at_a_server() {
     let limit = ConcurrencyLimit::default();
     let allowed = (0..100).find(|running| !limit.allows(*running)).expect("a limit");
-    let room = PoolShare { budget: 200, limit, ..PoolShare::default() };
-    let opening = |taking_slots| PoolShare { taking_slots, ..room.clone() };
+    let room = PoolView { budget: 200, limit, ..PoolView::default() };
+    let opening = |taking_slots| PoolView { taking_slots, ..room.clone() };
     assert_eq!(choice(&opening(allowed - 1)), Choice::Open("p".into()));
     assert_eq!(choice(&opening(allowed)), Choice::Wait);
 }
@@ -388,10 +388,10 @@
 /// the dead ones filled the servers.
 #[test]
 fn test_instances_keep_half_of_their_connections_while_nothing_waits() {
-    assert_eq!(kept_for_accounts(10, 0.0), 5);
-    assert_eq!(kept_for_accounts(10, 6.2), 6);
-    assert_eq!(kept_for_accounts(10, 8.2), 8);
-    assert_eq!(kept_for_accounts(10, 50.0), 10);
-    assert_eq!(kept_for_accounts(1, 0.0), 1);
-    assert_eq!(kept_for_accounts(0, 3.0), 0);
+    assert_eq!(account_connection_budget(10, 0.0), 5);
+    assert_eq!(account_connection_budget(10, 6.2), 6);
+    assert_eq!(account_connection_budget(10, 8.2), 8);
+    assert_eq!(account_connection_budget(10, 50.0), 10);
+    assert_eq!(account_connection_budget(1, 0.0), 1);
+    assert_eq!(account_connection_budget(0, 3.0), 0);
 }
--- a/lib/tests/test_store_copy.rs
+++ b/lib/tests/test_store_restore.rs
@@ -9,11 +9,11 @@
 use chervilwharf_lib::fleet::InstanceRecord;
 use chervilwharf_lib::id::InstanceId;
 use chervilwharf_lib::moment::Moment;
-use chervilwharf_lib::primary_right::Agreement;
-use chervilwharf_lib::primary_right::Ending;
-use chervilwharf_lib::primary_right::Objection;
-use chervilwharf_lib::primary_right::PrimaryRight;
-use chervilwharf_lib::primary_right::Readiness;
+use chervilwharf_lib::primary_lease::Ending;
+use chervilwharf_lib::primary_lease::Objection;
+use chervilwharf_lib::primary_lease::PrimaryLease;
+use chervilwharf_lib::primary_lease::PromiseTally;
+use chervilwharf_lib::primary_lease::Readiness;
 use chervilwharf_lib::revision::Era;
 use chervilwharf_lib::revision::Revision;
 
@@ -26,10 +26,10 @@
 }
 
 /// The right of an instance that votes, as three others do.
-fn right(me: &InstanceId) -> PrimaryRight {
-    let mut right = PrimaryRight::default();
-    right.set_voters(me, &ids());
-    right
+fn primary_lease(me: &InstanceId) -> PrimaryLease {
+    let mut primary_lease = PrimaryLease::default();
+    primary_lease.set_voters(me, &ids());
+    primary_lease
 }
 
 fn ending(written_era: Option<Era>) -> Ending {
@@ -37,8 +37,8 @@
 }
 
 /// What the store's copy, read at `asked_at` in era 2, grants.
-fn read_copy(right: &mut PrimaryRight, asked_at: Moment) {
-    right.granted_by_store(asked_at, 0, 2);
+fn read_copy(primary_lease: &mut PrimaryLease, asked_at: Moment) {
+    primary_lease.record_store_grant(asked_at, 0, 2);
 }
 
 /// Guards against an order that only the lost history of the store held: one instance
@@ -46,8 +46,8 @@
 #[test]
 fn test_order_of_the_lost_history_gets_no_promise_of_one_that_knows_of_the_copy() {
     let ids = ids();
-    let mut cut_off = right(&ids[0]);
-    let mut voters: Vec<_> = ids[1..].iter().map(right).collect();
+    let mut cut_off = primary_lease(&ids[0]);
+    let mut voters: Vec<_> = ids[1..].iter().map(primary_lease).collect();
     // The order is written at 1,000 ms in era 1; then the store comes back without it.
     // One voter grants the term when both know of that, and a partition begins.
     voters[0].note_era(2);
@@ -59,7 +59,7 @@
     }
     assert_eq!(voters[0].promise(at(1_200), &ending(Some(1))), Err(Objection::LaterEra(2)));
     // Without the objection the order would go out while the old primary is in use.
-    let mut agreement = Agreement::new(ids.clone(), ids.clone(), Some(at(1_000)));
+    let mut agreement = PromiseTally::new(ids.clone(), ids.clone(), Some(at(1_000)));
     for (voter, id) in voters.iter_mut().zip(&ids[1..]) {
         agreement.promised(at(1_200), id, voter.promise(at(1_200), &ending(None)).unwrap());
     }
@@ -71,9 +71,9 @@
 #[test]
 fn test_reading_of_the_store_counts_only_with_grants_that_know_of_its_era() {
     let ids = ids();
-    let mut mine = right(&ids[0]);
+    let mut mine = primary_lease(&ids[0]);
     mine.granted(&ids[1], at(1_000), 0, 1);
-    mine.granted_by_store(at(3_000), 0, 1);
+    mine.record_store_grant(at(3_000), 0, 1);
     assert!(mine.holds(at(3_100), 1), "half of the voters granted in era 1");
     read_copy(&mut mine, at(4_000));
     assert!(!mine.holds(at(4_100), 1), "nobody has granted since the copy");
@@ -86,8 +86,8 @@
 /// Guards against a store without eras that grants less than before.
 #[test]
 fn test_reading_of_a_store_that_tells_no_era_counts_by_itself() {
-    let mut mine = right(&ids()[0]);
-    mine.granted_by_store(at(3_000), 0, 0);
+    let mut mine = primary_lease(&ids()[0]);
+    mine.record_store_grant(at(3_000), 0, 0);
     assert!(mine.holds(at(3_100), 1));
 }
 
@@ -129,7 +129,7 @@
 fn test_instance_that_a_copy_lacks_counts_until_it_is_known_to_be_gone() {
     let mut fleet = Fleet::new("i0".into());
     fleet.replace(at(0), vec![record(1), record(2), record(3)]);
-    fleet.replace_by_copy(at(1_000), vec![record(1)]);
+    fleet.replace_after_store_restore(at(1_000), vec![record(1)]);
     assert_eq!(names(&fleet), ["i1", "i2", "i3"].map(InstanceId::from));
     fleet.present(at(2_000), record(2));
     // History may be lost besides, so that all are listed once more.
@@ -153,7 +153,7 @@
     for me in &all[..3] {
         let mut fleet = Fleet::new(me.id.clone());
         fleet.replace(at(0), others(me));
-        fleet.replace_by_copy(at(1_000), all[..3].to_vec());
+        fleet.replace_after_store_restore(at(1_000), all[..3].to_vec());
         fleet.heard(at(2_000), "i3", false);
         assert_eq!(fleet.restorable(at(2_400)), [], "it can do so itself");
         writers.extend(fleet.restorable(at(2_500)));
@@ -168,6 +168,6 @@
 fn test_record_of_a_silent_instance_is_not_written_again() {
     let mut fleet = Fleet::new("i0".into());
     fleet.replace(at(0), vec![record(1)]);
-    fleet.replace_by_copy(at(1_000), Vec::new());
+    fleet.replace_after_store_restore(at(1_000), Vec::new());
     assert_eq!(fleet.restorable(at(3_500)), []);
 }
--- a/lib/tests/test_wait_pace.rs
+++ b/lib/tests/test_wait_estimator.rs
@@ -4,12 +4,12 @@
 use std::time::Duration;
 
 use chervilwharf_lib::moment::Moment;
-use chervilwharf_lib::wait_pace::WaitClass;
-use chervilwharf_lib::wait_pace::WaitLine;
-use chervilwharf_lib::wait_pace::WaitPace;
+use chervilwharf_lib::wait_estimator::SubQueue;
+use chervilwharf_lib::wait_estimator::WaitClass;
+use chervilwharf_lib::wait_estimator::WaitEstimator;
 use chervilwharf_lib::wait_queue::Tier;
 
-const LINE: WaitLine = WaitLine { class: WaitClass::Reader, tier: Tier::InTime, priority: 2 };
+const LINE: SubQueue = SubQueue { class: WaitClass::Reader, tier: Tier::InTime, priority: 2 };
 const PATIENCE: Duration = Duration::from_millis(300);
 
 /// An arrival every 25 ms, a free connection every 40 ms.
@@ -37,9 +37,9 @@
 }
 
 /// Plays twenty seconds of overload. `expected` tells the wait by place.
-fn play(expected: impl Fn(&WaitPace, Moment, usize) -> Duration) -> Outcome {
+fn play(expected: impl Fn(&WaitEstimator, Moment, usize) -> Duration) -> Outcome {
     let mut outcome = Outcome::default();
-    let mut pace = WaitPace::default();
+    let mut pace = WaitEstimator::default();
     let mut queue: VecDeque<Waiter> = VecDeque::new();
     for ms in 0..20_000 {
         let now = at(ms);
@@ -84,15 +84,15 @@
 }
 
 #[test]
-fn test_pace_of_an_earlier_overload_turns_nobody_away() {
+fn test_estimate_of_an_earlier_overload_refuses_no_request() {
     // Symptom: requests are refused though nobody waits.
     // Sequence: an overload ends, and with it the waits that measure it.
     // Cause: a pace that is kept for ever.
-    let mut pace = WaitPace::default();
+    let mut pace = WaitEstimator::default();
     pace.observe(at(1_000), LINE, 0, PATIENCE);
     assert!(pace.expected_wait(at(1_100), LINE, 1) > Some(PATIENCE));
     assert_eq!(pace.expected_wait(at(1_100), LINE, 0), None, "the next one measures");
     assert_eq!(pace.expected_wait(at(1_600), LINE, 1), None, "too old");
-    let other = WaitLine { class: WaitClass::Leader, ..LINE };
+    let other = SubQueue { class: WaitClass::Leader, ..LINE };
     assert_eq!(pace.expected_wait(at(1_100), other, 1), None);
 }
--- a/soak/src/deployment.rs
+++ b/soak/src/deployment.rs
@@ -19,7 +19,7 @@
 use chervilwharf_standin::platform::servers::Group;
 use chervilwharf_standin::platform::store::Mode;
 use chervilwharf_standin::platform::store::Store;
-use chervilwharf_standin::platform::store::StoreCopy;
+use chervilwharf_standin::platform::store::StoreBackup;
 use chervilwharf_testutils::cluster::PATIENCE;
 use chervilwharf_testutils::cluster::wait_for;
 use chervilwharf_testutils::process::Process;
@@ -30,8 +30,8 @@
 use crate::history::History;
 use crate::history::Leaving;
 use crate::history::Stop;
-use crate::series::Selection;
-use crate::series::Shape;
+use crate::schedule::Selection;
+use crate::schedule::Shape;
 
 /// Replication delay when nothing is wrong.
 const USUAL_LAG: Duration = Duration::from_millis(30);
@@ -167,7 +167,7 @@
     /// Databases added so far.
     added: AtomicU64,
     /// Copies of the store that it has not come back from yet.
-    copies: Mutex<VecDeque<StoreCopy>>,
+    copies: Mutex<VecDeque<StoreBackup>>,
     /// Counts beginnings and ends of silences.
     silences: AtomicU64,
 }
@@ -180,7 +180,7 @@
     /// When one of them never does.
     pub async fn new(shape: Shape) -> Self {
         let group = Group::start("db", shape.servers, USUAL_LAG).await;
-        tokio::spawn(servers::apply_for_ever(group.clone()));
+        tokio::spawn(servers::run_replication(group.clone()));
         let mut server_proxies = Vec::new();
         for number in 0..shape.servers {
             let proxy = FaultProxy::start().await.expect("a port can be had");
@@ -211,7 +211,7 @@
             silences: AtomicU64::new(0),
         };
         if shape.selection == Selection::StoreCopies {
-            deployment.store.tell_era(FIRST_ERA);
+            deployment.store.set_reported_era(FIRST_ERA);
         }
         deployment.write_configuration();
         for number in 0..shape.instances {
@@ -291,7 +291,7 @@
     pub fn forget_store_connections(&self) {
         self.silences.fetch_add(1, Ordering::SeqCst);
         for instance in &self.instances {
-            instance.store_proxy.forget_open_connections();
+            instance.store_proxy.blackhole_open_connections();
         }
     }
 
@@ -369,12 +369,12 @@
         tokio::time::sleep(AWAY).await;
         self.store.set_mode(Mode::Up);
         tokio::time::sleep(AWAY).await;
-        self.store.write_again(&lost);
+        self.store.repeat_lost_writes(&lost);
     }
 
     /// A server says that it leaves.
     pub fn begin_leaving(&self, server: usize) {
-        self.group.set_leaving(server, true);
+        self.group.set_draining(server, true);
         self.store.publish_server(&self.group, server, "draining");
         let leaving = Leaving { server, since: Instant::now(), until: None };
         self.history.leaving.lock().expect("never poisoned").push(leaving);
@@ -385,7 +385,7 @@
         self.group.crash(server);
         tokio::time::sleep(AWAY).await;
         self.group.restart(server);
-        self.group.set_leaving(server, false);
+        self.group.set_draining(server, false);
         self.store.publish_server(&self.group, server, "ready");
         let mut all = self.history.leaving.lock().expect("never poisoned");
         let own = all.iter_mut().filter(|leaving| leaving.server == server);
--- a/soak/src/fault.rs
+++ b/soak/src/fault.rs
@@ -88,17 +88,17 @@
             Self::StopInstance(number) => deployment.stop(number),
             Self::CutFromStore(number) => instances[number].store_proxy.set(Behaviour::cut()),
             Self::ForgetStoreConnections(number) => {
-                instances[number].store_proxy.forget_open_connections();
+                instances[number].store_proxy.blackhole_open_connections();
             }
             Self::CrashServer(number) => deployment.group.crash(number),
             Self::SilenceServer(number) => deployment.server(number).set(Behaviour::silent()),
             Self::MuteServer(number) => {
-                let mute = Behaviour { down: Flow::Swallow, ..Behaviour::default() };
+                let mute = Behaviour { down: Flow::Discard, ..Behaviour::default() };
                 deployment.server(number).set(mute);
             }
             Self::DelayServer(number) => deployment.server(number).set(Behaviour::delayed(DELAY)),
             Self::ForgetServerConnections(number) => {
-                deployment.server(number).forget_open_connections();
+                deployment.server(number).blackhole_open_connections();
             }
             Self::LoseCommitAnswers(number) => {
                 deployment.group.lose_answers_of(number, Some("COMMIT"));
@@ -107,10 +107,10 @@
                 deployment.group.lose_answers_of(number, Some("WRITE"));
             }
             Self::BreakCommitAnswers(number) => {
-                deployment.group.break_answers_of(number, Some("COMMIT"));
+                deployment.group.disconnect_on_answers_of(number, Some("COMMIT"));
             }
             Self::BreakWriteAnswers(number) => {
-                deployment.group.break_answers_of(number, Some("WRITE"));
+                deployment.group.disconnect_on_answers_of(number, Some("WRITE"));
             }
             Self::BusyServer(number) => deployment.group.refuse_as_busy(number, REFUSED_AS_BUSY),
             Self::LagServer(number) => deployment.group.set_lag(number, FAR_BEHIND),
@@ -118,7 +118,7 @@
             Self::StoreDown => deployment.store.set_mode(Mode::Down),
             Self::StoreSilent => deployment.store.set_mode(Mode::Silent),
             Self::StoreLosesAnswers => deployment.store.set_mode(Mode::AnswersLost),
-            Self::StoreForgets => deployment.store.forget_history(),
+            Self::StoreForgets => deployment.store.discard_history(),
             Self::Configuration => deployment.add_database(),
             Self::StoreComesBack => deployment.copy_store(),
             Self::StoreSwallows => deployment.silence_store(),
@@ -149,7 +149,7 @@
                 deployment.group.lose_answers_of(number, None);
             }
             Self::BreakCommitAnswers(number) | Self::BreakWriteAnswers(number) => {
-                deployment.group.break_answers_of(number, None);
+                deployment.group.disconnect_on_answers_of(number, None);
             }
             Self::BusyServer(number) => deployment.group.refuse_as_busy(number, 0),
             Self::LagServer(number) => deployment.set_usual_lag(number),
--- a/standin/src/fault_proxy.rs
+++ b/standin/src/fault_proxy.rs
@@ -25,7 +25,7 @@
     #[default]
     Pass,
     /// They vanish; the connection stays open.
-    Swallow,
+    Discard,
 }
 
 /// What the proxy does to connections.
@@ -45,7 +45,7 @@
     /// Both directions vanish.
     #[must_use]
     pub fn silent() -> Self {
-        Self { up: Flow::Swallow, down: Flow::Swallow, ..Self::default() }
+        Self { up: Flow::Discard, down: Flow::Discard, ..Self::default() }
     }
 
     /// Everything is closed.
@@ -135,7 +135,7 @@
 
     /// Makes the connections open now go silent for good, while new ones
     /// work: something in between lost track of them.
-    pub fn forget_open_connections(&self) {
+    pub fn blackhole_open_connections(&self) {
         let next = self.core.next_connection.load(Ordering::SeqCst);
         self.core.silent_below.store(next, Ordering::SeqCst);
     }
--- a/standin/src/platform/servers.rs
+++ b/standin/src/platform/servers.rs
@@ -71,7 +71,7 @@
     /// It says that it is about to leave.
     leaving: bool,
     /// The term in which it goes on as a primary after another was promoted.
-    leads_on_in: Option<u64>,
+    former_primary_term: Option<u64>,
 }
 
 struct State {
@@ -82,7 +82,7 @@
     runs: Vec<Run>,
     next_connection: u64,
     /// Whether a primary goes on, until it is demoted, when another is promoted.
-    old_goes_on: bool,
+    old_primary_stays_writable: bool,
 }
 
 /// A group of servers.
@@ -112,7 +112,7 @@
                 connections: 0,
                 started: 0,
                 leaving: false,
-                leads_on_in: None,
+                former_primary_term: None,
             });
             listeners.push(listener);
         }
@@ -123,7 +123,7 @@
             servers,
             runs: Vec::new(),
             next_connection: 0,
-            old_goes_on: false,
+            old_primary_stays_writable: false,
         };
         let group = Self { state: Arc::new(Mutex::new(state)) };
         for (number, listener) in listeners.into_iter().enumerate() {
@@ -203,19 +203,19 @@
         let log = state.servers[state.leader].log.clone();
         let server = &mut state.servers[number];
         server.up = true;
-        server.leads_on_in = None;
+        server.former_primary_term = None;
         server.applied = server.applied.min(log.len());
         server.log = log;
     }
 
     /// A server says that it is about to leave, or that it stays.
-    pub fn set_leaving(&self, number: usize, leaving: bool) {
+    pub fn set_draining(&self, number: usize, leaving: bool) {
         self.lock().servers[number].leaving = leaving;
     }
 
     /// Whether a server is about to leave.
     #[must_use]
-    pub fn is_leaving(&self, number: usize) -> bool {
+    pub fn is_draining(&self, number: usize) -> bool {
         self.lock().servers[number].leaving
     }
 
@@ -230,7 +230,7 @@
     }
 
     /// As [`Self::lose_answers_of`], and the connection ends at once.
-    pub fn break_answers_of(&self, number: usize, text: Option<&str>) {
+    pub fn disconnect_on_answers_of(&self, number: usize, text: Option<&str>) {
         self.lose_answers_of(number, text);
         self.lock().servers[number].breaks = text.is_some();
     }
@@ -247,19 +247,19 @@
 
     /// From now on a primary goes on, until it is demoted, when another one is
     /// promoted.
-    pub fn let_old_primaries_go_on(&self) {
-        self.lock().old_goes_on = true;
+    pub fn keep_old_primaries_writable(&self) {
+        self.lock().old_primary_stays_writable = true;
     }
 
     /// Whether a primary goes on when another one is promoted.
     #[must_use]
-    pub fn lets_old_primaries_go_on(&self) -> bool {
-        self.lock().old_goes_on
+    pub fn keeps_old_primaries_writable(&self) -> bool {
+        self.lock().old_primary_stays_writable
     }
 
     /// Whether a server takes itself for the primary.
     #[must_use]
-    pub fn claims_lead(&self, number: usize) -> bool {
+    pub fn acts_as_primary(&self, number: usize) -> bool {
         self.lock().leads(number)
     }
 
@@ -273,14 +273,15 @@
             return true;
         }
         let old = state.leader;
-        if state.old_goes_on && state.servers[old].up {
-            state.servers[old].leads_on_in = Some(state.term);
+        if state.old_primary_stays_writable && state.servers[old].up {
+            state.servers[old].former_primary_term = Some(state.term);
         }
         state.term += 1;
         state.leader = number;
-        state.servers[number].leads_on_in = None;
+        state.servers[number].former_primary_term = None;
         let log = state.servers[number].log.clone();
-        let following = state.servers.iter_mut().filter(|server| server.leads_on_in.is_none());
+        let following =
+            state.servers.iter_mut().filter(|server| server.former_primary_term.is_none());
         for server in following {
             let common = server.log.iter().zip(&log).take_while(|(a, b)| a == b).count();
             server.log.truncate(common);
@@ -310,13 +311,13 @@
             state.servers[number].lives.subscribe()
         };
         tokio::select! {
-            () = self.converse(number, stream) => {}
+            () = self.serve_session(number, stream) => {}
             _ = life.changed() => {}
         }
         self.lock().servers[number].connections -= 1;
     }
 
-    async fn converse(&self, number: usize, stream: TcpStream) {
+    async fn serve_session(&self, number: usize, stream: TcpStream) {
         let (read, mut write) = stream.into_split();
         let mut lines = BufReader::new(read).lines();
         let mut session = {
@@ -413,18 +414,18 @@
 
 impl State {
     fn leads(&self, number: usize) -> bool {
-        self.leader == number || self.servers[number].leads_on_in.is_some()
+        self.leader == number || self.servers[number].former_primary_term.is_some()
     }
 
     fn term_of(&self, number: usize) -> u64 {
-        self.servers[number].leads_on_in.unwrap_or(self.term)
+        self.servers[number].former_primary_term.unwrap_or(self.term)
     }
 
     fn demote(&mut self, number: usize, term: u64) {
         let log = self.servers[self.leader].log.clone();
         let server = &mut self.servers[number];
-        if server.leads_on_in.is_some_and(|old| old < term) {
-            server.leads_on_in = None;
+        if server.former_primary_term.is_some_and(|old| old < term) {
+            server.former_primary_term = None;
             let common = server.log.iter().zip(&log).take_while(|(a, b)| a == b).count();
             server.applied = server.applied.min(common);
             server.log = log;
@@ -466,8 +467,8 @@
             session.state = 'E';
             return Err("READONLY");
         }
-        let occupies = matches!(word, "READ" | "WRITE" | "EXECUTE" | "COMMIT" | "STATUS");
-        if occupies && self.servers[number].busy_left > 0 {
+        let needs_slot = matches!(word, "READ" | "WRITE" | "EXECUTE" | "COMMIT" | "STATUS");
+        if needs_slot && self.servers[number].busy_left > 0 {
             self.servers[number].busy_left -= 1;
             return Err("BUSY");
         }
@@ -612,12 +613,12 @@
         let next = self.servers[number].log.last().map_or(0, |entry| entry.index) + 1;
         for (index, (request, item, data)) in (next..).zip(session.writes.drain(..)) {
             let entry = Entry { term: self.term_of(number), index, request, item, data };
-            if self.servers[number].leads_on_in.is_some() {
+            if self.servers[number].former_primary_term.is_some() {
                 self.servers[number].log.push(entry);
                 continue;
             }
             for (other, server) in self.servers.iter_mut().enumerate() {
-                let follows = server.up && server.leads_on_in.is_none();
+                let follows = server.up && server.former_primary_term.is_none();
                 if other == number || follows {
                     server.log.push(entry.clone());
                 }
@@ -629,7 +630,7 @@
 
 /// Lets replicas apply what they received, each after its lag, until the
 /// group is dropped.
-pub async fn apply_for_ever(group: Group) {
+pub async fn run_replication(group: Group) {
     let mut received: Vec<Vec<Instant>> = vec![Vec::new(); group.size()];
     loop {
         {
@@ -640,7 +641,7 @@
                 times.truncate(server.log.len());
                 times.resize(server.log.len(), Instant::now());
                 let due = times.iter().take_while(|at| at.elapsed() >= server.lag).count();
-                if number != leader && server.leads_on_in.is_none() {
+                if number != leader && server.former_primary_term.is_none() {
                     server.applied = server.applied.max(due.min(server.log.len()));
                 }
             }
--- a/standin/src/platform/store.rs
+++ b/standin/src/platform/store.rs
@@ -51,16 +51,16 @@
 }
 
 /// A copy of what the store kept at a moment.
-pub struct StoreCopy(History);
+pub struct StoreBackup(History);
 
 /// What a store lost when it came back from a copy, and others write again.
-pub struct LostWrites {
+pub struct LostChanges {
     written: Vec<(String, String, Value)>,
     removed: Vec<(String, String)>,
 }
 
 /// Kinds that the operator and the servers write.
-const KINDS_WRITTEN_AGAIN: [&str; 2] = ["config", "servers"];
+const REPEATED_KINDS: [&str; 2] = ["config", "servers"];
 
 #[derive(Default)]
 struct Objects {
@@ -119,30 +119,30 @@
     }
 
     /// Forgets all changes so far.
-    pub fn forget_history(&self) {
+    pub fn discard_history(&self) {
         let history = &mut self.lock().history;
         history.forgotten = history.revision;
         history.events.clear();
     }
 
     /// Tells in all answers from now on how often it came back from a copy.
-    pub fn tell_era(&self, era: u64) {
+    pub fn set_reported_era(&self, era: u64) {
         self.lock().era = Some(era);
     }
 
     /// Copies what it keeps.
     #[must_use]
-    pub fn copy(&self) -> StoreCopy {
-        StoreCopy(self.lock().history.clone())
+    pub fn copy(&self) -> StoreBackup {
+        StoreBackup(self.lock().history.clone())
     }
 
     /// Comes back from a copy. Returns what the operator and the servers wrote
     /// since it was taken.
     #[must_use]
-    pub fn restore(&self, copy: &StoreCopy) -> LostWrites {
+    pub fn restore(&self, copy: &StoreBackup) -> LostChanges {
         let lost = {
             let mut objects = self.lock();
-            let lost = LostWrites::between(&copy.0, &objects.history);
+            let lost = LostChanges::between(&copy.0, &objects.history);
             objects.history = copy.0.clone();
             objects.era = objects.era.map(|era| era + 1);
             lost
@@ -152,7 +152,7 @@
     }
 
     /// The operator and the servers write again what was lost.
-    pub fn write_again(&self, lost: &LostWrites) {
+    pub fn repeat_lost_writes(&self, lost: &LostChanges) {
         for (kind, name, spec) in &lost.written {
             self.put(kind, name, spec);
         }
@@ -212,7 +212,7 @@
 
     /// Writes a server's entry as the server would.
     pub fn publish_server(&self, group: &Group, number: usize, state: &str) {
-        let role = if group.claims_lead(number) { "primary" } else { "replica" };
+        let role = if group.acts_as_primary(number) { "primary" } else { "replica" };
         let spec = json!({
             "service": group.name(), "address": group.address(number).to_string(),
             "zone": "a", "version": "v1", "slots": 3, "state": state, "cold_left_ms": 0,
@@ -233,7 +233,7 @@
     }
 
     /// Keeps anything as an object, as a careless writer could.
-    pub fn put_as_it_is(&self, kind: &str, name: &str, object: &Value) {
+    pub fn put_raw(&self, kind: &str, name: &str, object: &Value) {
         {
             let history = &mut self.lock().history;
             history.revision += 1;
@@ -260,7 +260,7 @@
         if mode == Mode::Silent {
             std::future::pending::<()>().await;
         }
-        (mode == Mode::Down).then(|| self.lock().stamped(StatusCode::SERVICE_UNAVAILABLE))
+        (mode == Mode::Down).then(|| self.lock().with_era_header(StatusCode::SERVICE_UNAVAILABLE))
     }
 
     /// Changes an object, if it is at this revision.
@@ -273,7 +273,7 @@
     ) -> Response {
         let mut objects = self.lock();
         let response = objects.history.change_at(kind, name, revision, change);
-        objects.stamped(response)
+        objects.with_era_header(response)
     }
 
     /// The answer to a write, unless it is lost.
@@ -286,10 +286,9 @@
     }
 }
 
-impl LostWrites {
+impl LostChanges {
     fn between(copy: &History, lost: &History) -> Self {
-        let written_again =
-            |(kind, _): &&(String, String)| KINDS_WRITTEN_AGAIN.contains(&kind.as_str());
+        let written_again = |(kind, _): &&(String, String)| REPEATED_KINDS.contains(&kind.as_str());
         let written = lost.kept.iter().filter(|(key, _)| written_again(key));
         let written = written.filter(|(key, object)| copy.kept.get(*key) != Some(object));
         let written = written
@@ -302,7 +301,7 @@
 
 impl Objects {
     /// An answer, with the era of the state that it shows.
-    fn stamped(&self, answer: impl IntoResponse) -> Response {
+    fn with_era_header(&self, answer: impl IntoResponse) -> Response {
         let mut response = answer.into_response();
         if let Some(era) = self.era {
             response.headers_mut().insert("store-era", era.into());
@@ -375,7 +374,7 @@
     let items: Vec<_> = of_kind.map(|(_, object)| object.clone()).collect();
     let revision = objects.history.revision;
     let body = json!({ "items": items, "has_more": false, "store_revision": revision });
-    objects.stamped(Json(body))
+    objects.with_era_header(Json(body))
 }
 
 async fn watch_changes(store: &Store, kind: &str, after: u64, wait_ms: u64) -> Response {
@@ -386,18 +385,18 @@
         {
             let objects = store.lock();
             if objects.mode == Mode::Down {
-                return objects.stamped(StatusCode::SERVICE_UNAVAILABLE);
+                return objects.with_era_header(StatusCode::SERVICE_UNAVAILABLE);
             }
             let history = &objects.history;
             if after < history.forgotten || after > history.revision {
-                return objects.stamped(StatusCode::GONE);
+                return objects.with_era_header(StatusCode::GONE);
             }
             let newer = history.events.iter().filter(|(at, k, _)| *at > after && k == kind);
             let events: Vec<_> = newer.map(|(_, _, event)| event.clone()).collect();
             if !events.is_empty() || tokio::time::Instant::now() >= until {
                 let revision = history.revision;
                 let body = json!({ "events": events, "store_revision": revision });
-                return objects.stamped(Json(body));
+                return objects.with_era_header(Json(body));
             }
         }
         // Either wakes the loop.
@@ -411,8 +410,8 @@
     }
     let objects = store.lock();
     match objects.history.get(&kind, &name) {
-        Some(object) => objects.stamped(Json(object)),
-        None => objects.stamped(StatusCode::NOT_FOUND),
+        Some(object) => objects.with_era_header(Json(object)),
+        None => objects.with_era_header(StatusCode::NOT_FOUND),
     }
 }
 
@@ -432,7 +431,7 @@
             Some(object) => (StatusCode::CONFLICT, Json(object)).into_response(),
             None => Json(objects.history.put(&kind, &name, &body["spec"])).into_response(),
         };
-        objects.stamped(response)
+        objects.with_era_header(response)
     };
     store.announce();
     store.answer(response).await
@@ -470,7 +469,7 @@
 }
 
 /// How late the list tells of a change of primary where the old one goes on.
-const LATE_NEWS: Duration = Duration::from_millis(300);
+const LISTING_DELAY: Duration = Duration::from_millis(300);
 
 async fn promote(
     State(store): State<Store>,
@@ -496,11 +495,11 @@
     tokio::spawn(async move {
         tokio::time::sleep(store.promote_time).await;
         if group.promote(&id) {
-            if group.lets_old_primaries_go_on() {
-                tokio::time::sleep(LATE_NEWS).await;
+            if group.keeps_old_primaries_writable() {
+                tokio::time::sleep(LISTING_DELAY).await;
             }
             for number in 0..group.size() {
-                let state = if group.is_leaving(number) { "draining" } else { "ready" };
+                let state = if group.is_draining(number) { "draining" } else { "ready" };
                 store.publish_server(&group, number, state);
             }
         }
--- a/testing/testutils/src/experiments/capacity.rs
+++ b/testing/testutils/src/experiments/capacity.rs
@@ -309,8 +309,8 @@
     let probes = owned[2].line.slope * per_node;
     // Measured with quick heartbeats; a large fleet sends them at this pace.
     let timing = MembershipTiming::default();
-    let pace =
-        timing.heartbeat_interval.as_secs_f64() / timing.heartbeat_interval_of_many.as_secs_f64();
+    let pace = timing.heartbeat_interval.as_secs_f64()
+        / timing.heartbeat_interval_large_fleet.as_secs_f64();
     let heartbeats = instances[1].line.slope * WATCHED_AT_SIZE * pace;
     row("bytes: probes of idle databases, both ways", probes, "KB/s", "");
     row("bytes: heartbeats sent", heartbeats, "KB/s", "");
--- a/testing/testutils/src/experiments/log_line.rs
+++ b/testing/testutils/src/experiments/log_line.rs
@@ -10,10 +10,10 @@
 use std::time::Instant;
 
 use async_trait::async_trait;
-use chervilwharf_daemon::engine::border::ConnectError;
-use chervilwharf_daemon::engine::border::Connector;
-use chervilwharf_daemon::engine::border::ServerConnection;
 use chervilwharf_daemon::engine::event_log;
+use chervilwharf_daemon::engine::server_connection::ConnectError;
+use chervilwharf_daemon::engine::server_connection::Connector;
+use chervilwharf_daemon::engine::server_connection::ServerConnection;
 use chervilwharf_daemon::engine::session::Session;
 use chervilwharf_daemon::engine::session::SessionStart;
 use chervilwharf_daemon::engine::shared::Engine;
@@ -96,7 +96,7 @@
     };
     let routes = HashMap::from([(route.database.clone(), Arc::new(route))]);
     engine.set_catalog(&Arc::new(Catalog { version: 1, routes, ..Catalog::default() }));
-    engine.know_fleet();
+    engine.set_fleet_known();
     let start = SessionStart { database: "ledger-a", key: KeyDigest::of("key"), client: None };
     let begun = Session::begin(engine, start).await;
     begun.unwrap_or_else(|failure| panic!("the name is there: {failure:?}"))
--- a/testing/testutils/src/matrix.rs
+++ b/testing/testutils/src/matrix.rs
@@ -221,13 +221,13 @@
             Fault::FreezePrimary => signal(self.primary_process, libc::SIGSTOP),
             Fault::CutPrimary => self.primary(Behaviour::cut()),
             Fault::OneWayPrimary => {
-                self.primary(Behaviour { down: Flow::Swallow, ..Behaviour::default() });
+                self.primary(Behaviour { down: Flow::Discard, ..Behaviour::default() });
             }
-            Fault::ForgetPrimary => self.primary_sql.forget_open_connections(),
+            Fault::ForgetPrimary => self.primary_sql.blackhole_open_connections(),
             Fault::KillOwner => signal(self.owner_process, libc::SIGKILL),
             Fault::FreezeOwner => signal(self.owner_process, libc::SIGSTOP),
             Fault::CutOwner => self.owner_peer.set(Behaviour::cut()),
-            Fault::ForgetOwner => self.owner_peer.forget_open_connections(),
+            Fault::ForgetOwner => self.owner_peer.blackhole_open_connections(),
             Fault::LateOwner => self.owner_peer.set(Behaviour::delayed(Duration::from_millis(150))),
             // Set before the callers start.
             Fault::LagReplicas => {}
