--- a/daemon/src/admin.rs
+++ b/daemon/src/admin.rs
@@ -1,4 +1,5 @@
-//! What operators and the metrics collector can ask an instance over HTTP.
+//! HTTP interface of an instance for operators, load balancers and the metrics
+//! collector.
 
 use std::sync::Arc;
 
@@ -20,7 +21,7 @@
 use crate::context::Shared;
 use crate::forward;
 
-/// Serves for ever.
+/// Serves the interface until the process ends.
 pub async fn serve(context: Shared, listener: TcpListener) {
     let routes = Router::new()
         .route("/healthz", get(healthz))
@@ -29,12 +30,13 @@
         .route("/burn", get(burn))
         .route("/request", get(request))
         .with_state(context);
-    // Ends only with the process.
+    // Returns only when the process ends.
     let _ = axum::serve(listener, routes).await;
 }
 
-/// Healthy once a configuration is in force and while not stopping, so that
-/// a balancer sends callers only to instances that can serve them.
+/// Reports the instance as healthy while a configuration is in force and it is not
+/// stopping, so that a load balancer sends clients only to instances that can
+/// serve them.
 async fn healthz(State(context): State<Shared>) -> (StatusCode, &'static str) {
     if *context.stopping.borrow() {
         return (StatusCode::SERVICE_UNAVAILABLE, "stopping\n");
@@ -82,17 +84,17 @@
 }
 
 fn database_status(context: &Shared, id: &Arc<str>) -> Option<Value> {
-    let known = {
+    let owner_record = {
         let membership = context.databases.instance.membership();
         membership.owner(id).map(|record| (record.owner.clone(), record.term))
     };
-    let own = context.databases.with_database(id, |state| {
+    let serving_status = context.databases.with_database(id, |state| {
         let (term, primary) = state.ownership.serving()?;
         let servers: Vec<_> = state
             .ownership
             .servers()
             .map(|server| {
-                let known = state.ownership.server_state(&server.id);
+                let server_state = state.ownership.server_state(&server.id);
                 let slots = state.slots.get(&server.id);
                 let pool = state.pools.get(&server.id);
                 json!({
@@ -101,9 +103,9 @@
                     "primary": server.id == primary,
                     "leaving": server.leaving,
                     "usable": state.ownership.is_usable(&server.id),
-                    "term": known.map(|known| known.term),
-                    "received": known.map(|known| known.received.to_string()),
-                    "applied": known.map(|known| known.applied.to_string()),
+                    "term": server_state.map(|server_state| server_state.term),
+                    "received": server_state.map(|server_state| server_state.received.to_string()),
+                    "applied": server_state.map(|server_state| server_state.applied.to_string()),
                     "waiting": slots.map_or(0, SlotQueue::waiting),
                     "slots_in_use": slots.map_or(0, SlotQueue::in_use),
                     "connections": pool.map_or(0, ServerPool::open_count),
@@ -120,14 +122,16 @@
             "accounts_with_floor": state.floors.account_count(),
         }))
     })?;
-    let owner = known.as_ref().map(|(owner, _)| owner.clone());
+    let owner = owner_record.as_ref().map(|(owner, _)| owner.clone());
     Some(json!({
         "owner": owner,
-        "owner_term": known.map(|(_, term)| term),
-        "serving_here": own,
+        "owner_term": owner_record.map(|(_, term)| term),
+        "serving_here": serving_status,
     }))
 }
 
+/// Returns the request counts from which the burn rate of each service's error
+/// budget is computed.
 async fn burn(State(context): State<Shared>) -> Json<Value> {
     Json(json!(context.metrics.burn_counts()))
 }
@@ -139,6 +143,8 @@
     id: String,
 }
 
+/// Reports the outcome of a request. A request that has not run is prevented from
+/// running later.
 async fn request(
     State(context): State<Shared>,
     Query(query): Query<RequestQuery>,
--- a/daemon/src/entry.rs
+++ b/daemon/src/entry.rs
@@ -1,4 +1,9 @@
-//! A caller's session at its entry.
+//! Session of a client at its entry instance, the instance that the client is
+//! connected to.
+//!
+//! A session interprets `SET`, `SHOW` and transaction control itself. It forwards
+//! reads and writes to the owner of the database, the one instance that serves
+//! it.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -26,25 +31,27 @@
 use crate::forward;
 use crate::write;
 
-/// Prefix of the variables that are ours.
+/// Prefix of the session variables that the proxy defines.
 const VARIABLE_PREFIX: &str = "chervilwharf.";
 
-/// Time to learn the types of a statement.
-const DESCRIBE_TIME: Duration = Duration::from_secs(5);
+/// Timeout for describing the parameter and column types of a statement.
+const DESCRIBE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// An interactive transaction as its entry sees it.
+/// State of an interactive transaction at its entry instance.
 #[derive(Clone, Debug)]
 struct Transaction {
     id: String,
     request_id: String,
-    /// Fingerprint of all its statements so far.
+    /// Chained digest of the statements sent so far.
     digest: Vec<u8>,
     /// Whether a statement has been sent to the owner.
     started: bool,
+    /// Whether a statement failed, so that only `ROLLBACK` or `COMMIT` is
+    /// accepted.
     aborted: bool,
 }
 
-/// What the caller has set for its session.
+/// Values that the client has set for its session.
 #[derive(Clone, Debug, Default)]
 struct SessionVariables {
     service: String,
@@ -53,33 +60,33 @@
     deadline: Option<Duration>,
 }
 
-/// Outcome of one statement for the protocol side.
+/// Outcome of one statement, to be encoded for the client.
 #[derive(Debug)]
 pub enum Reply {
     /// Rows or a command tag.
     Result(StatementResult),
-    /// A transaction began.
+    /// A transaction has begun.
     Begun,
-    /// A transaction ended, with this tag.
+    /// A transaction has ended, with this command tag.
     Ended(&'static str),
-    /// One text value, for SHOW.
+    /// Name and text value of a variable, for `SHOW`.
     Value(String, String),
-    /// Nothing to do.
+    /// The statement was empty.
     Empty,
 }
 
-/// A statement with everything the protocol gave along.
+/// A statement with the data that the client's protocol messages carried.
 #[derive(Clone, Debug, Default)]
 pub struct Statement {
-    /// Its text.
+    /// SQL text.
     pub sql: String,
-    /// What it is.
+    /// Class, if the statement has been classified already.
     pub class: Option<StatementClass>,
-    /// The message in which it goes to the owner, with its parameters.
+    /// Message in which the statement is sent to the owner, with its parameters.
     pub submit: Submit,
 }
 
-/// Counts a request of a caller, so that a planned stop waits for it.
+/// Counts a client's request as in progress, so that a planned stop waits for it.
 struct ActiveRequest<'a>(&'a Context);
 
 impl<'a> ActiveRequest<'a> {
@@ -95,7 +102,7 @@
     }
 }
 
-/// One caller's session.
+/// Session of one client.
 pub struct Session {
     context: Shared,
     account: Arc<str>,
@@ -103,12 +110,12 @@
     variables: SessionVariables,
     transaction: Option<Transaction>,
     filters: Arc<FilterChain>,
-    /// Name of the last request, told in errors.
+    /// Id of the last request, which errors report to the client.
     last_request_id: Option<String>,
 }
 
 impl Session {
-    /// A session of an account that has proved who it is.
+    /// Creates a session for an account that has authenticated.
     #[must_use]
     pub fn new(
         context: Shared,
@@ -127,7 +134,7 @@
         }
     }
 
-    /// Name of the last request.
+    /// Returns the id of the last request.
     #[must_use]
     pub fn last_request_id(&self) -> Option<&str> {
         self.last_request_id.as_deref()
@@ -137,7 +144,8 @@
     ///
     /// # Errors
     ///
-    /// Replies so far, and the failure that ended the text.
+    /// The failure that ended the text, next to the replies of the statements
+    /// before it. There are no replies if the implicit commit failed.
     pub async fn run_text(&mut self, sql: &str) -> (Vec<Reply>, Option<Failure>) {
         let statements = match classify::split(sql) {
             Ok(statements) => statements,
@@ -146,16 +154,19 @@
                 return (Vec::new(), Some(failure_with(ErrorKind::BadStatement, message)));
             }
         };
-        // Several statements in one text are one transaction, as PostgreSQL
-        // has it; without this half of them could stay when one fails.
-        let controls = statements.iter().any(|(_, class)| {
+        // As in PostgreSQL, several statements in one text form one transaction.
+        // Otherwise some of them could take effect although another one failed.
+        let has_transaction_control = statements.iter().any(|(_, class)| {
             matches!(
                 class,
                 StatementClass::Begin | StatementClass::Commit | StatementClass::Rollback
             )
         });
-        let writes = statements.iter().any(|(_, class)| *class == StatementClass::Write);
-        let implicit = statements.len() > 1 && writes && !controls && self.transaction.is_none();
+        let has_write = statements.iter().any(|(_, class)| *class == StatementClass::Write);
+        let implicit = statements.len() > 1
+            && has_write
+            && !has_transaction_control
+            && self.transaction.is_none();
         let hints = classify::comment_hints(sql);
         if implicit {
             self.begin(&hints);
@@ -185,19 +196,19 @@
     ///
     /// # Errors
     ///
-    /// The failure for the caller.
+    /// The failure for the client.
     pub async fn run(&mut self, statement: Statement) -> Result<Reply, Failure> {
         let hints = classify::comment_hints(&statement.sql);
         let class = match statement.class.clone() {
             Some(class) => class,
             None => Self::classify(&statement.sql)?,
         };
-        if self.transaction.is_none() && self.context.refusing.load(Ordering::SeqCst) {
+        if self.transaction.is_none() && self.context.refuses_requests.load(Ordering::SeqCst) {
             return Err(failure(ErrorKind::Stopping));
         }
         let aborted = self.transaction.as_ref().is_some_and(|transaction| transaction.aborted);
-        let ends = matches!(class, StatementClass::Rollback | StatementClass::Commit);
-        if aborted && !ends {
+        let ends_transaction = matches!(class, StatementClass::Rollback | StatementClass::Commit);
+        if aborted && !ends_transaction {
             return Err(failure(ErrorKind::TransactionAborted));
         }
         let result = self.dispatch(statement, class, &hints).await;
@@ -257,11 +268,12 @@
         });
     }
 
-    /// Name of the next request: from its comment, or set before.
+    /// Returns the id of the next request: from the comment of the statement, from
+    /// the session variable, or a new UUID. The variable applies to one request.
     fn take_request_id(&mut self, hints: &CommentHints) -> String {
-        let set = std::mem::take(&mut self.variables.request_id);
-        let named = hints.request_id.clone().unwrap_or(set);
-        if named.is_empty() { Uuid::now_v7().to_string() } else { named }
+        let session_value = std::mem::take(&mut self.variables.request_id);
+        let request_id = hints.request_id.clone().unwrap_or(session_value);
+        if request_id.is_empty() { Uuid::now_v7().to_string() } else { request_id }
     }
 
     async fn roll_back(&mut self) {
@@ -284,8 +296,8 @@
         if !transaction.started {
             return Ok(Reply::Ended("COMMIT"));
         }
-        if let Some(named) = &hints.request_id {
-            transaction.request_id.clone_from(named);
+        if let Some(request_id) = &hints.request_id {
+            transaction.request_id.clone_from(request_id);
         }
         let submit = Submit {
             transaction_id: transaction.id,
@@ -332,10 +344,10 @@
         let deadline = hints.deadline.or(self.variables.deadline);
         submit.deadline_ms = deadline
             .map_or(0, |deadline| u64::try_from(deadline.as_millis()).unwrap_or(u64::MAX).max(1));
-        let passed = self.filters.apply(&self.context, &mut submit);
+        let filtered = self.filters.apply(&self.context, &mut submit);
         self.last_request_id = Some(submit.request_id.clone());
         let service: Arc<str> = submit.service.as_str().into();
-        let result = match passed {
+        let result = match filtered {
             Ok(()) => {
                 let _active = ActiveRequest::new(&self.context);
                 forward::submit(&self.context, submit).await
@@ -353,11 +365,11 @@
         }
     }
 
-    /// Types of a statement, from a server.
+    /// Asks a database server for the parameter and column types of a statement.
     ///
     /// # Errors
     ///
-    /// The failure for the caller.
+    /// The failure for the client.
     pub async fn describe(
         &self,
         sql: &str,
@@ -368,43 +380,44 @@
             account: self.account.to_string(),
             sql: sql.to_owned(),
             parameter_type_oids,
-            deadline_ms: u64::try_from(DESCRIBE_TIME.as_millis()).unwrap_or(u64::MAX),
+            deadline_ms: u64::try_from(DESCRIBE_TIMEOUT.as_millis()).unwrap_or(u64::MAX),
         };
-        let mut check = Submit {
+        let mut filter_input = Submit {
             database: self.database.to_string(),
             account: self.account.to_string(),
             service: self.variables.service.clone(),
             sql: sql.to_owned(),
             ..Submit::default()
         };
-        self.filters.apply(&self.context, &mut check)?;
+        self.filters.apply(&self.context, &mut filter_input)?;
         forward::describe(&self.context, describe).await
     }
 
     fn set(&mut self, variable: &str, value: &str) -> Result<Reply, Failure> {
-        let done = || {
+        let set_reply = || {
             Ok(Reply::Result(StatementResult {
                 command_tag: "SET".into(),
                 ..StatementResult::default()
             }))
         };
         let Some(name) = variable.strip_prefix(VARIABLE_PREFIX) else {
-            // Variables of the server do not reach it: the next statement may
-            // run on another connection. The usual ones are harmless.
+            // Variables of the database server are not passed on, since the next
+            // statement may run on another connection. Those that drivers usually
+            // set are accepted without effect; ignoring them is harmless.
             return match variable {
                 "client_encoding"
                 | "application_name"
                 | "datestyle"
                 | "timezone"
                 | "extra_float_digits"
-                | "standard_conforming_strings" => done(),
+                | "standard_conforming_strings" => set_reply(),
                 _ => Err(failure_with(
                     ErrorKind::Unsupported,
                     format!("variable \"{variable}\" cannot be set through chervilwharf"),
                 )),
             };
         };
-        let bad = |expected: &str| {
+        let invalid = |expected: &str| {
             let message = format!("bad value \"{value}\" for {variable}, expected {expected}");
             failure_with(ErrorKind::BadStatement, message)
         };
@@ -414,10 +427,10 @@
             "freshness" | "max_age_ms" => {
                 let freshness = classify::parse_freshness(value);
                 let expected = "own_writes, fresh or a number of milliseconds";
-                self.variables.freshness = Some(freshness.ok_or_else(|| bad(expected))?);
+                self.variables.freshness = Some(freshness.ok_or_else(|| invalid(expected))?);
             }
             "deadline_ms" => {
-                let deadline_ms = value.parse().map_err(|_| bad("a number of milliseconds"))?;
+                let deadline_ms = value.parse().map_err(|_| invalid("a number of milliseconds"))?;
                 self.variables.deadline = Some(Duration::from_millis(deadline_ms));
             }
             _ => {
@@ -428,7 +441,7 @@
                 return Err(failure_with(ErrorKind::BadStatement, message));
             }
         }
-        done()
+        set_reply()
     }
 
     fn show(&self, variable: &str) -> Reply {
@@ -443,7 +456,7 @@
         Reply::Value(variable.to_owned(), value)
     }
 
-    /// Ends what is open when the caller has gone.
+    /// Rolls back the open transaction, if any, when the client has disconnected.
     pub async fn close(&mut self) {
         self.roll_back().await;
     }
--- a/daemon/src/entry_handlers.rs
+++ b/daemon/src/entry_handlers.rs
@@ -1,4 +1,4 @@
-//! The PostgreSQL protocol towards callers.
+//! Accepts client connections and implements the PostgreSQL protocol on them.
 
 use std::fmt::Debug;
 use std::sync::Arc;
@@ -53,7 +53,7 @@
 use crate::entry_startup::EntryStartup;
 use crate::filter::FilterChain;
 
-/// Accepts callers until the instance stops.
+/// Accepts client connections until the instance stops.
 pub async fn accept(context: Shared, listener: TcpListener) {
     let filters = Arc::new(FilterChain::new());
     let mut stopping = context.stopping.subscribe();
@@ -63,7 +63,8 @@
             _ = stopping.wait_for(|stopping| *stopping) => return,
         };
         let Ok((socket, address)) = accepted else {
-            // Out of file handles, most likely; the next moment may be better.
+            // The process is most likely out of file descriptors. Waits until some
+            // may have been closed.
             tokio::time::sleep(std::time::Duration::from_millis(10)).await;
             continue;
         };
@@ -72,13 +73,13 @@
         let filters = filters.clone();
         tokio::spawn(async move {
             context.metrics.client_connections.inc();
-            let caller = Arc::new(Caller::new(context.clone(), filters));
-            let handlers = EntryHandlers(caller.clone());
-            let served = pgwire::tokio::process_socket(socket, None, handlers).await;
-            if let Err(error) = served {
-                debug!("caller {address} ended: {error}");
+            let connection = Arc::new(ClientConnection::new(context.clone(), filters));
+            let handlers = EntryHandlers(connection.clone());
+            let processed = pgwire::tokio::process_socket(socket, None, handlers).await;
+            if let Err(error) = processed {
+                debug!("connection of client {address} ended: {error}");
             }
-            if let Some(session) = caller.session.lock().await.as_mut() {
+            if let Some(session) = connection.session.lock().await.as_mut() {
                 session.close().await;
             }
             context.metrics.client_connections.dec();
@@ -86,22 +87,23 @@
     }
 }
 
-/// One caller's connection.
-struct Caller {
+/// Connection of one client, which implements the protocol handlers.
+struct ClientConnection {
     context: Shared,
     filters: Arc<FilterChain>,
     startup: Arc<EntryStartup>,
     session: Mutex<Option<Session>>,
 }
 
-impl Caller {
+impl ClientConnection {
     fn new(context: Shared, filters: Arc<FilterChain>) -> Self {
         let startup = Arc::new(EntryStartup::new(context.clone()));
         Self { context, filters, startup, session: Mutex::new(None) }
     }
 
-    /// The session, made with the first statement: the login is over then.
-    fn ensure<'a, C: ClientInfo>(
+    /// Returns the session in `slot`. The first statement creates it, since account
+    /// and database are known only after the login.
+    fn get_or_create_session<'a, C: ClientInfo>(
         &self,
         client: &C,
         slot: &'a mut Option<Session>,
@@ -117,7 +119,8 @@
         })
     }
 
-    async fn columns(
+    /// Returns the parameter types and the columns of a prepared statement.
+    async fn describe_types(
         &self,
         session: &mut Session,
         parsed: &ParsedStatement,
@@ -139,7 +142,7 @@
     }
 }
 
-struct EntryHandlers(Arc<Caller>);
+struct EntryHandlers(Arc<ClientConnection>);
 
 impl PgWireServerHandlers for EntryHandlers {
     fn simple_query_handler(&self) -> Arc<impl SimpleQueryHandler> {
@@ -156,7 +159,7 @@
 }
 
 #[async_trait]
-impl SimpleQueryHandler for Caller {
+impl SimpleQueryHandler for ClientConnection {
     async fn do_query<C>(&self, client: &mut C, query: &str) -> PgWireResult<Vec<Response>>
     where
         C: ClientInfo + ClientPortalStore + Sink<PgWireBackendMessage> + Unpin + Send + Sync,
@@ -165,10 +168,10 @@
         PgWireError: From<<C as Sink<PgWireBackendMessage>>::Error>,
     {
         let mut slot = self.session.lock().await;
-        let session = self.ensure(client, &mut slot);
+        let session = self.get_or_create_session(client, &mut slot);
         let (replies, failure) = session.run_text(query).await;
         let mut responses: Vec<Response> =
-            replies.into_iter().map(|reply| respond(reply, &Format::UnifiedText)).collect();
+            replies.into_iter().map(|reply| to_response(reply, &Format::UnifiedText)).collect();
         match failure {
             Some(failure) if kind_of(&failure) == ErrorKind::Stopping => {
                 return Err(to_wire(&failure, session.last_request_id()));
@@ -180,7 +183,8 @@
     }
 }
 
-/// An error as part of a response, so that what ran before it is still told.
+/// Returns a failure as part of a response, so that the client also receives the
+/// results of the statements before it.
 fn error_response(session: &Session, failure: &Failure) -> Response {
     match to_wire(failure, session.last_request_id()) {
         PgWireError::UserError(info) => Response::Error(info),
@@ -188,18 +192,18 @@
     }
 }
 
-/// A statement as prepared by the caller.
+/// A statement that the client has prepared.
 #[derive(Clone, Debug)]
 struct ParsedStatement {
     sql: String,
     class: StatementClass,
 }
 
-/// Classifies statements when they are prepared.
-struct EntryParser;
+/// Parses and classifies statements when the client prepares them.
+struct StatementParser;
 
 #[async_trait]
-impl QueryParser for EntryParser {
+impl QueryParser for StatementParser {
     type Statement = ParsedStatement;
 
     async fn parse_sql<C>(
@@ -211,11 +215,12 @@
     where
         C: ClientInfo + Unpin + Send + Sync,
     {
-        let bad = |message: String| to_wire(&failure_with(ErrorKind::BadStatement, message), None);
-        let mut statements = classify::split(sql).map_err(bad)?;
+        let invalid =
+            |message: String| to_wire(&failure_with(ErrorKind::BadStatement, message), None);
+        let mut statements = classify::split(sql).map_err(invalid)?;
         if statements.len() > 1 {
             let message = "cannot insert multiple commands into a prepared statement";
-            return Err(bad(message.to_owned()));
+            return Err(invalid(message.to_owned()));
         }
         let parsed = statements.pop().filter(|(_, class)| *class != StatementClass::Empty);
         Ok(parsed.map(|(sql, class)| ParsedStatement { sql, class }))
@@ -235,12 +240,12 @@
 }
 
 #[async_trait]
-impl ExtendedQueryHandler for Caller {
+impl ExtendedQueryHandler for ClientConnection {
     type Statement = ParsedStatement;
-    type QueryParser = EntryParser;
+    type QueryParser = StatementParser;
 
     fn query_parser(&self) -> Arc<Self::QueryParser> {
-        Arc::new(EntryParser)
+        Arc::new(StatementParser)
     }
 
     async fn do_describe_statement<C>(
@@ -255,10 +260,11 @@
         PgWireError: From<<C as Sink<PgWireBackendMessage>>::Error>,
     {
         let mut slot = self.session.lock().await;
-        let session = self.ensure(client, &mut slot);
-        let described = self.columns(session, &target.statement, &target.parameter_types).await;
+        let session = self.get_or_create_session(client, &mut slot);
+        let described =
+            self.describe_types(session, &target.statement, &target.parameter_types).await;
         let (types, columns) = described?;
-        Ok(DescribeStatementResponse::new(types, fields(&columns, None)))
+        Ok(DescribeStatementResponse::new(types, field_infos(&columns, None)))
     }
 
     async fn do_describe_portal<C>(
@@ -273,11 +279,12 @@
         PgWireError: From<<C as Sink<PgWireBackendMessage>>::Error>,
     {
         let mut slot = self.session.lock().await;
-        let session = self.ensure(client, &mut slot);
+        let session = self.get_or_create_session(client, &mut slot);
         let statement = &target.statement;
-        let described = self.columns(session, &statement.statement, &statement.parameter_types);
+        let described =
+            self.describe_types(session, &statement.statement, &statement.parameter_types);
         let (_, columns) = described.await?;
-        Ok(DescribePortalResponse::new(fields(&columns, Some(&target.result_column_format))))
+        Ok(DescribePortalResponse::new(field_infos(&columns, Some(&target.result_column_format))))
     }
 
     async fn do_query<C>(
@@ -293,15 +300,15 @@
         PgWireError: From<<C as Sink<PgWireBackendMessage>>::Error>,
     {
         let mut slot = self.session.lock().await;
-        let session = self.ensure(client, &mut slot);
+        let session = self.get_or_create_session(client, &mut slot);
         let parsed = &portal.statement.statement;
         let statement = Statement {
             sql: parsed.sql.clone(),
             class: Some(parsed.class.clone()),
-            submit: bound(portal),
+            submit: submit_from_portal(portal),
         };
         match session.run(statement).await {
-            Ok(reply) => Ok(respond(reply, &portal.result_column_format)),
+            Ok(reply) => Ok(to_response(reply, &portal.result_column_format)),
             Err(failure) => Err(to_wire(&failure, session.last_request_id())),
         }
     }
@@ -311,8 +318,9 @@
     types.iter().map(|kind| kind.as_ref().map_or(0, Type::oid)).collect()
 }
 
-/// Parameters of a portal, untouched: the server decodes them.
-fn bound(portal: &Portal<ParsedStatement>) -> Submit {
+/// Builds the message for a portal. The parameters keep the encoding that the
+/// client chose, since the database server decodes them.
+fn submit_from_portal(portal: &Portal<ParsedStatement>) -> Submit {
     let parameters = portal.parameters.iter().map(|value| Parameter {
         null: value.is_none(),
         value: value.as_ref().map(|bytes| bytes.to_vec()).unwrap_or_default(),
@@ -334,7 +342,7 @@
     }
 }
 
-fn fields(columns: &[Column], format: Option<&Format>) -> Vec<FieldInfo> {
+fn field_infos(columns: &[Column], format: Option<&Format>) -> Vec<FieldInfo> {
     columns
         .iter()
         .enumerate()
@@ -359,7 +367,7 @@
     }
 }
 
-fn respond(reply: Reply, format: &Format) -> Response {
+fn to_response(reply: Reply, format: &Format) -> Response {
     match reply {
         Reply::Empty => Response::EmptyQuery,
         Reply::Begun => Response::TransactionStart(Tag::new("BEGIN")),
@@ -371,20 +379,20 @@
 }
 
 fn rows_response(result: StatementResult) -> Response {
-    let schema = Arc::new(fields(&result.columns, None));
+    let schema = Arc::new(field_infos(&result.columns, None));
     let rows = result.rows.into_iter().map(|row| {
         let data = BytesMut::from(row.data.as_slice());
         Ok(DataRow::new(data, i16::try_from(row.column_count).unwrap_or(i16::MAX)))
     });
     let mut response = QueryResponse::new(schema, stream::iter(rows.collect::<Vec<_>>()));
-    // The library counts the rows anew and appends the count itself.
+    // pgwire counts the rows and appends the count, so the tag must not have one.
     let command = result.command_tag.rsplit_once(' ').map_or("SELECT", |(command, _)| command);
     response.set_command_tag(command);
     Response::Query(response)
 }
 
 fn value_response(name: &str, value: &str, format: &Format) -> Response {
-    let schema = Arc::new(fields(&[text_column(name)], Some(format)));
+    let schema = Arc::new(field_infos(&[text_column(name)], Some(format)));
     let mut encoder = DataRowEncoder::new(schema.clone());
     let row = encoder.encode_field(&value).map(|()| encoder.take_row());
     let mut response = QueryResponse::new(schema, stream::iter(vec![row]));
--- a/daemon/src/start.rs
+++ b/daemon/src/start.rs
@@ -1,4 +1,5 @@
-//! Starts and stops an instance.
+//! Starts and stops an instance: its listeners, its background tasks and the
+//! context that they share.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -36,7 +37,7 @@
 use crate::platform_sync;
 use crate::transactions::Transactions;
 
-/// Why an instance could not be started.
+/// Reason why an instance could not be started.
 #[derive(Debug)]
 #[derive(Display)]
 pub enum StartError {
@@ -44,9 +45,9 @@
     Listen {
         /// Name of the setting.
         name: &'static str,
-        /// Its value.
+        /// Value of the setting.
         address: SocketAddr,
-        /// What the system says.
+        /// Error of the operating system.
         error: std::io::Error,
     },
 }
@@ -56,27 +57,28 @@
 /// A running instance.
 pub struct Daemon {
     context: Shared,
-    /// Where callers connect.
+    /// Address on which the instance accepts clients.
     pub client_address: SocketAddr,
-    /// Where other instances connect.
+    /// Address on which the instance accepts other instances.
     pub peer_address: SocketAddr,
-    /// Where operators connect.
+    /// Address of the HTTP interface for operators.
     pub admin_address: SocketAddr,
 }
 
-/// Longest wait for handovers at a planned stop.
-const STOP_LIMIT: Duration = Duration::from_secs(20);
+/// Longest wait of a planned stop for handovers and requests in progress.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Requests sent again, as a share of first tries.
+/// Upper limit of retries as a percentage of the requests.
 const RETRY_SHARE_PERCENT: u64 = 20;
 
-/// Requests that may be sent again at once: each caller of an entry has at
-/// most one in progress when an owner dies.
+/// Retries that are allowed at once, beyond that percentage: when an owner fails,
+/// each client connected to this instance has at most one request to retry.
 const RETRY_BURST: u64 = 5000;
 
-/// Time in which callers that are at work are told to go elsewhere. Those
-/// that stay silent for so long have no request in progress.
-const CLOSING_TIME: Duration = Duration::from_secs(2);
+/// Time in which a stopping instance still answers new requests, with a refusal,
+/// so that active clients move to another instance. A client that sends nothing
+/// for this long has no request in progress.
+const CLIENT_CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
 
 async fn listen(
     name: &'static str,
@@ -93,45 +95,45 @@
     ///
     /// # Errors
     ///
-    /// When an address cannot be used.
+    /// When the instance cannot listen on one of the configured addresses.
     pub async fn start(settings: Settings) -> Result<Self, StartError> {
         let (clients, client_address) = listen("client_address", settings.client_address).await?;
         let (peers, peer_address) = listen("peer_address", settings.peer_address).await?;
         let (operators, admin_address) = listen("admin_address", settings.admin_address).await?;
-        let (context, actions) = build(settings, peer_address, admin_address);
-        seed(&context);
+        let (context, actions) = build_context(settings, peer_address, admin_address);
+        add_seed_instances(&context);
         tokio::spawn(control::run(context.clone(), actions));
         tokio::spawn(link_server::accept(context.clone(), peers));
         tokio::spawn(admin::serve(context.clone(), operators));
-        tokio::spawn(platform_sync::follow_instances(context.clone()));
-        tokio::spawn(platform_sync::follow_configuration(context.clone()));
-        tokio::spawn(read_owners_once_configured(context.clone()));
+        tokio::spawn(platform_sync::watch_instances(context.clone()));
+        tokio::spawn(platform_sync::watch_configuration(context.clone()));
+        tokio::spawn(load_owners_once_configured(context.clone()));
         tokio::spawn(entry_handlers::accept(context.clone(), clients));
         info!("started instance={}", context.settings.instance);
         Ok(Self { context, client_address, peer_address, admin_address })
     }
 
-    /// What the tasks of the instance share.
+    /// Returns the state that the tasks of the instance share.
     #[must_use]
     pub fn context(&self) -> &Shared {
         &self.context
     }
 
-    /// Stops the instance: takes no new callers, hands its databases over,
-    /// and lets what is in progress end.
+    /// Stops the instance: accepts no new clients, hands its databases over to
+    /// other instances, and lets requests in progress end.
     pub async fn stop(&self) {
         let context = &self.context;
         info!("stopping instance={}", context.settings.instance);
         context.stopping.send_replace(true);
         context.databases.handle(InstanceEvent::Leave);
-        let deadline = Instant::now() + STOP_LIMIT;
+        let deadline = Instant::now() + DRAIN_TIMEOUT;
         while Instant::now() < deadline && !is_idle(context) {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        // Whoever sends a request from now on is told that it did not run,
-        // and loses its connection with that answer instead of in the middle.
-        context.refusing.store(true, Ordering::SeqCst);
-        let deadline = Instant::now() + CLOSING_TIME;
+        // From now on a request is refused as not run. The connection closes with
+        // that answer and not in the middle of a request.
+        context.refuses_requests.store(true, Ordering::SeqCst);
+        let deadline = Instant::now() + CLIENT_CLOSE_TIMEOUT;
         while Instant::now() < deadline && context.metrics.client_connections.get() > 0 {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
@@ -139,16 +141,17 @@
     }
 }
 
-/// Whether nothing is owned and no request of a caller is in progress.
+/// Whether no client request is in progress and no database remains that another
+/// running instance could take over.
 fn is_idle(context: &Shared) -> bool {
-    let alone =
+    let no_peer_available =
         context.databases.instance.membership().peers().all(|(peer, alive)| !alive || peer.leaving);
     let owns = !context.databases.instance.owned().is_empty();
     let busy = context.active_requests.load(Ordering::SeqCst) > 0;
-    (!owns || alone) && !busy
+    (!owns || no_peer_available) && !busy
 }
 
-fn build(
+fn build_context(
     settings: Settings,
     peer_address: SocketAddr,
     admin_address: SocketAddr,
@@ -162,11 +165,11 @@
         leaving: false,
         configuration_version: 0,
     };
-    let life = uuid::Uuid::now_v7().to_string();
+    let incarnation = uuid::Uuid::now_v7().to_string();
     let (actions, queue) = mpsc::unbounded_channel();
     let platform = HttpPlatform::new(settings.store_url.clone());
     let instance =
-        Instance::new(me, &life, MembershipTiming::default(), OwnershipTiming::default());
+        Instance::new(me, &incarnation, MembershipTiming::default(), OwnershipTiming::default());
     let databases = Arc::new(Databases::new(instance, actions));
     let metrics = Metrics::new();
     let identity = LinkIdentity {
@@ -183,18 +186,19 @@
         in_flight: Arc::default(),
         transactions: Transactions::default(),
         confirmations: Confirmations::default(),
-        limits: HashMap::new().into(),
+        account_limits: HashMap::new().into(),
         stopping: watch::Sender::new(false),
-        retries: RetryBudget::new(RETRY_SHARE_PERCENT, RETRY_BURST).into(),
-        refusing: false.into(),
+        retry_budget: RetryBudget::new(RETRY_SHARE_PERCENT, RETRY_BURST).into(),
+        refuses_requests: false.into(),
         active_requests: 0.into(),
         settings,
     };
     (Arc::new(context), queue)
 }
 
-/// Learns of the instances named in the settings.
-fn seed(context: &Shared) {
+/// Adds the instances named in the settings to the known peers, so that this
+/// instance can reach them while the store is unavailable.
+fn add_seed_instances(context: &Shared) {
     let seeds = context.settings.seeds.iter().map(|seed| PeerInfo {
         id: seed.instance.clone(),
         address: seed.peer_address.clone(),
@@ -206,10 +210,10 @@
     context.databases.instance.membership().learn(Instant::now(), seeds);
 }
 
-async fn read_owners_once_configured(context: Shared) {
+async fn load_owners_once_configured(context: Shared) {
     let mut active = context.active.subscribe();
-    // Fails only while the whole instance is going down.
+    // Fails only while the process shuts down.
     if active.wait_for(|active| active.version > 0).await.is_ok() {
-        platform_sync::read_owners(context.clone()).await;
+        platform_sync::load_owners(context.clone()).await;
     }
 }
