--- a/daemon/src/engine/peers.rs
+++ b/daemon/src/engine/peers.rs
@@ -148,7 +148,7 @@
     let bytes: BytesMut = match frames.next().await {
         Some(Ok(bytes)) => bytes,
         Some(Err(error)) => return Err(unreachable(&error)),
-        None => return Err(PeerError::Unreachable("the connection was closed".to_owned())),
+        None => return Err(PeerError::Unreachable("closed".to_owned())),
     };
     EngineFrame::decode(bytes).map_err(|_| PeerError::Unreadable)
 }
--- a/daemon/src/engine/replacement.rs
+++ b/daemon/src/engine/replacement.rs
@@ -224,7 +224,7 @@
 impl Replacement<'_> {
     async fn carry_out(&mut self, first: Candidate) -> Result<(), Abandoned> {
         if self.is_outdated() {
-            return Err(Abandoned::BeforeOrder("the reason for the replacement has disappeared"));
+            return Err(Abandoned::BeforeOrder("outdated"));
         }
         let event = Event::new(EventKind::ReplacementBegun)
             .with("group", self.shard.id())
