--- a/daemon/src/engine/duty_control.rs
+++ b/daemon/src/engine/duty_control.rs
@@ -208,7 +208,7 @@
     }
 
     fn currency(&self) -> Currency {
-        Currency::MayBeOld
+        Currency::MayBeStale
     }
 
     fn replace(&mut self, listing: Listing) {
--- a/daemon/src/engine/follow.rs
+++ b/daemon/src/engine/follow.rs
@@ -99,7 +99,7 @@
 pub fn watch_wait(currency: Currency) -> Duration {
     match currency {
         Currency::Fresh => WATCH_WAIT,
-        Currency::MayBeOld => LONG_WATCH_WAIT,
+        Currency::MayBeStale => LONG_WATCH_WAIT,
     }
 }
 
@@ -111,7 +111,7 @@
 pub fn change_pause(currency: Currency) -> Duration {
     match currency {
         Currency::Fresh => Duration::ZERO,
-        Currency::MayBeOld => STALE_CHANGE_PAUSE,
+        Currency::MayBeStale => STALE_CHANGE_PAUSE,
     }
 }
 
--- a/daemon/src/engine/instance_control.rs
+++ b/daemon/src/engine/instance_control.rs
@@ -110,7 +110,7 @@
     }
 
     fn currency(&self) -> Currency {
-        Currency::MayBeOld
+        Currency::MayBeStale
     }
 
     fn replace(&mut self, listing: Listing) {
--- a/daemon/src/engine/shared.rs
+++ b/daemon/src/engine/shared.rs
@@ -535,7 +535,7 @@
             Body::LeaderQuery(query) => Some(Body::LeaderReply(self.leader_reply(&query))),
             Body::TermEnd(end) => Some(Body::TermEndReply(self.end_term(&end))),
             Body::PrimaryNews(news) => {
-                self.take_primary_news(&news);
+                self.apply_primary_news(&news);
                 Some(Body::PrimaryNewsTaken(PrimaryNewsTaken {}))
             }
             Body::DirectoryState(state) => {
--- a/daemon/tests/test_follow.rs
+++ b/daemon/tests/test_follow.rs
@@ -78,7 +78,7 @@
     fn change(&mut self, _: Revision, _: Vec<Change>) {}
 
     fn currency(&self) -> Currency {
-        Currency::MayBeOld
+        Currency::MayBeStale
     }
 }
 
@@ -213,7 +213,7 @@
     fn change(&mut self, _: Revision, _: Vec<Change>) {}
 
     fn currency(&self) -> Currency {
-        Currency::MayBeOld
+        Currency::MayBeStale
     }
 }
 
