--- a/daemon/src/engine/account_metrics.rs
+++ b/daemon/src/engine/account_metrics.rs
@@ -37,7 +37,7 @@
 
 impl AccountMetrics {
     /// Counts a completed statement of an account; `failure` is `None` if it succeeded.
-    pub fn ended(&self, account: &AccountId, failure: Option<ErrorKind>) {
+    pub fn record_statement(&self, account: &AccountId, failure: Option<ErrorKind>) {
         let outcome = failure.map_or("ok", ErrorKind::name);
         let account = if self.is_named(account) { account } else { OTHER_ACCOUNTS };
         let labels = AccountLabels { account: account.to_owned(), outcome };
--- a/daemon/src/engine/directory.rs
+++ b/daemon/src/engine/directory.rs
@@ -131,7 +131,7 @@
     /// the store cannot be reached: {0}
     Unreachable(String),
     /// the store did not answer in time
-    Silent,
+    TimedOut,
     /// the store's answer cannot be decoded: {0}
     Unreadable(String),
     /// the store was restored from a backup, and too few voters reported their retired terms
@@ -144,7 +144,7 @@
     /// Whether no answer arrived, as opposed to a refusal or an unusable answer.
     #[must_use]
     pub fn is_unanswered(&self) -> bool {
-        matches!(self, Self::Unreachable(_) | Self::Silent)
+        matches!(self, Self::Unreachable(_) | Self::TimedOut)
     }
 }
 
--- a/daemon/src/engine/fleet_control.rs
+++ b/daemon/src/engine/fleet_control.rs
@@ -55,7 +55,7 @@
             let paused_for = at.saturating_sub(last_round);
             event_log::emit(&Event::new(EventKind::StoodStill).with_ms("for_ms", paused_for));
             engine.with_fleet(|fleet| fleet.process_paused(at));
-            engine.peer_contacts().forget();
+            engine.peer_contacts().clear();
         }
         last_round = at;
         for target in engine.heartbeat_targets() {
@@ -87,10 +87,10 @@
     let request = Body::Heartbeat(engine.heartbeat(&target.shared_groups));
     let answer = engine.peers().ask(peer.peer_address, request).await;
     let Ok(Body::HeartbeatReply(reply)) = answer else {
-        engine.peer_contacts().missed(asked_at, &peer.id);
+        engine.peer_contacts().record_unanswered(asked_at, &peer.id);
         return;
     };
-    engine.peer_contacts().heard(asked_at, &peer.id);
+    engine.peer_contacts().record_answer(asked_at, &peer.id);
     engine.apply_heartbeat(&reply);
     engine.take_grants(asked_at, &peer.id, &reply.grants, reply.store_era);
     engine.apply_position_samples(asked_at, &reply.samples);
--- a/daemon/src/engine/follow.rs
+++ b/daemon/src/engine/follow.rs
@@ -191,7 +191,7 @@
                     () = era.wait_for_later(after.era) => Err(DirectoryError::HistoryGone),
                     () = availability.wait_for_abort(aborts) => {
                         event_log::emit(&unanswered_event(kind, "watch", called_at.elapsed(), WATCH_ABORTED));
-                        Err(DirectoryError::Silent)
+                        Err(DirectoryError::TimedOut)
                     }
                 };
                 match changes {
--- a/daemon/src/engine/holders.rs
+++ b/daemon/src/engine/holders.rs
@@ -71,7 +71,7 @@
     }
 
     /// Makes the next use check the list of instances and the configuration for changes.
-    pub fn check_again(&self) {
+    pub fn mark_stale(&self) {
         self.lock().checked_at = None;
     }
 }
--- a/daemon/src/engine/leader_control.rs
+++ b/daemon/src/engine/leader_control.rs
@@ -62,7 +62,7 @@
     }
 
     /// Leaves the replacement of a primary to other instances for some time.
-    pub fn step_back(&self, group: &GroupId) {
+    pub fn leave_to_others(&self, group: &GroupId) {
         self.with(group, |watch| watch.step_back(now()));
     }
 
@@ -226,23 +226,23 @@
         let query = Body::LeaderQuery(query.clone());
         engine.peers().ask(peer.peer_address, query)
     });
-    let mut opinions = PeerReports::default();
+    let mut reports = PeerReports::default();
     let mut helpers = Vec::new();
     let answers = join_all(requests).await;
     for (peer, answer) in others.iter().zip(answers) {
         let Ok(Body::LeaderReply(reply)) = answer else {
-            opinions.silent += 1;
+            reports.silent += 1;
             continue;
         };
-        opinions.replacing |= reply.replacing;
+        reports.replacing |= reply.replacing;
         adopt_reported_leader(shard, &reply);
         match (reply.contact(), &leader) {
             (Contact::Answered, Some(_)) => helpers.push(peer.peer_address),
-            (Contact::Failed, _) => opinions.failed += 1,
-            (Contact::Unknown, _) | (Contact::Answered, None) => opinions.unknown += 1,
+            (Contact::Failed, _) => reports.failed += 1,
+            (Contact::Unknown, _) | (Contact::Answered, None) => reports.unknown += 1,
         }
     }
-    opinions.reached = helpers.len();
+    reports.reached = helpers.len();
     // A random one, since all instances that are cut off choose one at the same time.
     if let (Some(leader), Some(helper)) = (&leader, helpers.choose(&mut rand::rng())) {
         shard.set_detour(leader, *helper);
@@ -250,14 +250,14 @@
     let event = Event::new(EventKind::LeaderOpinions)
         .with("group", shard.id())
         .with_some("server", leader.as_ref())
-        .with_count("reached", opinions.reached)
-        .with_count("failed", opinions.failed)
-        .with_count("unknown", opinions.unknown)
-        .with_count("silent", opinions.silent)
-        .with("replacing", opinions.replacing);
+        .with_count("reached", reports.reached)
+        .with_count("failed", reports.failed)
+        .with_count("unknown", reports.unknown)
+        .with_count("silent", reports.silent)
+        .with("replacing", reports.replacing);
     event_log::emit(&event);
     let out_of_reach = engine.watches().with(shard.id(), |watch| {
-        watch.heard(now(), leader.as_ref(), opinions);
+        watch.heard(now(), leader.as_ref(), reports);
         watch.out_of_reach().cloned()
     });
     shard.set_out_of_reach(out_of_reach.as_ref());
--- a/daemon/src/engine/lease.rs
+++ b/daemon/src/engine/lease.rs
@@ -47,11 +47,11 @@
     pub fn adapt(&mut self, values: &SessionValues, prepared: Option<&Prepared>) -> Vec<Step> {
         let steps = self.connection_setup.adapt(values, prepared);
         self.setup_pending |= !steps.is_empty();
-        steps.into_iter().map(Step::own).collect()
+        steps.into_iter().map(Step::internal).collect()
     }
 
     /// Records that everything that was sent to the server has been answered.
-    pub fn settle(&mut self) {
+    pub fn record_all_answered(&mut self) {
         self.setup_pending = false;
         self.answered_at = now();
     }
--- a/daemon/src/engine/metrics.rs
+++ b/daemon/src/engine/metrics.rs
@@ -285,7 +285,7 @@
     }
 
     /// Counts a statement that completed after `took`; `failure` is `None` if it succeeded.
-    pub fn ended(
+    pub fn record_statement(
         &self,
         group: &GroupId,
         kind: &'static str,
@@ -302,7 +302,7 @@
 
     /// Records the times that a statement waited for a connection and spent at a server of
     /// this role.
-    pub fn tried(
+    pub fn record_times(
         &self,
         group: &GroupId,
         role: &'static str,
@@ -322,7 +322,7 @@
     }
 
     /// Counts a failed attempt that is retried.
-    pub fn moved(&self, reason: ErrorKind) {
+    pub fn record_retry(&self, reason: ErrorKind) {
         self.retries.get_or_create(&ReasonLabels { reason: reason.name() }).inc();
     }
 
--- a/daemon/src/engine/peer_contacts.rs
+++ b/daemon/src/engine/peer_contacts.rs
@@ -51,7 +51,7 @@
 
     /// Records that an instance answered a request that was sent at `asked_at`, and logs
     /// if it was unreachable before.
-    pub fn heard(&self, asked_at: Moment, id: &InstanceId) {
+    pub fn record_answer(&self, asked_at: Moment, id: &InstanceId) {
         let has_changed = self.lock().heard(asked_at, id);
         if has_changed {
             event_log::emit(&Event::new(EventKind::PeerHeard).with("peer", id));
@@ -60,7 +60,7 @@
 
     /// Records that an instance left a request of `asked_at` unanswered, and logs if it
     /// becomes unreachable by that.
-    pub fn missed(&self, asked_at: Moment, id: &InstanceId) {
+    pub fn record_unanswered(&self, asked_at: Moment, id: &InstanceId) {
         let at = now();
         let has_changed = self.lock().missed(at, asked_at, id);
         if has_changed {
@@ -71,7 +71,7 @@
 
     /// Discards all records of liveness. For an instance that was suspended itself, so
     /// that unanswered requests prove nothing about the others.
-    pub fn forget(&self) {
+    pub fn clear(&self) {
         *self.lock() = PeerContacts::default();
     }
 
@@ -123,10 +123,10 @@
         let answer =
             self.peers().ask_on_new_link(peer.peer_address, request, LIVENESS_TIMEOUT).await;
         let Ok(Body::SignOfLifeReply(reply)) = answer else {
-            self.peer_contacts().missed(asked_at, &peer.id);
+            self.peer_contacts().record_unanswered(asked_at, &peer.id);
             return None;
         };
-        self.peer_contacts().heard(asked_at, &peer.id);
+        self.peer_contacts().record_answer(asked_at, &peer.id);
         Some(reply)
     }
 
--- a/daemon/src/engine/primary_lease_control.rs
+++ b/daemon/src/engine/primary_lease_control.rs
@@ -374,7 +374,7 @@
             let event = Event::new(EventKind::LeaderFound).with("group", shard.id());
             let event = event.with("server", &id).with("term", news.term);
             event_log::emit(&event.with("source", "replacement"));
-            shard.doubt();
+            shard.request_primary_check();
             shard.assign_connections();
         }
     }
--- a/daemon/src/engine/probe.rs
+++ b/daemon/src/engine/probe.rs
@@ -126,7 +126,7 @@
     let asking = lease.connection().connection.status();
     match tokio::time::timeout(probe_timeout(shard, id), asking).await {
         Ok(Ok(answer)) => {
-            lease.connection().settle();
+            lease.connection().record_all_answered();
             lease.give_back();
             if let Ok(status) = answer {
                 shard.observe_status(asked_at, id, status);
--- a/daemon/src/engine/quota_control.rs
+++ b/daemon/src/engine/quota_control.rs
@@ -472,8 +472,8 @@
 
 /// The refusal of an operation of an account that is at its limit.
 fn rate_limited(limit: QuotaLimit, retry_after: Duration) -> Failure {
-    let spread = 1.0 + rand::random_range(0.0..RETRY_JITTER);
+    let jitter_factor = 1.0 + rand::random_range(0.0..RETRY_JITTER);
     let text = format!("{}: {} a second", ErrorKind::RateLimited, limit.rate_per_s);
     let failure = Failure { text: text.into(), ..Failure::new(ErrorKind::RateLimited) };
-    failure.with_retry_after(retry_after.mul_f64(spread))
+    failure.with_retry_after(retry_after.mul_f64(jitter_factor))
 }
--- a/daemon/src/engine/replacement.rs
+++ b/daemon/src/engine/replacement.rs
@@ -205,7 +205,7 @@
         Err(Abandoned::BeforeOrder(_)) => replacement.withdraw().await,
         Err(Abandoned::LeftToOthers(_)) => {
             replacement.withdraw().await;
-            replacer.engine.watches().step_back(shard.id());
+            replacer.engine.watches().leave_to_others(shard.id());
         }
         _ => {}
     }
@@ -373,21 +373,21 @@
         let participants = self.participants();
         let ids: Vec<_> = participants.iter().map(|record| record.id.clone()).collect();
         let voters = engine.voters(self.shard.id()).to_vec();
-        let mut agreement = PromiseTally::new(voters, ids, self.written_at);
+        let mut tally = PromiseTally::new(voters, ids, self.written_at);
         let last_resort = self.reason == ReplaceReason::LastResort;
         let until = now() + PROMISE_LIMIT;
         loop {
-            let missing: Vec<_> = agreement.missing().cloned().collect();
+            let missing: Vec<_> = tally.missing().cloned().collect();
             let left = participants.iter().filter(|record| missing.contains(&record.id));
             let left: Vec<_> = left.cloned().collect();
             for (id, reply) in self.send_term_end(&left, false).await {
-                self.apply_reply(&mut agreement, &id, &reply)?;
+                self.apply_reply(&mut tally, &id, &reply)?;
             }
             self.check_order_stored()?;
             let at = now();
-            let why = match agreement.readiness(last_resort) {
+            let why = match tally.readiness(last_resort) {
                 Readiness::From(from) if from <= at => {
-                    self.report_agreement(&agreement);
+                    self.report_promises(&tally);
                     return Ok(());
                 }
                 Readiness::From(_) => "unreachable instances may still use the old primary",
@@ -405,7 +405,7 @@
 
     fn apply_reply(
         &self,
-        agreement: &mut PromiseTally,
+        tally: &mut PromiseTally,
         id: &InstanceId,
         reply: &TermEndReply,
     ) -> Result<(), Abandoned> {
@@ -430,12 +430,12 @@
                 _ => Ok(()),
             };
         }
-        agreement.promised(now(), id, decode_given(&reply.given));
+        tally.promised(now(), id, decode_given(&reply.given));
         Ok(())
     }
 
-    fn report_agreement(&self, agreement: &PromiseTally) {
-        let silent = agreement.missing().count();
+    fn report_promises(&self, tally: &PromiseTally) {
+        let silent = tally.missing().count();
         let event = Event::new(EventKind::ReplacementAgreed).with("group", self.shard.id());
         let event = event.with("term", self.term).with("token", self.duty.token);
         event_log::emit(&event.with_count("silent", silent));
--- a/daemon/src/engine/server_connection.rs
+++ b/daemon/src/engine/server_connection.rs
@@ -30,7 +30,7 @@
 impl Step {
     /// A statement that the proxy issues itself, without a request id or a position.
     #[must_use]
-    pub fn own(statement: Statement) -> Self {
+    pub fn internal(statement: Statement) -> Self {
         Self { id: None, floor: None, statement }
     }
 }
@@ -56,7 +56,7 @@
     /// the server does not keep to the protocol: {0}
     Protocol(String),
     /// no whole answer came in time
-    Silent,
+    TimedOut,
 }
 
 /// Why no connection could be opened.
--- a/daemon/src/engine/session.rs
+++ b/daemon/src/engine/session.rs
@@ -96,7 +96,7 @@
     /// Random number below [`SPREAD_STEPS`], or 0 in a forwarded session. It sets when a
     /// planned stop closes the session, and which holder its statements go to if the client
     /// has no account.
-    spread: u32,
+    random_number: u32,
     /// Counts the session as open at this instance.
     open_guard: Option<SessionGuard>,
     /// Whether the session closes at the end of its operation, because a statement failed
@@ -182,7 +182,7 @@
         Self { is_forwarded: true, ..Self::new(engine, route, caller, 0) }
     }
 
-    fn new(engine: Arc<Engine>, route: &Route, caller: Caller, spread: u32) -> Self {
+    fn new(engine: Arc<Engine>, route: &Route, caller: Caller, random_number: u32) -> Self {
         Self {
             shard: engine.shard(&route.group),
             database: route.database.clone(),
@@ -194,7 +194,7 @@
             transaction: None,
             in_transaction: false,
             trace: StatementTrace::default(),
-            spread,
+            random_number,
             open_guard: Some(engine.count_session()),
             closes_after_failure: false,
             engine,
@@ -274,7 +274,7 @@
     pub fn affinity(&self) -> Affinity {
         match &self.caller.account {
             Some(account) if !self.is_forwarded => Affinity::Account(account.clone()),
-            _ => Affinity::Session(self.spread),
+            _ => Affinity::Session(self.random_number),
         }
     }
 
@@ -412,9 +412,9 @@
     fn report(&self, kind: &'static str, failure: Option<&Failure>, took: Duration) {
         let group = self.shard.id();
         let metrics = self.engine.metrics();
-        metrics.ended(group, kind, failure.map(|failure| failure.kind), took);
+        metrics.record_statement(group, kind, failure.map(|failure| failure.kind), took);
         if let Some(account) = &self.caller.account {
-            metrics.accounts.ended(account, failure.map(|failure| failure.kind));
+            metrics.accounts.record_statement(account, failure.map(|failure| failure.kind));
         }
         if let Some(failure) = failure {
             self.trace.log_failure(group, failure, took, self.shard.waiting());
@@ -423,7 +423,7 @@
         if self.trace.tries == 0 {
             return;
         }
-        metrics.tried(group, self.role_of_server(), self.trace.waited, self.trace.at_server);
+        metrics.record_times(group, self.role_of_server(), self.trace.waited, self.trace.at_server);
         let objective = self.engine.route(&self.database).map(|route| route.objective);
         if let Some(objective) = objective.filter(|objective| took > *objective) {
             self.trace.log_late(group, took, objective);
@@ -438,7 +438,7 @@
     /// Counts and logs that an attempt of the current statement failed and another one
     /// follows.
     pub fn report_retry(&self, failure: &Failure) {
-        self.engine.metrics().moved(failure.kind);
+        self.engine.metrics().record_retry(failure.kind);
         self.trace.log_retry(self.shard.id(), failure);
     }
 
--- a/daemon/src/engine/session/idle.rs
+++ b/daemon/src/engine/session/idle.rs
@@ -41,7 +41,10 @@
 
     /// Waits while the session is idle, until its transaction has to be rolled back or the
     /// session closed. `stop` carries the plan of a planned stop once there is one.
-    pub async fn rest(&self, stop: &mut watch::Receiver<Option<StopPlan>>) -> IdleAction {
+    pub async fn wait_while_idle(
+        &self,
+        stop: &mut watch::Receiver<Option<StopPlan>>,
+    ) -> IdleAction {
         loop {
             let plan = *stop.borrow_and_update();
             let (until, end) = self.idle_action(plan);
@@ -66,7 +69,7 @@
     pub(super) fn idle_action(&self, plan: Option<StopPlan>) -> (Option<Moment>, IdleAction) {
         let idle = self.state() == TransactionState::Idle;
         if let (Some(plan), true) = (plan, idle) {
-            return (Some(plan.close_at(self.spread)), IdleAction::Close);
+            return (Some(plan.close_at(self.random_number)), IdleAction::Close);
         }
         let limit = self.idle_time_left().map(|limit| now() + limit);
         let stop = plan.map(|plan| plan.transactions_end_at()).filter(|_| self.holds_connection());
--- a/daemon/src/engine/shard.rs
+++ b/daemon/src/engine/shard.rs
@@ -52,7 +52,7 @@
     pub(super) group: Group,
     pools: HashMap<TargetId, Pool>,
     pub(super) queue: WaitQueue<Waiter>,
-    pub(super) pace: WaitEstimator,
+    pub(super) wait_estimator: WaitEstimator,
     budget: usize,
     /// Smoothed duration of statements at the servers.
     pub(super) service_time: Duration,
@@ -82,7 +82,7 @@
     peers: Arc<Peers>,
     inner: Mutex<Inner>,
     /// Wakes the task that checks the primary, when it may have failed or changed.
-    doubt: Arc<Notify>,
+    primary_check: Arc<Notify>,
     /// Wakes the task that renews the primary lease, when a request needs the lease and it
     /// has expired.
     lease_renewal: Arc<Notify>,
@@ -115,14 +115,14 @@
 
 impl Shard {
     /// Creates a shard without servers, at an instance in the failure domain `home`.
-    /// `doubt` wakes the task that checks primaries.
+    /// `primary_check` wakes the task that checks primaries.
     #[must_use]
     pub fn new(
         id: GroupId,
         home: FailureDomainId,
         connector: Arc<dyn Connector>,
         peers: Arc<Peers>,
-        doubt: Arc<Notify>,
+        primary_check: Arc<Notify>,
     ) -> Self {
         let inner = Inner { budget: 1, group: Group::with_home(home), ..Inner::default() };
         let (inner, primary_lease_changed) = (Mutex::new(inner), Notify::new());
@@ -131,7 +131,7 @@
             connector,
             peers,
             inner,
-            doubt,
+            primary_check,
             lease_renewal: Arc::default(),
             primary_lease_changed,
         }
@@ -145,8 +145,8 @@
     }
 
     /// Wakes the task that checks the primary, since it may have failed or changed.
-    pub fn doubt(&self) {
-        self.doubt.notify_one();
+    pub fn request_primary_check(&self) {
+        self.primary_check.notify_one();
     }
 
     /// The group's id.
@@ -170,7 +170,7 @@
         if was {
             let event = Event::new(EventKind::LeaderLost).with("group", &self.id);
             event_log::emit(&event.with("server", server));
-            self.doubt();
+            self.request_primary_check();
         }
     }
 
@@ -220,7 +220,7 @@
     /// Records that a server takes unusually long to answer, so that it may have failed.
     pub fn suspect(&self, server: &TargetId) {
         if self.with_group(|group| group.suspect(now(), server)) {
-            self.doubt();
+            self.request_primary_check();
         }
     }
 
@@ -291,7 +291,7 @@
         });
         drop(inner);
         drop(closing);
-        self.doubt();
+        self.request_primary_check();
         self.assign_connections();
     }
 
@@ -482,7 +482,7 @@
         pool.view.opening = pool.view.opening.saturating_sub(1);
         let opened = usable && result.is_ok();
         if !opened {
-            pool.forget(account.as_ref());
+            pool.remove_from_account(account.as_ref());
         }
         match result {
             Ok(connection) if usable => {
--- a/daemon/src/engine/shard/pool.rs
+++ b/daemon/src/engine/shard/pool.rs
@@ -25,7 +25,7 @@
     }
 
     /// Stops counting a connection for its account: it was closed, or could not be opened.
-    pub(super) fn forget(&mut self, account: Option<&AccountId>) {
+    pub(super) fn remove_from_account(&mut self, account: Option<&AccountId>) {
         let account = account.cloned();
         if let Some(count) = self.by_account.get_mut(&account) {
             *count -= 1;
@@ -50,6 +50,6 @@
     /// Stops counting an open connection that is closed.
     pub(super) fn closed(&mut self, account: Option<&AccountId>) {
         self.view.open = self.view.open.saturating_sub(1);
-        self.forget(account);
+        self.remove_from_account(account);
     }
 }
--- a/daemon/src/engine/shared.rs
+++ b/daemon/src/engine/shared.rs
@@ -338,7 +338,7 @@
     /// holders of each group, the number of connections that this instance may open to
     /// its servers, and its voters.
     pub fn recompute_assignments(&self) {
-        self.holders.check_again();
+        self.holders.mark_stale();
         self.apply_budgets();
         self.update_voters();
     }
@@ -544,7 +544,7 @@
             }
             Body::KeeperVote(vote) => Some(Body::KeeperVoteReply(self.keeper_vote(&vote))),
             Body::QuotaQuestion(request) => Some(Body::QuotaReply(self.quota_reply(&request))),
-            Body::SignOfLife(sign) => Some(Body::SignOfLifeReply(self.sign_of_life(sign))),
+            Body::SignOfLife(request) => Some(Body::SignOfLifeReply(self.sign_of_life(request))),
             Body::DirectoryPull(pull) => Some(Body::DirectoryState(self.directory_state(pull))),
             _ => None,
         }
--- a/daemon/src/engine/single.rs
+++ b/daemon/src/engine/single.rs
@@ -77,14 +77,14 @@
     session.trace_mut().record_attempt(open.server().clone(), now().saturating_sub(sent_at));
     match result {
         Ok(replies) => {
-            open.connection().settle();
+            open.connection().record_all_answered();
             *lease = Some(open);
             Sent::Replies(replies)
         }
         Err(error) => {
             session.shard().with_group(|group| group.observe_failure(now(), open.server()));
-            session.shard().doubt();
-            if matches!(error, ExchangeError::Silent) {
+            session.shard().request_primary_check();
+            if matches!(error, ExchangeError::TimedOut) {
                 session.shard().close_stale(open.server(), sent_at);
             }
             let event = Event::new(EventKind::ConnectionDropped);
@@ -112,7 +112,7 @@
         session.shard().suspect(&server);
         running.await
     };
-    finished.unwrap_or(Err(ExchangeError::Silent))
+    finished.unwrap_or(Err(ExchangeError::TimedOut))
 }
 
 /// Runs a single read. It may be sent again, to another server: running a read twice
@@ -168,13 +168,13 @@
     if floor.is_none() {
         // A server that is no longer the primary refuses only transactions that may
         // write. It would answer a plain read with stale data.
-        steps.push(Step::own(Statement::Begin { read_only: false }));
+        steps.push(Step::internal(Statement::Begin { read_only: false }));
     }
     let main = steps.len();
     let id = Some(request.id.clone());
     steps.push(Step { id, floor, statement: work.statement.clone() });
     if floor.is_none() {
-        steps.push(Step::own(Statement::Rollback));
+        steps.push(Step::internal(Statement::Rollback));
     }
     let sent_at = now();
     let slow_threshold = waits::slow_threshold(request.route.objective);
--- a/daemon/src/engine/store_liveness.rs
+++ b/daemon/src/engine/store_liveness.rs
@@ -79,7 +79,7 @@
         let after = self.newest_change.map_or(watched, |newest| newest.max(watched));
         let check = self.directory.check_liveness(KIND, after, self.limits.liveness_wait);
         let answer = tokio::time::timeout(self.limits.detected_after(), check).await;
-        match answer.unwrap_or(Err(DirectoryError::Silent)) {
+        match answer.unwrap_or(Err(DirectoryError::TimedOut)) {
             Ok(reply) => self.apply(reply),
             // Data that is seconds old does not contain the revision yet.
             Err(DirectoryError::HistoryGone) => {
--- a/daemon/src/engine/transaction.rs
+++ b/daemon/src/engine/transaction.rs
@@ -188,7 +188,7 @@
 pub const ROLLBACK_LIMIT: Duration = Duration::from_millis(500);
 
 async fn roll_back(mut lease: Lease) {
-    let steps = [Step::own(Statement::Rollback)];
+    let steps = [Step::internal(Statement::Rollback)];
     let rolling_back = lease.connection().connection.run(&steps);
     let Ok(Ok(replies)) = tokio::time::timeout(ROLLBACK_LIMIT, rolling_back).await else {
         let event = Event::new(EventKind::ConnectionDropped).with("server", lease.server());
--- a/daemon/src/engine/waiting.rs
+++ b/daemon/src/engine/waiting.rs
@@ -58,7 +58,7 @@
         Rank { tier, priority: self.priority, deadline: self.give_up_at }
     }
 
-    fn line(&self, tier: Tier) -> SubQueue {
+    fn sub_queue(&self, tier: Tier) -> SubQueue {
         SubQueue { class: self.need.class(), tier, priority: self.priority }
     }
 }
@@ -189,7 +189,7 @@
         let waited = ended_at.saturating_sub(began_at);
         let mut inner = self.lock();
         if measures && !inner.awaits_primary(ended_at, &request.need) {
-            inner.pace.observe(ended_at, request.line(tier), ahead, waited);
+            inner.wait_estimator.observe(ended_at, request.sub_queue(tier), ahead, waited);
         }
         drop(inner);
         lease
@@ -224,7 +224,8 @@
         let servers = self.servers_for(now, &request.need);
         let ahead = self.competitors(now, request, &servers, Tier::InTime);
         let late_waiting = self.competitors(now, request, &servers, Tier::Late);
-        let measured = |tier, ahead| self.pace.expected_wait(now, request.line(tier), ahead);
+        let measured =
+            |tier, ahead| self.wait_estimator.expected_wait(now, request.sub_queue(tier), ahead);
         let in_time = measured(Tier::InTime, ahead);
         let prospect = WaitForecast {
             in_time: in_time.or_else(|| self.computed_wait(&servers, ahead)),
--- a/daemon/tests/stubs/mod.rs
+++ b/daemon/tests/stubs/mod.rs
@@ -111,8 +111,8 @@
     id: &TargetId,
     address: SocketAddr,
 ) -> Arc<Shard> {
-    let (peers, doubt) = (Arc::new(Peers::default()), Arc::new(Notify::new()));
-    let shard = Arc::new(Shard::new("group".into(), "a".into(), connector, peers, doubt));
+    let (peers, primary_check) = (Arc::new(Peers::default()), Arc::new(Notify::new()));
+    let shard = Arc::new(Shard::new("group".into(), "a".into(), connector, peers, primary_check));
     shard.set_servers(vec![primary(id.clone(), address)]);
     shard
 }
--- a/daemon/tests/test_metrics.rs
+++ b/daemon/tests/test_metrics.rs
@@ -53,8 +53,8 @@
     let engine = Engine::new(instance("instance"), Arc::new(NoServer));
     for number in 0..300 {
         let account = format!("account{number}").into();
-        engine.metrics().accounts.ended(&account, None);
-        engine.metrics().accounts.ended(&account, Some(ErrorKind::RateLimited));
+        engine.metrics().accounts.record_statement(&account, None);
+        engine.metrics().accounts.record_statement(&account, Some(ErrorKind::RateLimited));
     }
     let text = engine.metrics().text(&engine);
     let counted = |labels: &str, count: u32| {
--- a/daemon/tests/test_silent_store.rs
+++ b/daemon/tests/test_silent_store.rs
@@ -92,7 +92,7 @@
         let called_at = Instant::now();
         if !self.answers(called_at, called_at + ANSWER_TIME) {
             tokio::time::sleep(CALL_TIMEOUT).await;
-            return Err(DirectoryError::Silent);
+            return Err(DirectoryError::TimedOut);
         }
         tokio::time::sleep(ANSWER_TIME).await;
         let is_configuration = kind == RecordKind::Configuration;
@@ -115,7 +115,7 @@
         let answered_at = reported_at.min(called_at + wait) + ANSWER_TIME;
         if !self.answers(called_at, answered_at) {
             tokio::time::sleep(wait + CALL_TIMEOUT).await;
-            return Err(DirectoryError::Silent);
+            return Err(DirectoryError::TimedOut);
         }
         tokio::time::sleep_until(answered_at).await;
         let has_changed = is_reported && answered_at > self.changed_at;
--- a/daemon/tests/test_store_lines.rs
+++ b/daemon/tests/test_store_lines.rs
@@ -64,7 +64,7 @@
     let engine = Arc::new(Engine::new(stubs::instance("a"), Arc::new(NoServer)));
     engine.set_catalog(&Arc::new(Catalog { version: 7, ..Catalog::default() }));
     engine.set_fleet_known();
-    let store = ReadOnly::new(&Arc::new(ListsOnly(DirectoryError::Silent)));
+    let store = ReadOnly::new(&Arc::new(ListsOnly(DirectoryError::TimedOut)));
     let directory = CountedDirectory::new(store, engine.metrics().store.clone());
     let kind = RecordKind::Configuration;
     directory.list(kind, Currency::Fresh).await.expect("lists are answered");
--- a/daemon/tests/test_waiting.rs
+++ b/daemon/tests/test_waiting.rs
@@ -53,8 +53,8 @@
     // the primary counted as waits in the queue, the queue would appear too slow.
     let shard = shard_with_unresponsive_primary();
     let waited_in_vain = Failure::new(ErrorKind::Overloaded);
-    for (requests, patience_ms) in [(3, 300), (6, 150)] {
-        let max_wait = Duration::from_millis(patience_ms);
+    for (requests, max_wait_ms) in [(3, 300), (6, 150)] {
+        let max_wait = Duration::from_millis(max_wait_ms);
         let failures = join_all((0..requests).map(|_| failure(&shard, max_wait))).await;
         // A request that is refused on arrival gets a retry time that depends on the queue.
         assert_eq!(failures, vec![waited_in_vain.clone(); requests]);
--- a/daemon/tests/values_world/mod.rs
+++ b/daemon/tests/values_world/mod.rs
@@ -223,7 +223,7 @@
             return Err(ExchangeError::Ended("lost on the way there".to_owned()));
         }
         if how == Exchange::Silent {
-            return Err(ExchangeError::Silent);
+            return Err(ExchangeError::TimedOut);
         }
         let replies = steps.iter().map(|step| self.run_one(step, how == Exchange::Busy)).collect();
         if how == Exchange::LostAfter {
@@ -233,21 +233,21 @@
     }
 
     async fn status(&mut self) -> Result<Result<ServerStatus, ServerRefusal>, ExchangeError> {
-        Err(ExchangeError::Silent)
+        Err(ExchangeError::TimedOut)
     }
 
     async fn pause(
         &mut self,
         _term: u64,
     ) -> Result<Result<ServerStatus, ServerRefusal>, ExchangeError> {
-        Err(ExchangeError::Silent)
+        Err(ExchangeError::TimedOut)
     }
 
     async fn demote(
         &mut self,
         _term: u64,
     ) -> Result<Result<ServerStatus, ServerRefusal>, ExchangeError> {
-        Err(ExchangeError::Silent)
+        Err(ExchangeError::TimedOut)
     }
 
     fn is_closed(&mut self) -> bool {
