--- a/daemon/src/engine/configuration_control.rs
+++ b/daemon/src/engine/configuration_control.rs
@@ -1,4 +1,4 @@
-//! Follows the configuration in the platform's store and puts later versions in force.
+//! Watches the configuration in the platform's store and puts later versions in force.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/daemon/src/engine/duty_control.rs
+++ b/daemon/src/engine/duty_control.rs
@@ -182,7 +182,7 @@
 }
 
 impl DutyRecordWatcher {
-    /// A watcher that updates `engine`.
+    /// Creates a watcher that updates `engine`.
     #[must_use]
     pub fn new(engine: Arc<Engine>) -> Self {
         Self { engine }
--- a/daemon/src/engine/fleet_control.rs
+++ b/daemon/src/engine/fleet_control.rs
@@ -1,6 +1,6 @@
 //! Sends and answers heartbeats.
 //!
-//! By heartbeats instances detect which others are alive, and exchange their demand for
+//! By heartbeats instances detect which others are running, and exchange their demand for
 //! connections, the versions of their records, log positions of primaries, and grants of
 //! leases on the terms of primaries. Each round of heartbeats also triggers the periodic
 //! work on the records of instances.
@@ -222,7 +222,7 @@
         }
     }
 
-    /// Applies a heartbeat or the reply to one: its sender is alive.
+    /// Applies a heartbeat or the reply to one, and records that its sender responds.
     pub fn apply_heartbeat(&self, heartbeat: &Heartbeat) {
         self.note_store_era(heartbeat.store_era, &heartbeat.instance);
         let demands = heartbeat.demands.iter();
--- a/daemon/src/engine/forwarded_session.rs
+++ b/daemon/src/engine/forwarded_session.rs
@@ -140,8 +140,8 @@
 }
 
 impl ArrivedGuard {
-    /// Returns `None` if the statement must not run, because it was withdrawn: its sender
-    /// has been told that it will not run.
+    /// Returns `None` if the statement must not run, because it was withdrawn: this
+    /// instance has replied to the sender that it will not run.
     fn new(engine: &Arc<Engine>, ticket: StatementTicket) -> Option<Self> {
         let may_run = ticket == 0
             || engine.with_received_statements(|received_statements| {
--- a/daemon/src/engine/instance_control.rs
+++ b/daemon/src/engine/instance_control.rs
@@ -1,6 +1,6 @@
 //! Maintains the records of instances in the platform's store.
 //!
-//! Each instance follows the listing of all records, writes its own record and removes it
+//! Each instance watches the records of all instances, writes its own record and removes it
 //! at a planned stop. It also removes the records of instances that are gone, and writes
 //! those of live instances that a store lacks after it was restored from a backup.
 
--- a/daemon/src/engine/record_watch.rs
+++ b/daemon/src/engine/record_watch.rs
@@ -159,7 +159,7 @@
     pub availability: Arc<StoreAvailability>,
 }
 
-/// Follows the records of one kind. Never returns.
+/// Watches the records of one kind, and passes them to `watcher`. Never returns.
 pub async fn watch_records(
     directory: Arc<dyn Directory>,
     state: StoreState,
--- a/daemon/src/engine/server_control.rs
+++ b/daemon/src/engine/server_control.rs
@@ -36,7 +36,7 @@
 const MISSING_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 impl ServerRecordWatcher {
-    /// A watcher that updates `engine`.
+    /// Creates a watcher that updates `engine`.
     #[must_use]
     pub fn new(engine: Arc<Engine>) -> Self {
         Self { engine, has_missing: false }
--- a/daemon/src/engine/transaction.rs
+++ b/daemon/src/engine/transaction.rs
@@ -44,7 +44,7 @@
     Active,
     /// It failed and can only be ended. The client has received the failure.
     Failed,
-    /// It was rolled back while it was idle, which the client has not been told yet.
+    /// It was rolled back while it was idle. The client has not received that failure yet.
     FailedUnreported,
 }
 
@@ -151,7 +151,8 @@
     }
 
     /// The error for a statement of a failed transaction, other than COMMIT or ROLLBACK.
-    /// The first one reports that the transaction was lost, if the client has not been told.
+    /// The first one reports that the transaction was lost, if the client has not received that
+    /// failure yet.
     pub fn refusal(&mut self) -> ErrorKind {
         match std::mem::replace(&mut self.status, Status::Failed) {
             Status::FailedUnreported => ErrorKind::TransactionLost,
--- a/daemon/src/read.rs
+++ b/daemon/src/read.rs
@@ -32,7 +32,8 @@
 use crate::target::read_position;
 use crate::write;
 
-/// Number of attempts of one read before the client is told to retry.
+/// Number of attempts of one read before it fails with `NoPrimary`, which asks the client to
+/// retry.
 const MAX_TRIES: usize = 6;
 
 /// The first attempt of a read is abandoned after this time without an answer and
--- a/daemon/tests/test_record_watch.rs
+++ b/daemon/tests/test_record_watch.rs
@@ -1,4 +1,4 @@
-//! Tests of following the store's records while it drops its history, refuses calls, does
+//! Tests of watching the store's records while it drops its history, refuses calls, does
 //! not respond, or was restored from a backup.
 
 mod stubs;
--- a/daemon/tests/test_silent_store.rs
+++ b/daemon/tests/test_silent_store.rs
@@ -36,7 +36,8 @@
 /// Time that the store takes to answer.
 const ANSWER_TIME: Duration = Duration::from_millis(4);
 
-/// Time after the start until all watchers watch, and the earliest begin of the outage.
+/// Time after the start until all watchers have opened their watch, and the earliest begin
+/// of the outage.
 const SETTLED: Duration = Duration::from_secs(10);
 
 /// Versions of the configuration before and after the change, with their revision numbers.
