--- a/daemon/src/engine/forwarded_session.rs
+++ b/daemon/src/engine/forwarded_session.rs
@@ -155,7 +155,7 @@
     fn drop(&mut self) {
         if self.ticket != 0 {
             self.engine.with_received_statements(|received_statements| {
-                received_statements.end(now(), self.ticket)
+                received_statements.end(now(), self.ticket);
             });
         }
     }
