--- a/daemon/src/engine/fleet_control.rs
+++ b/daemon/src/engine/fleet_control.rs
@@ -87,7 +87,7 @@
     let request = Body::Heartbeat(engine.heartbeat(&target.shared_groups));
     let answer = engine.peers().ask(peer.peer_address, request).await;
     let Ok(Body::HeartbeatReply(reply)) = answer else {
-        engine.peer_contacts().record_unanswered(asked_at, &peer.id);
+        engine.peer_contacts().record_no_answer(asked_at, &peer.id);
         return;
     };
     engine.peer_contacts().record_answer(asked_at, &peer.id);
--- a/daemon/src/engine/leader_control.rs
+++ b/daemon/src/engine/leader_control.rs
@@ -62,7 +62,7 @@
     }
 
     /// Leaves the replacement of a primary to other instances for some time.
-    pub fn leave_to_others(&self, group: &GroupId) {
+    pub fn defer_replacement(&self, group: &GroupId) {
         self.with(group, |watch| watch.step_back(now()));
     }
 
--- a/daemon/src/engine/peer_contacts.rs
+++ b/daemon/src/engine/peer_contacts.rs
@@ -60,7 +60,7 @@
 
     /// Records that an instance left a request of `asked_at` unanswered, and logs if it
     /// becomes unreachable by that.
-    pub fn record_unanswered(&self, asked_at: Moment, id: &InstanceId) {
+    pub fn record_no_answer(&self, asked_at: Moment, id: &InstanceId) {
         let at = now();
         let has_changed = self.lock().missed(at, asked_at, id);
         if has_changed {
@@ -123,7 +123,7 @@
         let answer =
             self.peers().ask_on_new_link(peer.peer_address, request, LIVENESS_TIMEOUT).await;
         let Ok(Body::SignOfLifeReply(reply)) = answer else {
-            self.peer_contacts().record_unanswered(asked_at, &peer.id);
+            self.peer_contacts().record_no_answer(asked_at, &peer.id);
             return None;
         };
         self.peer_contacts().record_answer(asked_at, &peer.id);
--- a/daemon/src/engine/remote.rs
+++ b/daemon/src/engine/remote.rs
@@ -362,7 +362,7 @@
     let sent_at = now();
     let limit = LIVENESS_TIMEOUT.min(request.time_left(sent_at));
     let Ok(Ok(())) = tokio::time::timeout(limit, link.open(holder.peer_address)).await else {
-        engine.peer_contacts().record_unanswered(sent_at, &holder.id);
+        engine.peer_contacts().record_no_answer(sent_at, &holder.id);
         return Err(SendError::NotSent);
     };
     let ticket = statement.ticket;
--- a/daemon/src/engine/replacement.rs
+++ b/daemon/src/engine/replacement.rs
@@ -205,7 +205,7 @@
         Err(Abandoned::BeforeOrder(_)) => replacement.withdraw().await,
         Err(Abandoned::LeftToOthers(_)) => {
             replacement.withdraw().await;
-            replacer.engine.watches().leave_to_others(shard.id());
+            replacer.engine.watches().defer_replacement(shard.id());
         }
         _ => {}
     }
