--- a/daemon/src/engine/configuration_control.rs
+++ b/daemon/src/engine/configuration_control.rs
@@ -1,4 +1,4 @@
-//! Follows the configuration in the platform's store and puts later versions in force.
+//! Watches the configuration in the platform's store and puts later versions in force.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,7 +26,7 @@
 }
 
 impl ConfigurationRecordWatcher {
-    /// Creates a follower that updates `engine`.
+    /// Creates a watcher that updates `engine`.
     #[must_use]
     pub fn new(engine: Arc<Engine>) -> Self {
         Self { engine }
--- a/daemon/src/engine/controllers.rs
+++ b/daemon/src/engine/controllers.rs
@@ -26,7 +26,7 @@
 use crate::engine::promoter::Promoter;
 use crate::engine::quota_control;
 use crate::engine::record_watch::StoreState;
-use crate::engine::record_watch::follow;
+use crate::engine::record_watch::watch_records;
 use crate::engine::replacement::Replacer;
 use crate::engine::server_control::ServerRecordWatcher;
 use crate::engine::shared::Engine;
@@ -47,7 +47,7 @@
     let counted = CountedDirectory::new(directory.clone(), engine.metrics().store.clone());
     let directory: Arc<dyn Directory> = Arc::new(counted);
     // Dropping the handles leaves the tasks running.
-    let _followers = start_record_watchers(engine, &directory);
+    let _watchers = start_record_watchers(engine, &directory);
     let replacer = Replacer {
         engine: engine.clone(),
         directory: directory.clone(),
@@ -63,7 +63,7 @@
     tokio::spawn(start_without_peers(engine.clone()));
 }
 
-/// Starts the tasks that follow the records in the store, and returns their handles.
+/// Starts the tasks that watch the records in the store, and returns their handles.
 pub fn start_record_watchers(
     engine: &Arc<Engine>,
     directory: &Arc<dyn Directory>,
@@ -77,10 +77,10 @@
     let duties = DutyRecordWatcher::new(engine.clone());
     vec![
         tokio::spawn(liveness_checks),
-        tokio::spawn(follow(directory.clone(), state.clone(), configuration)),
-        tokio::spawn(follow(directory.clone(), state.clone(), servers)),
-        tokio::spawn(follow(directory.clone(), state.clone(), instances)),
-        tokio::spawn(follow(directory.clone(), state.clone(), duties)),
+        tokio::spawn(watch_records(directory.clone(), state.clone(), configuration)),
+        tokio::spawn(watch_records(directory.clone(), state.clone(), servers)),
+        tokio::spawn(watch_records(directory.clone(), state.clone(), instances)),
+        tokio::spawn(watch_records(directory.clone(), state.clone(), duties)),
     ]
 }
 
--- a/daemon/tests/test_silent_store.rs
+++ b/daemon/tests/test_silent_store.rs
@@ -36,7 +36,8 @@
 /// Time that the store takes to answer.
 const ANSWER_TIME: Duration = Duration::from_millis(4);
 
-/// Time after the start until all followers watch, and the earliest begin of the outage.
+/// Time after the start until all watchers have opened their watch, and the earliest begin
+/// of the outage.
 const SETTLED: Duration = Duration::from_secs(10);
 
 /// Versions of the configuration before and after the change, with their revision numbers.
@@ -92,7 +93,7 @@
         let called_at = Instant::now();
         if !self.answers(called_at, called_at + ANSWER_TIME) {
             tokio::time::sleep(CALL_TIMEOUT).await;
-            return Err(DirectoryError::Silent);
+            return Err(DirectoryError::TimedOut);
         }
         tokio::time::sleep(ANSWER_TIME).await;
         let is_configuration = kind == RecordKind::Configuration;
@@ -115,7 +116,7 @@
         let answered_at = reported_at.min(called_at + wait) + ANSWER_TIME;
         if !self.answers(called_at, answered_at) {
             tokio::time::sleep(wait + CALL_TIMEOUT).await;
-            return Err(DirectoryError::Silent);
+            return Err(DirectoryError::TimedOut);
         }
         tokio::time::sleep_until(answered_at).await;
         let has_changed = is_reported && answered_at > self.changed_at;
@@ -131,13 +132,13 @@
     store.changed_at = store.outage_until() + delay;
     let engine = Arc::new(Engine::new(stubs::instance("one"), Arc::new(NoServer)));
     let directory: Arc<dyn Directory> = ReadOnly::new(&Arc::new(store));
-    let followers = controllers::start_record_watchers(&engine, &directory);
+    let watchers = controllers::start_record_watchers(&engine, &directory);
     tokio::time::sleep_until(store.changed_at).await;
     while engine.catalog().version < AFTER.0 {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     let took = store.changed_at.elapsed();
-    followers.iter().for_each(tokio::task::JoinHandle::abort);
+    watchers.iter().for_each(tokio::task::JoinHandle::abort);
     took
 }
 
