--- a/daemon/src/engine/request.rs
+++ b/daemon/src/engine/request.rs
@@ -11,7 +11,7 @@
 use chervilwharf_lib::position::Position;
 use chervilwharf_lib::server_refusal::ServerRefusal;
 use chervilwharf_lib::statement::Answer;
-use chervilwharf_lib::waits;
+use chervilwharf_lib::statement_timing;
 
 /// One statement of a client that needs a server.
 #[derive(Clone, Debug)]
--- a/daemon/src/engine/session.rs
+++ b/daemon/src/engine/session.rs
@@ -34,7 +34,7 @@
 use chervilwharf_lib::statement::Prepared;
 use chervilwharf_lib::statement::Statement;
 use chervilwharf_lib::statement::TransactionState;
-use chervilwharf_lib::waits;
+use chervilwharf_lib::statement_timing;
 
 use crate::engine::caller::Caller;
 use crate::engine::clock::now;
--- a/daemon/src/engine/single.rs
+++ b/daemon/src/engine/single.rs
@@ -14,7 +14,7 @@
 use chervilwharf_lib::statement::Prepared;
 use chervilwharf_lib::statement::Statement;
 use chervilwharf_lib::statement::TransactionState;
-use chervilwharf_lib::waits;
+use chervilwharf_lib::statement_timing;
 
 use crate::engine::clock::now;
 use crate::engine::event_log;
--- a/lib/tests/test_server_queue.rs
+++ b/lib/tests/test_server_queue.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use chervilwharf_lib::concurrency::ConcurrencyLimit;
-use chervilwharf_lib::waits;
+use chervilwharf_lib::statement_timing;
 
 /// Statements that the server executes at the same time.
 const SLOTS: usize = 3;
--- a/lib/tests/test_store_restore.rs
+++ b/lib/tests/test_store_restore.rs
@@ -9,11 +9,11 @@
 use chervilwharf_lib::fleet::InstanceRecord;
 use chervilwharf_lib::id::InstanceId;
 use chervilwharf_lib::moment::Moment;
-use chervilwharf_lib::primary_lease::Ending;
 use chervilwharf_lib::primary_lease::Objection;
 use chervilwharf_lib::primary_lease::PrimaryLease;
 use chervilwharf_lib::primary_lease::PromiseTally;
 use chervilwharf_lib::primary_lease::Readiness;
+use chervilwharf_lib::primary_lease::RetireRequest;
 use chervilwharf_lib::revision::Era;
 use chervilwharf_lib::revision::Revision;
 
@@ -32,8 +32,8 @@
     lease
 }
 
-fn ending(written_era: Option<Era>) -> Ending {
-    Ending { term: 1, token: 5, successor: "s1".into(), withdrawn: 0, written_era }
+fn ending(written_era: Option<Era>) -> RetireRequest {
+    RetireRequest { term: 1, token: 5, successor: "s1".into(), withdrawn: 0, written_era }
 }
 
 /// Records a read of the restored store at `asked_at`, in era 2.
@@ -137,9 +137,9 @@
     // If history is lost again, all instances are listed once more.
     fleet.replace(at(3_000), vec![record(1), record(2)]);
     assert_eq!(names(&fleet), ["i1", "i2", "i3"].map(InstanceId::from));
-    fleet.forget_unlisted(at(8_900));
+    fleet.remove_unlisted(at(8_900));
     assert_eq!(names(&fleet), ["i1", "i2", "i3"].map(InstanceId::from));
-    fleet.forget_unlisted(at(9_000));
+    fleet.remove_unlisted(at(9_000));
     assert_eq!(names(&fleet), ["i1", "i2"].map(InstanceId::from));
 }
 
