--- a/daemon/src/engine/duty_control.rs
+++ b/daemon/src/engine/duty_control.rs
@@ -22,7 +22,7 @@
 use chervilwharf_lib::id::GroupId;
 use chervilwharf_lib::id::InstanceId;
 use chervilwharf_lib::moment::Moment;
-use chervilwharf_lib::primary_lease::Ending;
+use chervilwharf_lib::primary_lease::RetireRequest;
 use chervilwharf_lib::revision::Era;
 
 use crate::engine::clock::now;
@@ -109,7 +109,7 @@
     }
 
     /// Records the order for which this instance promised to end a term.
-    pub fn note_promised(&mut self, group: &GroupId, ending: &Ending) {
+    pub fn note_promised(&mut self, group: &GroupId, ending: &RetireRequest) {
         let order = DutyOrder { server: ending.successor.clone(), term: ending.term + 1 };
         self.note_order_of_token(group, ending.token, Some(order));
     }
--- a/daemon/src/engine/peer_contacts.rs
+++ b/daemon/src/engine/peer_contacts.rs
@@ -25,7 +25,7 @@
 use chervilwharf_lib::peer_contact::Contact;
 use chervilwharf_lib::peer_contact::LIVENESS_TIMEOUT;
 use chervilwharf_lib::peer_contact::PeerContacts;
-use chervilwharf_lib::received_statements::Fate;
+use chervilwharf_lib::received_statements::DeliveryState;
 use chervilwharf_lib::received_statements::StatementTicket;
 use futures::StreamExt;
 use futures::stream::FuturesUnordered;
@@ -100,14 +100,14 @@
         peer: &InstanceRecord,
         ticket: StatementTicket,
         sent_at: Moment,
-    ) -> Option<Fate> {
+    ) -> Option<DeliveryState> {
         let sent_ago = now().saturating_sub(sent_at);
         let sent_ms_ago = u64::try_from(sent_ago.as_millis()).unwrap_or(u64::MAX).saturating_add(1);
         let reply = self.send_check(peer, SignOfLife { ticket, sent_ms_ago }).await?;
         Some(match reply {
-            SignOfLifeReply { withdrawn: true, .. } => Fate::Withdrawn,
-            SignOfLifeReply { ended: true, .. } => Fate::Ended,
-            _ => Fate::Open,
+            SignOfLifeReply { withdrawn: true, .. } => DeliveryState::Withdrawn,
+            SignOfLifeReply { ended: true, .. } => DeliveryState::Ended,
+            _ => DeliveryState::Open,
         })
     }
 
@@ -141,7 +141,10 @@
         let fate = self.with_received_statements(|received_statements| {
             received_statements.withdraw(now(), request.ticket, sent_ago)
         });
-        SignOfLifeReply { withdrawn: fate == Fate::Withdrawn, ended: fate == Fate::Ended }
+        SignOfLifeReply {
+            withdrawn: fate == DeliveryState::Withdrawn,
+            ended: fate == DeliveryState::Ended,
+        }
     }
 
     /// Picks a reachable holder of a group, other than those in `tried`. `None` if there
--- a/daemon/src/engine/primary_lease_control.rs
+++ b/daemon/src/engine/primary_lease_control.rs
@@ -26,11 +26,11 @@
 use chervilwharf_lib::id::InstanceId;
 use chervilwharf_lib::id::Term;
 use chervilwharf_lib::moment::Moment;
-use chervilwharf_lib::primary_lease::Ending;
 use chervilwharf_lib::primary_lease::Objection;
 use chervilwharf_lib::primary_lease::PrimaryLease;
 use chervilwharf_lib::primary_lease::Promise;
 use chervilwharf_lib::primary_lease::RESTART_PROMISE_WINDOW;
+use chervilwharf_lib::primary_lease::RetireRequest;
 use chervilwharf_lib::revision::Era;
 
 use crate::engine::clock::now;
@@ -328,7 +328,7 @@
         if !end.planned && shard.reaches(at, &end.server) {
             return reply;
         }
-        let ending = Ending {
+        let ending = RetireRequest {
             term: end.term,
             token: end.token,
             successor: end.successor.as_str().into(),
@@ -349,7 +349,7 @@
             Ok(promise) => {
                 self.with_duties(|duties| duties.note_promised(&group_id, &ending));
                 event_log::emit(&event.with("outcome", "promised"));
-                TermEndReply { promised: true, given: encode_given(promise), ..reply }
+                TermEndReply { promised: true, given: encode_grants(promise), ..reply }
             }
             Err(objection) => {
                 event_log::emit(&event.with("outcome", format_args!("{objection:?}")));
@@ -420,7 +420,7 @@
     }
 }
 
-fn encode_given(promise: Promise) -> Vec<GivenLease> {
+fn encode_grants(promise: Promise) -> Vec<GivenLease> {
     let given = promise.given.into_iter().map(|(instance, lasting)| GivenLease {
         instance: instance.to_string(),
         lasting_ms: u64::try_from(lasting.as_millis()).unwrap_or(u64::MAX).saturating_add(1),
@@ -430,7 +430,7 @@
 
 /// Decodes the promise of another instance.
 #[must_use]
-pub fn decode_given(given: &[GivenLease]) -> Promise {
+pub fn decode_grants(given: &[GivenLease]) -> Promise {
     let decode = |lease: &GivenLease| {
         (lease.instance.as_str().into(), Duration::from_millis(lease.lasting_ms))
     };
--- a/daemon/src/engine/quota_control.rs
+++ b/daemon/src/engine/quota_control.rs
@@ -39,7 +39,7 @@
 use chervilwharf_lib::quota::EnforcedQuota;
 use chervilwharf_lib::quota::QuotaAnswer;
 use chervilwharf_lib::quota::QuotaCounters;
-use chervilwharf_lib::quota::ask_again_after;
+use chervilwharf_lib::quota::keeper_request_interval;
 use futures::future::join_all;
 
 use crate::engine::clock::now;
@@ -384,7 +384,7 @@
             allowance.granted(asked_at, reply.granted);
             return Ok(());
         }
-        allowance.exhausted(at, ask_again_after(limit, instances));
+        allowance.exhausted(at, keeper_request_interval(limit, instances));
         Err(rate_limited(limit, Duration::from_millis(reply.retry_after_ms)))
     }
 
--- a/daemon/src/engine/remote.rs
+++ b/daemon/src/engine/remote.rs
@@ -23,7 +23,7 @@
 use chervilwharf_lib::peer_contact::LIVENESS_CHECK_AFTER;
 use chervilwharf_lib::peer_contact::LIVENESS_TIMEOUT;
 use chervilwharf_lib::position::Position;
-use chervilwharf_lib::received_statements::Fate;
+use chervilwharf_lib::received_statements::DeliveryState;
 use chervilwharf_lib::received_statements::StatementTicket;
 use chervilwharf_lib::statement::Access;
 use chervilwharf_lib::statement::Answer;
@@ -372,7 +372,7 @@
     let result = tokio::select! {
         result = &mut exchange => result,
         fate = detect_dead_link(engine, holder, ticket, sent_at) => match (fate, abandoning) {
-            (Some(Fate::Withdrawn), _) | (Some(_), Abandoning::LosesNothing) => {
+            (Some(DeliveryState::Withdrawn), _) | (Some(_), Abandoning::LosesNothing) => {
                 return Err(SendError::LinkDead);
             }
             (None, Abandoning::LosesNothing) => return Err(SendError::Lost),
@@ -394,15 +394,15 @@
     holder: &InstanceRecord,
     ticket: StatementTicket,
     sent_at: Moment,
-) -> Option<Fate> {
+) -> Option<DeliveryState> {
     tokio::time::sleep(LIVENESS_CHECK_AFTER).await;
     loop {
         let fate = engine.ask_for_statement(holder, ticket, sent_at).await?;
-        if fate == Fate::Open {
+        if fate == DeliveryState::Open {
             tokio::time::sleep(STATUS_POLL_INTERVAL).await;
             continue;
         }
-        if fate == Fate::Ended {
+        if fate == DeliveryState::Ended {
             // The reply may still be on its way.
             tokio::time::sleep(LIVENESS_TIMEOUT).await;
         }
--- a/daemon/src/engine/replacement.rs
+++ b/daemon/src/engine/replacement.rs
@@ -47,7 +47,7 @@
 use crate::engine::duty_control::Claim;
 use crate::engine::duty_control::OrderChange;
 use crate::engine::event_log;
-use crate::engine::primary_lease_control::decode_given;
+use crate::engine::primary_lease_control::decode_grants;
 use crate::engine::probe;
 use crate::engine::probe::Probed;
 use crate::engine::promoter::Promoted;
@@ -430,7 +430,7 @@
                 _ => Ok(()),
             };
         }
-        agreement.promised(now(), id, decode_given(&reply.given));
+        agreement.promised(now(), id, decode_grants(&reply.given));
         Ok(())
     }
 
--- a/daemon/tests/test_duty.rs
+++ b/daemon/tests/test_duty.rs
@@ -27,7 +27,7 @@
 use chervilwharf_lib::duty::first_token;
 use chervilwharf_lib::duty::is_token_of_era;
 use chervilwharf_lib::engine_protos::TermEnd;
-use chervilwharf_lib::primary_lease::Ending;
+use chervilwharf_lib::primary_lease::RetireRequest;
 use stubs::NoServer;
 use stubs::instance;
 
@@ -139,7 +139,7 @@
 #[test]
 fn test_promised_order_that_a_restored_store_lacks_is_known() {
     let mut duties = DutyTable::default();
-    let ending = Ending {
+    let ending = RetireRequest {
         term: 1,
         token: 7,
         successor: "theirs".into(),
--- a/lib/src/group.rs
+++ b/lib/src/group.rs
@@ -17,10 +17,10 @@
 use crate::id::Term;
 use crate::moment::Moment;
 use crate::position::Position;
-use crate::primary_lease::Ending;
 use crate::primary_lease::Objection;
 use crate::primary_lease::PrimaryLease;
 use crate::primary_lease::Promise;
+use crate::primary_lease::RetireRequest;
 use crate::samples::Samples;
 
 /// A server as the platform lists it.
@@ -305,7 +305,7 @@
     ///
     /// Returns an [`Objection`] if a server was seen in a later term, or for the reasons
     /// given at [`PrimaryLease::promise`].
-    pub fn retire(&mut self, now: Moment, ending: &Ending) -> Result<Promise, Objection> {
+    pub fn retire(&mut self, now: Moment, ending: &RetireRequest) -> Result<Promise, Objection> {
         if self.seen_term > ending.term {
             return Err(Objection::LaterTerm(self.seen_term));
         }
--- a/lib/src/membership.rs
+++ b/lib/src/membership.rs
@@ -227,11 +227,11 @@
     /// Adds or updates instances from the platform's list or from the settings.
     pub fn learn(&mut self, now: Instant, peers: impl IntoIterator<Item = PeerInfo>) {
         for info in peers {
-            self.learn_one(now, info);
+            self.add_peer(now, info);
         }
     }
 
-    fn learn_one(&mut self, now: Instant, info: PeerInfo) {
+    fn add_peer(&mut self, now: Instant, info: PeerInfo) {
         if info.id == self.me.id {
             return;
         }
@@ -315,7 +315,7 @@
 
     /// Processes a heartbeat or an answer to one.
     pub fn receive_heartbeat(&mut self, now: Instant, body: &HeartbeatBody) {
-        self.learn_one(now, body.sender.clone());
+        self.add_peer(now, body.sender.clone());
         let Some(peer) = self.peers.get_mut(&body.sender.id) else {
             return;
         };
--- a/lib/src/primary_lease.rs
+++ b/lib/src/primary_lease.rs
@@ -101,7 +101,7 @@
 
 /// A request to a voter to retire a term, sent before a server is promoted.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ending {
+pub struct RetireRequest {
     /// The term to retire, with all terms below it.
     pub term: Term,
     /// Token under which the promotion will be ordered.
@@ -386,7 +386,7 @@
     ///
     /// Returns an [`Objection`] if another replacement may be in progress or has
     /// completed, or if the store may have lost the order.
-    pub fn promise(&mut self, now: Moment, ending: &Ending) -> Result<Promise, Objection> {
+    pub fn promise(&mut self, now: Moment, ending: &RetireRequest) -> Result<Promise, Objection> {
         self.note_era(ending.written_era.unwrap_or_default());
         if self.used > ending.term {
             return Err(Objection::LaterTerm(self.used));
--- a/lib/src/quota.rs
+++ b/lib/src/quota.rs
@@ -355,7 +355,7 @@
 /// How long an entry instance does not contact the keeper about an account at its limit:
 /// half of the time in which its equal share of the rate allows one operation.
 #[must_use]
-pub fn ask_again_after(limit: QuotaLimit, instances: usize) -> Duration {
+pub fn keeper_request_interval(limit: QuotaLimit, instances: usize) -> Duration {
     let instances = instance_count(instances);
     let share = Duration::try_from_secs_f64(instances / (2.0 * limit.rate_per_s.max(1e-9)));
     share.unwrap_or(MAX_PAUSE).clamp(MIN_PAUSE, MAX_PAUSE)
--- a/lib/src/received_statements.rs
+++ b/lib/src/received_statements.rs
@@ -38,7 +38,7 @@
 
 /// State of a statement whose sender has received no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum DeliveryState {
     /// It is running, or it is unknown whether it has run.
     Open,
     /// It has run, and its answer has been sent.
@@ -83,15 +83,22 @@
     /// Returns the state of a statement whose sender has received no answer. Withdraws
     /// the statement if it has certainly not arrived. `sent_ago` is the time since it
     /// was sent.
-    pub fn withdraw(&mut self, now: Moment, ticket: StatementTicket, sent_ago: Duration) -> Fate {
+    pub fn withdraw(
+        &mut self,
+        now: Moment,
+        ticket: StatementTicket,
+        sent_ago: Duration,
+    ) -> DeliveryState {
         match self.states.get(&ticket) {
-            Some(State::Withdrawn { .. }) => Fate::Withdrawn,
-            Some(State::Running) => Fate::Open,
-            Some(State::Ended { .. }) => Fate::Ended,
-            None if sent_ago > MAX_WITHDRAWAL_AGE || self.started_at + sent_ago > now => Fate::Open,
+            Some(State::Withdrawn { .. }) => DeliveryState::Withdrawn,
+            Some(State::Running) => DeliveryState::Open,
+            Some(State::Ended { .. }) => DeliveryState::Ended,
+            None if sent_ago > MAX_WITHDRAWAL_AGE || self.started_at + sent_ago > now => {
+                DeliveryState::Open
+            }
             None => {
                 self.states.insert(ticket, State::Withdrawn { at: now });
-                Fate::Withdrawn
+                DeliveryState::Withdrawn
             }
         }
     }
--- a/lib/tests/lease_world/mod.rs
+++ b/lib/tests/lease_world/mod.rs
@@ -19,13 +19,13 @@
 use chervilwharf_lib::id::Term;
 use chervilwharf_lib::moment::Moment;
 use chervilwharf_lib::position::Position;
-use chervilwharf_lib::primary_lease::Ending;
 use chervilwharf_lib::primary_lease::Objection;
 use chervilwharf_lib::primary_lease::PrimaryLease;
 use chervilwharf_lib::primary_lease::Promise;
 use chervilwharf_lib::primary_lease::PromiseTally;
 use chervilwharf_lib::primary_lease::RESTART_PROMISE_WINDOW;
 use chervilwharf_lib::primary_lease::Readiness;
+use chervilwharf_lib::primary_lease::RetireRequest;
 use chervilwharf_lib::primary_lease::STORE_LEASE;
 use chervilwharf_lib::revision::Era;
 use std::time::Duration;
@@ -93,7 +93,7 @@
 enum Message {
     Heartbeat { from: usize, asked_ms: u64, term: Term, era: Era },
     Grant { from: usize, asked_ms: u64, retired: Term, era: Era },
-    TermEnd { from: usize, life: u64, ending: Ending, planned: bool },
+    TermEnd { from: usize, life: u64, ending: RetireRequest, planned: bool },
     Promised { from: usize, life: u64, token: u64, reply: Result<Promise, Objection> },
     Settled { token: u64 },
     StoreRead { asked_ms: u64 },
@@ -539,7 +539,7 @@
     }
 
     /// Records the order that an instance promised, since a backup may lack it.
-    fn record_promised_order(&mut self, number: usize, ending: &Ending) {
+    fn record_promised_order(&mut self, number: usize, ending: &RetireRequest) {
         let known = &mut self.instances[number].known_order;
         if ending.token > known.token {
             *known = StoredOrder {
@@ -770,7 +770,7 @@
 
     fn request_promises(&mut self, number: usize, replacement: &Replacement, others: &[usize]) {
         let (life, planned) = (self.instances[number].life, replacement.planned);
-        let ending = Ending {
+        let ending = RetireRequest {
             term: replacement.term,
             token: replacement.token,
             successor: server_id(replacement.target),
--- a/lib/tests/quota_simulation/mod.rs
+++ b/lib/tests/quota_simulation/mod.rs
@@ -23,7 +23,7 @@
 use chervilwharf_lib::quota::QuotaAnswer;
 use chervilwharf_lib::quota::QuotaCounters;
 use chervilwharf_lib::quota::QuotaTolerance;
-use chervilwharf_lib::quota::ask_again_after;
+use chervilwharf_lib::quota::keeper_request_interval;
 use rand::Rng;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -430,7 +430,7 @@
                 true
             }
             QuotaAnswer::Exhausted { .. } => {
-                allowance.exhausted(now, ask_again_after(LIMIT, instances));
+                allowance.exhausted(now, keeper_request_interval(LIMIT, instances));
                 false
             }
         }
--- a/lib/tests/test_received_statements.rs
+++ b/lib/tests/test_received_statements.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use chervilwharf_lib::received_statements::Fate;
+use chervilwharf_lib::received_statements::DeliveryState;
 use chervilwharf_lib::received_statements::ReceivedStatements;
 
 const START: Duration = Duration::from_secs(1_000);
@@ -17,9 +17,13 @@
 #[test]
 fn test_withdrawn_statement_does_not_run_when_it_arrives() {
     let mut received = ReceivedStatements::new(START);
-    assert_eq!(received.withdraw(after(1), TICKET, SENT_AGO), Fate::Withdrawn);
+    assert_eq!(received.withdraw(after(1), TICKET, SENT_AGO), DeliveryState::Withdrawn);
     assert!(!received.begin(after(31), TICKET));
-    assert_eq!(received.withdraw(after(32), TICKET, SENT_AGO), Fate::Withdrawn, "asked again");
+    assert_eq!(
+        received.withdraw(after(32), TICKET, SENT_AGO),
+        DeliveryState::Withdrawn,
+        "asked again"
+    );
 }
 
 /// Guards against a statement that has run and is reported as not arrived.
@@ -27,10 +31,10 @@
 fn test_statement_that_arrived_is_not_withdrawn() {
     let mut received = ReceivedStatements::new(START);
     assert!(received.begin(after(1), TICKET));
-    assert_eq!(received.withdraw(after(2), TICKET, SENT_AGO), Fate::Open);
+    assert_eq!(received.withdraw(after(2), TICKET, SENT_AGO), DeliveryState::Open);
     received.end(after(3), TICKET);
     assert!(received.begin(after(9), TICKET + 1), "another statement arrives meanwhile");
-    assert_eq!(received.withdraw(after(9), TICKET, Duration::from_secs(8)), Fate::Ended);
+    assert_eq!(received.withdraw(after(9), TICKET, Duration::from_secs(8)), DeliveryState::Ended);
 }
 
 /// Guards against a statement that is reported as not arrived although it has run, and
@@ -39,7 +43,7 @@
 fn test_statement_of_unknown_state_is_not_withdrawn() {
     let mut received = ReceivedStatements::new(START);
     let before_start = received.withdraw(after(1), TICKET, Duration::from_secs(2));
-    assert_eq!(before_start, Fate::Open);
+    assert_eq!(before_start, DeliveryState::Open);
     let forgotten = received.withdraw(after(100), TICKET, Duration::from_secs(9));
-    assert_eq!(forgotten, Fate::Open);
+    assert_eq!(forgotten, DeliveryState::Open);
 }
--- a/lib/tests/test_store_restore.rs
+++ b/lib/tests/test_store_restore.rs
@@ -9,11 +9,11 @@
 use chervilwharf_lib::fleet::InstanceRecord;
 use chervilwharf_lib::id::InstanceId;
 use chervilwharf_lib::moment::Moment;
-use chervilwharf_lib::primary_lease::Ending;
 use chervilwharf_lib::primary_lease::Objection;
 use chervilwharf_lib::primary_lease::PrimaryLease;
 use chervilwharf_lib::primary_lease::PromiseTally;
 use chervilwharf_lib::primary_lease::Readiness;
+use chervilwharf_lib::primary_lease::RetireRequest;
 use chervilwharf_lib::revision::Era;
 use chervilwharf_lib::revision::Revision;
 
@@ -32,8 +32,8 @@
     lease
 }
 
-fn ending(written_era: Option<Era>) -> Ending {
-    Ending { term: 1, token: 5, successor: "s1".into(), withdrawn: 0, written_era }
+fn ending(written_era: Option<Era>) -> RetireRequest {
+    RetireRequest { term: 1, token: 5, successor: "s1".into(), withdrawn: 0, written_era }
 }
 
 /// Records a read of the restored store at `asked_at`, in era 2.
