--- a/daemon/src/engine/duty_control.rs
+++ b/daemon/src/engine/duty_control.rs
@@ -109,9 +109,9 @@
     }
 
     /// Records the order for which this instance promised to end a term.
-    pub fn note_promised(&mut self, group: &GroupId, ending: &RetireRequest) {
-        let order = DutyOrder { server: ending.successor.clone(), term: ending.term + 1 };
-        self.note_order_of_token(group, ending.token, Some(order));
+    pub fn note_promised(&mut self, group: &GroupId, request: &RetireRequest) {
+        let order = DutyOrder { server: request.successor.clone(), term: request.term + 1 };
+        self.note_order_of_token(group, request.token, Some(order));
     }
 
     /// Discards a promised order that was not sent and never will be.
--- a/daemon/src/engine/fleet_control.rs
+++ b/daemon/src/engine/fleet_control.rs
@@ -228,7 +228,7 @@
         let demands = heartbeat.demands.iter();
         let demands = demands.map(|demand| (demand.group.as_str().into(), demand.wanted)).collect();
         self.with_fleet(|fleet| {
-            fleet.heard(now(), &heartbeat.instance, heartbeat.leaving);
+            fleet.record_message(now(), &heartbeat.instance, heartbeat.leaving);
             fleet.set_demands(&heartbeat.instance, demands);
         });
     }
--- a/daemon/src/engine/holders.rs
+++ b/daemon/src/engine/holders.rs
@@ -17,7 +17,7 @@
 use chervilwharf_lib::id::GroupId;
 use chervilwharf_lib::id::InstanceId;
 use chervilwharf_lib::moment::Moment;
-use chervilwharf_lib::peer_contact::Contact;
+use chervilwharf_lib::peer_contact::Reachability;
 
 use crate::engine::clock::now;
 use crate::engine::shard::Shard;
@@ -127,7 +127,7 @@
                 Some(record) => record.clone(),
                 None => self.me().clone(),
             };
-            let staying = if holders_known { fleet.staying(at) } else { Vec::new() };
+            let staying = if holders_known { fleet.eligible(at) } else { Vec::new() };
             staying.iter().map(record).collect::<Vec<_>>()
         });
         let version = self.catalog().version;
@@ -196,8 +196,8 @@
             return true;
         }
         let mut candidates = self.candidates(group, &[]);
-        let (record, contact) = (self.me().clone(), Contact::Heard);
-        candidates.push(Candidate { record, contact, recently_refused: false, near: true });
+        let (record, reachability) = (self.me().clone(), Reachability::Reachable);
+        candidates.push(Candidate { record, reachability, recently_refused: false, near: true });
         let best = choose(&candidates, affinity);
         best.is_none_or(|candidate| candidate.record.id == self.me().id)
     }
@@ -215,7 +215,7 @@
             until.is_some_and(|until| *until > at)
         };
         let candidate = |record: InstanceRecord| Candidate {
-            contact: self.peer_contacts().of(&record.id),
+            reachability: self.peer_contacts().of(&record.id),
             recently_refused: recently_refused(&record.id),
             near: record.failure_domain == self.me().failure_domain,
             record,
--- a/daemon/src/engine/instance_control.rs
+++ b/daemon/src/engine/instance_control.rs
@@ -135,13 +135,13 @@
             match change {
                 Change::Present(entry) => {
                     if let Some(record) = instance_of(entry) {
-                        self.engine.with_fleet(|fleet| fleet.present(now(), record));
+                        self.engine.with_fleet(|fleet| fleet.upsert(now(), record));
                     }
                 }
                 Change::Removed(id) if id == self.engine.me().id => {
                     self.engine.record_write_needed().notify_one();
                 }
-                Change::Removed(id) => self.engine.with_fleet(|fleet| fleet.removed(&id)),
+                Change::Removed(id) => self.engine.with_fleet(|fleet| fleet.remove(&id)),
             }
         }
         self.engine.recompute_assignments();
--- a/daemon/src/engine/leader_control.rs
+++ b/daemon/src/engine/leader_control.rs
@@ -63,7 +63,7 @@
 
     /// Leaves the replacement of a primary to other instances for some time.
     pub fn step_back(&self, group: &GroupId) {
-        self.with(group, |watch| watch.step_back(now()));
+        self.with(group, |watch| watch.defer_replacement(now()));
     }
 
     fn is_replacing(&self, group: &GroupId) -> bool {
@@ -118,7 +118,7 @@
         let suspected = group.take_suspicion();
         let actions = engine.watches().with(shard.id(), |watch| {
             let mut actions = watch.tick(now(), group, rank);
-            actions.extend(suspected.then(|| watch.suspected(now(), group)).flatten());
+            actions.extend(suspected.then(|| watch.suspect_primary(now(), group)).flatten());
             actions
         });
         (group.take_claimants(), actions)
@@ -231,7 +231,7 @@
     let answers = join_all(requests).await;
     for (peer, answer) in others.iter().zip(answers) {
         let Ok(Body::LeaderReply(reply)) = answer else {
-            opinions.silent += 1;
+            opinions.unresponsive += 1;
             continue;
         };
         opinions.replacing |= reply.replacing;
@@ -253,11 +253,11 @@
         .with_count("reached", opinions.reached)
         .with_count("failed", opinions.failed)
         .with_count("unknown", opinions.unknown)
-        .with_count("silent", opinions.silent)
+        .with_count("silent", opinions.unresponsive)
         .with("replacing", opinions.replacing);
     event_log::emit(&event);
     let out_of_reach = engine.watches().with(shard.id(), |watch| {
-        watch.heard(now(), leader.as_ref(), opinions);
+        watch.record_reports(now(), leader.as_ref(), opinions);
         watch.out_of_reach().cloned()
     });
     shard.set_out_of_reach(out_of_reach.as_ref());
--- a/daemon/src/engine/lease.rs
+++ b/daemon/src/engine/lease.rs
@@ -39,13 +39,13 @@
     /// How many statements it takes to set the connection up for a session.
     #[must_use]
     pub fn distance(&self, values: &SessionValues, prepared: Option<&Prepared>) -> usize {
-        self.connection_setup.distance(values, prepared)
+        self.connection_setup.setup_cost(values, prepared)
     }
 
     /// Statements that set the connection up for a session. They count as run from now on,
     /// so the caller has to send them; otherwise the connection cannot be reused.
     pub fn adapt(&mut self, values: &SessionValues, prepared: Option<&Prepared>) -> Vec<Step> {
-        let steps = self.connection_setup.adapt(values, prepared);
+        let steps = self.connection_setup.begin_setup(values, prepared);
         self.setup_pending |= !steps.is_empty();
         steps.into_iter().map(Step::own).collect()
     }
--- a/daemon/src/engine/peer_contacts.rs
+++ b/daemon/src/engine/peer_contacts.rs
@@ -22,9 +22,9 @@
 use chervilwharf_lib::id::GroupId;
 use chervilwharf_lib::id::InstanceId;
 use chervilwharf_lib::moment::Moment;
-use chervilwharf_lib::peer_contact::Contact;
 use chervilwharf_lib::peer_contact::LIVENESS_TIMEOUT;
 use chervilwharf_lib::peer_contact::PeerContacts;
+use chervilwharf_lib::peer_contact::Reachability;
 use chervilwharf_lib::received_statements::DeliveryState;
 use chervilwharf_lib::received_statements::StatementTicket;
 use futures::StreamExt;
@@ -45,14 +45,14 @@
 
     /// The liveness of an instance at present.
     #[must_use]
-    pub fn of(&self, id: &InstanceId) -> Contact {
-        self.lock().contact(now(), id)
+    pub fn of(&self, id: &InstanceId) -> Reachability {
+        self.lock().reachability(now(), id)
     }
 
     /// Records that an instance answered a request that was sent at `asked_at`, and logs
     /// if it was unreachable before.
     pub fn heard(&self, asked_at: Moment, id: &InstanceId) {
-        let has_changed = self.lock().heard(asked_at, id);
+        let has_changed = self.lock().record_answer(asked_at, id);
         if has_changed {
             event_log::emit(&Event::new(EventKind::PeerHeard).with("peer", id));
         }
@@ -62,7 +62,7 @@
     /// becomes unreachable by that.
     pub fn missed(&self, asked_at: Moment, id: &InstanceId) {
         let at = now();
-        let has_changed = self.lock().missed(at, asked_at, id);
+        let has_changed = self.lock().record_no_answer(at, asked_at, id);
         if has_changed {
             let event = Event::new(EventKind::PeerSilent).with("peer", id);
             event_log::emit(&event.with_ms("for_ms", at.saturating_sub(asked_at)));
@@ -92,9 +92,9 @@
         self.send_check(peer, SignOfLife::default()).await.is_some()
     }
 
-    /// Asks another instance for the fate of a statement that was sent to it at `sent_at`.
-    /// If the statement has not arrived, the other instance will not run it any more.
-    /// `None` without an answer.
+    /// Asks another instance for the delivery state of a statement that was sent to it at
+    /// `sent_at`. If the statement has not arrived, the other instance will not run it any
+    /// more. `None` without an answer.
     pub async fn ask_for_statement(
         &self,
         peer: &InstanceRecord,
@@ -107,7 +107,7 @@
         Some(match reply {
             SignOfLifeReply { withdrawn: true, .. } => DeliveryState::Withdrawn,
             SignOfLifeReply { ended: true, .. } => DeliveryState::Ended,
-            _ => DeliveryState::Open,
+            _ => DeliveryState::Unresolved,
         })
     }
 
@@ -138,12 +138,12 @@
             return SignOfLifeReply::default();
         }
         let sent_ago = Duration::from_millis(request.sent_ms_ago);
-        let fate = self.with_received_statements(|received_statements| {
+        let delivery_state = self.with_received_statements(|received_statements| {
             received_statements.withdraw(now(), request.ticket, sent_ago)
         });
         SignOfLifeReply {
-            withdrawn: fate == DeliveryState::Withdrawn,
-            ended: fate == DeliveryState::Ended,
+            withdrawn: delivery_state == DeliveryState::Withdrawn,
+            ended: delivery_state == DeliveryState::Ended,
         }
     }
 
@@ -158,19 +158,19 @@
         loop {
             let candidates = self.candidates(group, tried);
             let chosen = choose(&candidates, affinity)?.clone();
-            match chosen.contact {
-                Contact::Heard => {
+            match chosen.reachability {
+                Reachability::Reachable => {
                     self.check_in_background(&candidates);
                     return Some(chosen);
                 }
-                Contact::Unverified => {
+                Reachability::Unverified => {
                     // A statement may need one of the others next.
                     self.check_in_background(&candidates);
                     if self.check_liveness(&chosen.record).await {
                         return Some(chosen);
                     }
                 }
-                Contact::Silent => {
+                Reachability::Unreachable => {
                     if !self.check_unreachable(&candidates).await {
                         return None;
                     }
--- a/daemon/src/engine/primary_lease_control.rs
+++ b/daemon/src/engine/primary_lease_control.rs
@@ -328,7 +328,7 @@
         if !end.planned && shard.reaches(at, &end.server) {
             return reply;
         }
-        let ending = RetireRequest {
+        let retire_request = RetireRequest {
             term: end.term,
             token: end.token,
             successor: end.successor.as_str().into(),
@@ -340,14 +340,14 @@
         let result = shard.with_group(|group| {
             group.primary_lease_mut().note_era(latest);
             group.primary_lease_mut().observe_token(token);
-            group.retire(at, &ending)
+            group.retire(at, &retire_request)
         });
         self.watches().expect_replacement(&group_id, at);
         let event = Event::new(EventKind::TermEnded).with("group", &group_id);
         let event = event.with("term", end.term).with("token", end.token);
         match result {
             Ok(promise) => {
-                self.with_duties(|duties| duties.note_promised(&group_id, &ending));
+                self.with_duties(|duties| duties.note_promised(&group_id, &retire_request));
                 event_log::emit(&event.with("outcome", "promised"));
                 TermEndReply { promised: true, given: encode_grants(promise), ..reply }
             }
@@ -421,7 +421,7 @@
 }
 
 fn encode_grants(promise: Promise) -> Vec<GivenLease> {
-    let given = promise.given.into_iter().map(|(instance, lasting)| GivenLease {
+    let given = promise.unexpired_grants.into_iter().map(|(instance, lasting)| GivenLease {
         instance: instance.to_string(),
         lasting_ms: u64::try_from(lasting.as_millis()).unwrap_or(u64::MAX).saturating_add(1),
     });
@@ -434,5 +434,5 @@
     let decode = |lease: &GivenLease| {
         (lease.instance.as_str().into(), Duration::from_millis(lease.lasting_ms))
     };
-    Promise { given: given.iter().map(decode).collect() }
+    Promise { unexpired_grants: given.iter().map(decode).collect() }
 }
--- a/daemon/src/engine/probe.rs
+++ b/daemon/src/engine/probe.rs
@@ -10,8 +10,8 @@
 use chervilwharf_lib::group::ServerStatus;
 use chervilwharf_lib::id::TargetId;
 use chervilwharf_lib::moment::Moment;
+use chervilwharf_lib::server_choice::ConnectionOwner;
 use chervilwharf_lib::server_choice::Need;
-use chervilwharf_lib::server_choice::Owner;
 use chervilwharf_lib::server_refusal::RefusalKind;
 
 use crate::engine::clock::now;
@@ -107,7 +107,7 @@
     let values = SessionValues::new();
     let asked_at = now();
     let want = ConnectionRequest {
-        owner: Owner::AnyAccount,
+        owner: ConnectionOwner::AnyAccount,
         need: Need::Server(id.clone()),
         priority: SAMPLE_PRIORITY,
         give_up_at: asked_at + PROBE_TIMEOUT,
--- a/daemon/src/engine/quota_control.rs
+++ b/daemon/src/engine/quota_control.rs
@@ -288,7 +288,7 @@
             inner.votes.release(at, request.shard, &candidate);
             return KeeperVoteReply::default();
         }
-        match inner.votes.ask(at, request.shard, candidate) {
+        match inner.votes.handle_vote_request(at, request.shard, candidate) {
             Vote::Granted { fresh } => KeeperVoteReply { granted: true, fresh },
             Vote::Refused => KeeperVoteReply::default(),
         }
@@ -311,7 +311,7 @@
             return QuotaReply { keeps: true, granted: request.wanted, ..QuotaReply::default() };
         };
         let shard = inner.shard(shard_number);
-        match shard.counters.ask(at, &account, limit, request.wanted) {
+        match shard.counters.handle_request(at, &account, limit, request.wanted) {
             QuotaAnswer::Granted(granted) => {
                 QuotaReply { keeps: true, granted, ..QuotaReply::default() }
             }
@@ -359,7 +359,7 @@
         let wanted = match admission {
             Admission::Admitted => return Ok(()),
             Admission::Refused { retry_after } => return Err(rate_limited(limit, retry_after)),
-            Admission::Ask(wanted) => wanted,
+            Admission::RequestFromKeeper(wanted) => wanted,
         };
         let request = QuotaQuestion {
             account: account.to_string(),
--- a/daemon/src/engine/remote.rs
+++ b/daemon/src/engine/remote.rs
@@ -371,7 +371,7 @@
     let mut exchange = std::pin::pin!(tokio::time::timeout(time_left, exchange));
     let result = tokio::select! {
         result = &mut exchange => result,
-        fate = detect_dead_link(engine, holder, ticket, sent_at) => match (fate, abandoning) {
+        state = detect_dead_link(engine, holder, ticket, sent_at) => match (state, abandoning) {
             (Some(DeliveryState::Withdrawn), _) | (Some(_), Abandoning::LosesNothing) => {
                 return Err(SendError::LinkDead);
             }
@@ -397,18 +397,18 @@
 ) -> Option<DeliveryState> {
     tokio::time::sleep(LIVENESS_CHECK_AFTER).await;
     loop {
-        let fate = engine.ask_for_statement(holder, ticket, sent_at).await?;
-        if fate == DeliveryState::Open {
+        let delivery_state = engine.ask_for_statement(holder, ticket, sent_at).await?;
+        if delivery_state == DeliveryState::Unresolved {
             tokio::time::sleep(STATUS_POLL_INTERVAL).await;
             continue;
         }
-        if fate == DeliveryState::Ended {
+        if delivery_state == DeliveryState::Ended {
             // The reply may still be on its way.
             tokio::time::sleep(LIVENESS_TIMEOUT).await;
         }
         let event = Event::new(EventKind::PeerFailed).with("peer", &holder.id);
         event_log::emit(&event.with("reason", "a link to the instance stopped responding"));
-        return Some(fate);
+        return Some(delivery_state);
     }
 }
 
--- a/daemon/src/engine/request.rs
+++ b/daemon/src/engine/request.rs
@@ -11,7 +11,7 @@
 use chervilwharf_lib::position::Position;
 use chervilwharf_lib::server_refusal::ServerRefusal;
 use chervilwharf_lib::statement::Answer;
-use chervilwharf_lib::waits;
+use chervilwharf_lib::statement_timing;
 
 /// One statement of a client that needs a server.
 #[derive(Clone, Debug)]
@@ -35,7 +35,7 @@
     /// for a new connection there.
     #[must_use]
     pub fn in_time_until(&self, now: Moment) -> Moment {
-        let max_wait = waits::max_wait(self.route.objective);
+        let max_wait = statement_timing::max_wait(self.route.objective);
         (self.arrived_at + max_wait).max(now + max_wait / 2).min(self.deadline)
     }
 
--- a/daemon/src/engine/server_control.rs
+++ b/daemon/src/engine/server_control.rs
@@ -85,7 +85,7 @@
                 match change {
                     Change::Present(entry) => {
                         if let Some((group, info)) = into_server(entry) {
-                            list.present(group, info);
+                            list.upsert(group, info);
                         }
                     }
                     Change::Removed(id) => list.missing(now(), &id),
--- a/daemon/src/engine/session.rs
+++ b/daemon/src/engine/session.rs
@@ -27,14 +27,14 @@
 use chervilwharf_lib::id::Term;
 use chervilwharf_lib::moment::Moment;
 use chervilwharf_lib::position::Position;
+use chervilwharf_lib::server_choice::ConnectionOwner;
 use chervilwharf_lib::server_choice::Need;
-use chervilwharf_lib::server_choice::Owner;
 use chervilwharf_lib::statement::Access;
 use chervilwharf_lib::statement::Answer;
 use chervilwharf_lib::statement::Prepared;
 use chervilwharf_lib::statement::Statement;
 use chervilwharf_lib::statement::TransactionState;
-use chervilwharf_lib::waits;
+use chervilwharf_lib::statement_timing;
 
 use crate::engine::caller::Caller;
 use crate::engine::clock::now;
@@ -301,7 +301,8 @@
     #[must_use]
     pub fn stall_limit(&self, request: &Request, server: &str) -> Duration {
         let usual_time = self.shard.with_group(|group| group.read_time(server));
-        waits::read_stall_limit(request.route.objective, usual_time).min(request.time_left(now()))
+        statement_timing::read_stall_limit(request.route.objective, usual_time)
+            .min(request.time_left(now()))
     }
 
     /// Whether a transaction that wrote and began in `term` may be committed at `server`
@@ -456,7 +457,7 @@
         let began_at = now();
         let want = ConnectionRequest {
             need,
-            owner: Owner::Account(self.caller.account.clone()),
+            owner: ConnectionOwner::Account(self.caller.account.clone()),
             priority: request.route.priority,
             give_up_at: request.deadline,
             in_time_until: request.in_time_until(began_at),
--- a/daemon/src/engine/shard.rs
+++ b/daemon/src/engine/shard.rs
@@ -177,7 +177,7 @@
     /// Records that a request needs the primary, and requests a renewal of the primary
     /// lease if that is due.
     pub fn want_leader(&self) {
-        if !self.with_group(|group| group.want_leader(now())) {
+        if !self.with_group(|group| group.note_leader_needed(now())) {
             self.lease_renewal.notify_one();
         }
     }
--- a/daemon/src/engine/shard/assign.rs
+++ b/daemon/src/engine/shard/assign.rs
@@ -8,11 +8,11 @@
 use chervilwharf_lib::id::TargetId;
 use chervilwharf_lib::moment::Moment;
 use chervilwharf_lib::server_choice::Choice;
+use chervilwharf_lib::server_choice::ConnectionOwner;
 use chervilwharf_lib::server_choice::Need;
-use chervilwharf_lib::server_choice::Owner;
 use chervilwharf_lib::server_choice::PoolView;
 use chervilwharf_lib::server_choice::choose;
-use chervilwharf_lib::wait_queue::Place;
+use chervilwharf_lib::wait_queue::QueuePlace;
 use chervilwharf_lib::wait_queue::Tier;
 
 use crate::engine::clock::now;
@@ -78,7 +78,7 @@
     pub(super) fn take_from(
         &mut self,
         server: &TargetId,
-        owner: &Owner,
+        owner: &ConnectionOwner,
         cost: impl Fn(&PooledConnection) -> usize,
     ) -> Option<PooledConnection> {
         let pool = self.pools.get_mut(server)?;
@@ -107,7 +107,13 @@
     }
 
     /// Chooses a server for a request that has waited for `waited`.
-    fn choose(&self, now: Moment, need: &Need, owner: &Owner, waited: Duration) -> Choice {
+    fn choose(
+        &self,
+        now: Moment,
+        need: &Need,
+        owner: &ConnectionOwner,
+        waited: Duration,
+    ) -> Choice {
         choose(&self.group, now, need, |id| self.view_of(id, owner, waited))
     }
 
@@ -120,7 +126,7 @@
 
     /// The connections to a server as they count for a request of `owner` that has waited
     /// for `waited`.
-    fn view_of(&self, id: &TargetId, owner: &Owner, waited: Duration) -> PoolView {
+    fn view_of(&self, id: &TargetId, owner: &ConnectionOwner, waited: Duration) -> PoolView {
         let Some(pool) = self.pools.get(id) else {
             return PoolView { budget: self.budget, ..PoolView::default() };
         };
@@ -131,8 +137,8 @@
             None => 0,
         };
         let own = match owner {
-            Owner::AnyAccount => pool.view.open,
-            Owner::Account(account) => pool.by_account.get(account).copied().unwrap_or(0),
+            ConnectionOwner::AnyAccount => pool.view.open,
+            ConnectionOwner::Account(account) => pool.by_account.get(account).copied().unwrap_or(0),
         };
         // Accounts cause a steady flow of new connections, each of which takes a slot of
         // the server like a statement. When these were not counted, all holders together
@@ -187,7 +193,7 @@
     fn assign_one(
         &mut self,
         now: Moment,
-        place: Place,
+        place: QueuePlace,
         being_opened: &mut HashMap<(TargetId, Option<AccountId>), usize>,
         assignments: &mut Assignments,
     ) {
@@ -242,7 +248,12 @@
         }
     }
 
-    fn begin_opening(&mut self, server: &TargetId, owner: &Owner, assignments: &mut Assignments) {
+    fn begin_opening(
+        &mut self,
+        server: &TargetId,
+        owner: &ConnectionOwner,
+        assignments: &mut Assignments,
+    ) {
         let Some(view) = self.group.server(server) else {
             return;
         };
--- a/daemon/src/engine/shared.rs
+++ b/daemon/src/engine/shared.rs
@@ -35,8 +35,8 @@
 use chervilwharf_lib::quota::QuotaTolerance;
 use chervilwharf_lib::received_statements::ReceivedStatements;
 use chervilwharf_lib::server_list::ServerList;
-use chervilwharf_lib::silence::StoreTimeouts;
 use chervilwharf_lib::stop_plan::StopPlan;
+use chervilwharf_lib::store_timeouts::StoreTimeouts;
 use tokio::sync::Notify;
 use tokio::sync::watch;
 
--- a/daemon/src/engine/single.rs
+++ b/daemon/src/engine/single.rs
@@ -14,7 +14,7 @@
 use chervilwharf_lib::statement::Prepared;
 use chervilwharf_lib::statement::Statement;
 use chervilwharf_lib::statement::TransactionState;
-use chervilwharf_lib::waits;
+use chervilwharf_lib::statement_timing;
 
 use crate::engine::clock::now;
 use crate::engine::event_log;
@@ -105,7 +105,9 @@
     let usual_time = session.shard().with_group(|group| group.read_time(&server));
     let running = lease.connection().connection.run(steps);
     let mut running = std::pin::pin!(tokio::time::timeout(limit, running));
-    let early = tokio::time::timeout(waits::liveness_check_after(usual_time), &mut running).await;
+    let early =
+        tokio::time::timeout(statement_timing::liveness_check_after(usual_time), &mut running)
+            .await;
     let finished = if let Ok(finished) = early {
         finished
     } else {
@@ -177,7 +179,7 @@
         steps.push(Step::own(Statement::Rollback));
     }
     let sent_at = now();
-    let slow_threshold = waits::slow_threshold(request.route.objective);
+    let slow_threshold = statement_timing::slow_threshold(request.route.objective);
     let limit = session.stall_limit(request, &server);
     let replies = match send(session, &mut lease, &steps, limit).await {
         Sent::Replies(replies) => replies,
@@ -226,7 +228,10 @@
     if let Some(lease) = lease {
         lease.give_back();
     }
-    Attempt::Retry { failure: Failure::new(ErrorKind::NoPrimary), pause: waits::BUSY_PAUSE }
+    Attempt::Retry {
+        failure: Failure::new(ErrorKind::NoPrimary),
+        pause: statement_timing::BUSY_PAUSE,
+    }
 }
 
 /// Gives a connection back if no transaction is open on it. Otherwise it is closed.
@@ -242,7 +247,7 @@
 fn setup_refused(refusal: ServerRefusal) -> Attempt {
     let event = Event::new(EventKind::ConnectionDropped).with("reason", &refusal.text);
     event_log::emit(&event.with("refusal", format_args!("{:?}", refusal.kind)));
-    Attempt::Retry { failure: refusal.into(), pause: waits::BUSY_PAUSE }
+    Attempt::Retry { failure: refusal.into(), pause: statement_timing::BUSY_PAUSE }
 }
 
 fn refused_read(
@@ -263,7 +268,7 @@
         }
         RefusalKind::Busy => {
             session.shard().observe_busy(server);
-            waits::BUSY_PAUSE
+            statement_timing::BUSY_PAUSE
         }
         // Running a read twice has no visible effect.
         RefusalKind::Failed | RefusalKind::TimedOut => Duration::ZERO,
@@ -344,7 +349,7 @@
     match reply.result {
         Ok(answer) => {
             let took = now().saturating_sub(sent_at);
-            let slow_threshold = waits::slow_threshold(request.route.objective);
+            let slow_threshold = statement_timing::slow_threshold(request.route.objective);
             session.shard().observe_time(&server, took, slow_threshold);
             if !session.is_confirmed(request, &server, term).await {
                 return Attempt::Failed(Failure::new(ErrorKind::OutcomeUnknown));
@@ -369,7 +374,7 @@
         }
         RefusalKind::Busy => {
             session.shard().observe_busy(server);
-            Attempt::Retry { failure: refusal.into(), pause: waits::BUSY_PAUSE }
+            Attempt::Retry { failure: refusal.into(), pause: statement_timing::BUSY_PAUSE }
         }
         _ => Attempt::Failed(refusal.into()),
     }
--- a/daemon/src/engine/store_liveness.rs
+++ b/daemon/src/engine/store_liveness.rs
@@ -10,8 +10,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use chervilwharf_lib::silence::STORE_RETRY_INTERVAL;
-use chervilwharf_lib::silence::StoreTimeouts;
+use chervilwharf_lib::store_timeouts::STORE_RETRY_INTERVAL;
+use chervilwharf_lib::store_timeouts::StoreTimeouts;
 use futures::StreamExt;
 use futures::stream::FuturesUnordered;
 use tokio::time::Instant;
--- a/daemon/src/engine/transaction.rs
+++ b/daemon/src/engine/transaction.rs
@@ -19,7 +19,7 @@
 use chervilwharf_lib::server_refusal::ServerRefusal;
 use chervilwharf_lib::statement::Statement;
 use chervilwharf_lib::statement::TransactionState;
-use chervilwharf_lib::waits;
+use chervilwharf_lib::statement_timing;
 
 use crate::engine::clock::now;
 use crate::engine::event_log;
@@ -264,7 +264,7 @@
                 session.shard().observe_time(
                     &server,
                     took,
-                    waits::slow_threshold(request.route.objective),
+                    statement_timing::slow_threshold(request.route.objective),
                 );
                 observe(session, transaction, sent_at, &server, reply.position);
                 return Ok(Served { answer, position: reply.position });
@@ -277,7 +277,7 @@
                 return Err(refused(session, transaction, &server, refusal, reply.state));
             }
         }
-        tokio::time::sleep(waits::BUSY_PAUSE.min(request.time_left(now()))).await;
+        tokio::time::sleep(statement_timing::BUSY_PAUSE.min(request.time_left(now()))).await;
     }
     transaction.fail();
     Err(last)
@@ -373,7 +373,7 @@
     let term = session.shard().term_of(&server);
     if floor.is_none() && term.is_none() {
         lease.give_back();
-        return Err((Failure::new(ErrorKind::NoPrimary), Some(waits::BUSY_PAUSE)));
+        return Err((Failure::new(ErrorKind::NoPrimary), Some(statement_timing::BUSY_PAUSE)));
     }
     let mut lease = Some(lease);
     let mut steps = session.setup_steps(lease.as_mut(), work.prepared.as_ref());
@@ -390,7 +390,7 @@
         }
     };
     if let Some(refusal) = first_refusal(&replies[..setup]) {
-        return Err((refusal.into(), Some(waits::BUSY_PAUSE)));
+        return Err((refusal.into(), Some(statement_timing::BUSY_PAUSE)));
     }
     let reply = &replies[setup];
     let Err(refusal) = &reply.result else {
@@ -420,7 +420,7 @@
             session.shard().lost_lead(server);
             Some(Duration::ZERO)
         }
-        RefusalKind::Busy => Some(waits::BUSY_PAUSE),
+        RefusalKind::Busy => Some(statement_timing::BUSY_PAUSE),
         _ => None,
     };
     (refusal.clone().into(), pause)
@@ -489,7 +489,7 @@
                 return Err(refused(session, transaction, &server, refusal, reply.state));
             }
         }
-        tokio::time::sleep(waits::BUSY_PAUSE.min(request.time_left(now()))).await;
+        tokio::time::sleep(statement_timing::BUSY_PAUSE.min(request.time_left(now()))).await;
     }
     Err(last)
 }
--- a/daemon/src/engine/waiting.rs
+++ b/daemon/src/engine/waiting.rs
@@ -18,11 +18,11 @@
 use chervilwharf_lib::load_shedding::QueueDecision;
 use chervilwharf_lib::load_shedding::WaitForecast;
 use chervilwharf_lib::moment::Moment;
+use chervilwharf_lib::server_choice::ConnectionOwner;
 use chervilwharf_lib::server_choice::Need;
-use chervilwharf_lib::server_choice::Owner;
 use chervilwharf_lib::statement::Prepared;
 use chervilwharf_lib::wait_estimator::SubQueue;
-use chervilwharf_lib::wait_queue::Place;
+use chervilwharf_lib::wait_queue::QueuePlace;
 use chervilwharf_lib::wait_queue::Rank;
 use chervilwharf_lib::wait_queue::Tier;
 use tokio::sync::oneshot;
@@ -40,7 +40,7 @@
     /// Which servers can serve it.
     pub need: Need,
     /// The account whose connections can serve it.
-    pub owner: Owner,
+    pub owner: ConnectionOwner,
     /// Its priority in the queue.
     pub priority: Priority,
     /// When the request stops waiting, at the latest.
@@ -76,7 +76,7 @@
 /// waits would otherwise delay others.
 struct QueueGuard {
     shard: Arc<Shard>,
-    place: Place,
+    place: QueuePlace,
 }
 
 impl Drop for QueueGuard {
@@ -88,7 +88,7 @@
 /// A request that waits for a connection.
 pub(super) struct Waiter {
     pub(super) need: Need,
-    pub(super) owner: Owner,
+    pub(super) owner: ConnectionOwner,
     pub(super) since: Moment,
     pub(super) grant: oneshot::Sender<Lease>,
 }
--- a/daemon/src/link.rs
+++ b/daemon/src/link.rs
@@ -310,7 +310,7 @@
         owner: String::new(),
         term: *term,
     });
-    let heard = body.heard.iter().map(|(database, record)| Ownership {
+    let heard = body.rumors.iter().map(|(database, record)| Ownership {
         database: database.to_string(),
         owner: record.owner.to_string(),
         term: record.term,
@@ -346,6 +346,6 @@
             configuration_version: heartbeat.configuration_version,
         },
         owned: owned.collect(),
-        heard: heard.collect(),
+        rumors: heard.collect(),
     }
 }
--- a/daemon/src/start.rs
+++ b/daemon/src/start.rs
@@ -203,7 +203,7 @@
         leaving: false,
         configuration_version: 0,
     });
-    context.databases.instance.membership().learn(Instant::now(), seeds);
+    context.databases.instance.membership().add_peers(Instant::now(), seeds);
 }
 
 async fn read_owners_once_configured(context: Shared) {
--- a/daemon/tests/test_duty.rs
+++ b/daemon/tests/test_duty.rs
@@ -139,14 +139,14 @@
 #[test]
 fn test_promised_order_that_a_restored_store_lacks_is_known() {
     let mut duties = DutyTable::default();
-    let ending = RetireRequest {
+    let retire_request = RetireRequest {
         term: 1,
         token: 7,
         successor: "theirs".into(),
         withdrawn: 0,
         written_era: Some(1),
     };
-    duties.note_promised(&"db".into(), &ending);
+    duties.note_promised(&"db".into(), &retire_request);
     duties.apply_record(Revision::new(2, 40), duty_of("b", 5, None));
     assert_eq!(duties.record(&"db".into()).unwrap().order, Some(order("theirs")));
     duties.apply_record(Revision::new(3, 30), duty_of("b", 6, None));
--- a/daemon/tests/test_waiting.rs
+++ b/daemon/tests/test_waiting.rs
@@ -12,8 +12,8 @@
 use chervilwharf_daemon::engine::waiting::ConnectionRequest;
 use chervilwharf_lib::connection_setup::SessionValues;
 use chervilwharf_lib::error_kind::ErrorKind;
+use chervilwharf_lib::server_choice::ConnectionOwner;
 use chervilwharf_lib::server_choice::Need;
-use chervilwharf_lib::server_choice::Owner;
 use futures::future::join_all;
 use stubs::NoServer;
 use stubs::shard_with_primary;
@@ -31,7 +31,7 @@
 async fn failure(shard: &Arc<Shard>, max_wait: Duration) -> Failure {
     let values = SessionValues::new();
     let want = ConnectionRequest {
-        owner: Owner::Account(None),
+        owner: ConnectionOwner::Account(None),
         need: Need::Leader,
         priority: 1,
         give_up_at: now() + max_wait,
--- a/lib/src/connection_setup.rs
+++ b/lib/src/connection_setup.rs
@@ -25,7 +25,11 @@
     /// Returns the statements that prepare the connection for a session that has
     /// `values` and is about to execute `prepared`. They are recorded as already
     /// run, so the caller must run them all.
-    pub fn adapt(&mut self, values: &SessionValues, prepared: Option<&Prepared>) -> Vec<Statement> {
+    pub fn begin_setup(
+        &mut self,
+        values: &SessionValues,
+        prepared: Option<&Prepared>,
+    ) -> Vec<Statement> {
         let mut steps = Vec::new();
         // A single value of another session cannot be unset; only a reset clears it.
         if self.needs_reset(values) {
@@ -49,10 +53,10 @@
         steps
     }
 
-    /// Number of statements that `adapt` would return. A request uses the connection
+    /// Number of statements that `begin_setup` would return. A request uses the connection
     /// with the fewest.
     #[must_use]
-    pub fn distance(&self, values: &SessionValues, prepared: Option<&Prepared>) -> usize {
+    pub fn setup_cost(&self, values: &SessionValues, prepared: Option<&Prepared>) -> usize {
         let reset = self.needs_reset(values);
         let missing = values
             .iter()
--- a/lib/src/duty.rs
+++ b/lib/src/duty.rs
@@ -95,9 +95,9 @@
 pub fn succession(
     group: &GroupId,
     holder: Option<&InstanceId>,
-    staying: &[InstanceId],
+    eligible: &[InstanceId],
 ) -> Vec<InstanceId> {
-    let mut ranked: Vec<_> = staying
+    let mut ranked: Vec<_> = eligible
         .iter()
         .map(|id| (holder == Some(id), stable_hash(&[group, id]), id.clone()))
         .collect();
--- a/lib/src/fleet.rs
+++ b/lib/src/fleet.rs
@@ -104,7 +104,7 @@
     }
 
     /// Adds or updates a record that the store lists.
-    pub fn present(&mut self, now: Moment, record: InstanceRecord) {
+    pub fn upsert(&mut self, now: Moment, record: InstanceRecord) {
         if record.id == self.me {
             return;
         }
@@ -126,7 +126,7 @@
     }
 
     /// Removes an instance whose record was removed from the store.
-    pub fn removed(&mut self, id: &str) {
+    pub fn remove(&mut self, id: &str) {
         self.members.remove(id);
     }
 
@@ -136,7 +136,7 @@
         let is_listed = |id: &InstanceId| records.iter().any(|record| record.id == *id);
         self.members.retain(|id, member| member.unlisted_since.is_some() || is_listed(id));
         for record in records {
-            self.present(now, record);
+            self.upsert(now, record);
         }
     }
 
@@ -162,7 +162,7 @@
             if self.members.contains_key(&id) {
                 continue;
             }
-            self.present(now, record);
+            self.upsert(now, record);
             if let Some(member) = self.members.get_mut(&id) {
                 member.unlisted_since = Some(now);
             }
@@ -205,7 +205,7 @@
 
     /// Records that a message from an instance arrived, and whether the instance is
     /// leaving.
-    pub fn heard(&mut self, now: Moment, id: &str, leaving: bool) {
+    pub fn record_message(&mut self, now: Moment, id: &str, leaving: bool) {
         if let Some(member) = self.members.get_mut(id) {
             member.last_contact_at = now;
             member.leaving = leaving;
@@ -266,7 +266,7 @@
 
     /// Returns the live instances that are not leaving and can get new duties.
     #[must_use]
-    pub fn staying(&self, now: Moment) -> Vec<InstanceId> {
+    pub fn eligible(&self, now: Moment) -> Vec<InstanceId> {
         let leaving = |id: &InstanceId| self.members.get(id).is_some_and(|member| member.leaving);
         self.live(now).into_iter().filter(|id| !leaving(id)).collect()
     }
@@ -284,7 +284,7 @@
             return true;
         }
         let own_score = relay_score(&self.me);
-        let before = self.staying(now).into_iter().filter(|id| {
+        let before = self.eligible(now).into_iter().filter(|id| {
             let near = self.members.get(id);
             let near = near.is_some_and(|member| member.record.failure_domain == *failure_domain);
             near && relay_score(id) > own_score
@@ -296,8 +296,8 @@
     #[must_use]
     pub fn relays(&self, now: Moment) -> Vec<InstanceRecord> {
         let mut first: BTreeMap<&FailureDomainId, &InstanceRecord> = BTreeMap::new();
-        let staying = self.staying(now);
-        for record in staying.iter().filter_map(|id| self.record(id)) {
+        let eligible = self.eligible(now);
+        for record in eligible.iter().filter_map(|id| self.record(id)) {
             let best = first.entry(&record.failure_domain).or_insert(record);
             if relay_score(&record.id) > relay_score(&best.id) {
                 *best = record;
--- a/lib/src/group.rs
+++ b/lib/src/group.rs
@@ -298,19 +298,19 @@
         &mut self.primary_lease
     }
 
-    /// Promises to neither use nor grant the term of `ending` any more, and drops a
+    /// Promises to neither use nor grant the term of `request` any more, and drops a
     /// primary of that term or an earlier one.
     ///
     /// # Errors
     ///
     /// Returns an [`Objection`] if a server was seen in a later term, or for the reasons
     /// given at [`PrimaryLease::promise`].
-    pub fn retire(&mut self, now: Moment, ending: &RetireRequest) -> Result<Promise, Objection> {
-        if self.seen_term > ending.term {
+    pub fn retire(&mut self, now: Moment, request: &RetireRequest) -> Result<Promise, Objection> {
+        if self.seen_term > request.term {
             return Err(Objection::LaterTerm(self.seen_term));
         }
-        let promise = self.primary_lease.promise(now, ending)?;
-        self.leader.take_if(|leader| leader.term <= ending.term);
+        let promise = self.primary_lease.promise(now, request)?;
+        self.leader.take_if(|leader| leader.term <= request.term);
         Ok(promise)
     }
 
@@ -336,9 +336,9 @@
 
     /// Records that the instance needs the primary. Returns false if the primary's term
     /// is known and the lease on it is missing.
-    pub fn want_leader(&mut self, now: Moment) -> bool {
+    pub fn note_leader_needed(&mut self, now: Moment) -> bool {
         let term = self.confirmed_leader().map(|leader| leader.term);
-        term.is_none_or(|term| self.primary_lease.want(now, term))
+        term.is_none_or(|term| self.primary_lease.note_needed(now, term))
     }
 
     /// Whether the primary's term is known but the lease on it is missing.
--- a/lib/src/holder_choice.rs
+++ b/lib/src/holder_choice.rs
@@ -5,7 +5,7 @@
 
 use crate::fleet::InstanceRecord;
 use crate::id::AccountId;
-use crate::peer_contact::Contact;
+use crate::peer_contact::Reachability;
 use crate::placement::stable_hash;
 
 /// A holder through which a statement can be sent.
@@ -14,7 +14,7 @@
     /// Record of the holder.
     pub record: InstanceRecord,
     /// Whether the holder is reachable.
-    pub contact: Contact,
+    pub reachability: Reachability,
     /// Whether the holder recently refused a statement of this group that another
     /// holder may be able to serve.
     pub recently_refused: bool,
@@ -42,7 +42,7 @@
 #[must_use]
 pub fn choose<'a>(candidates: &'a [Candidate], affinity: &Affinity) -> Option<&'a Candidate> {
     let rank = |candidate: &Candidate| {
-        let unreachable = candidate.contact == Contact::Silent;
+        let unreachable = candidate.reachability == Reachability::Unreachable;
         let far = matches!(affinity, Affinity::Session(_)) && !candidate.near;
         (unreachable, candidate.recently_refused, far)
     };
--- a/lib/src/holders.rs
+++ b/lib/src/holders.rs
@@ -37,7 +37,7 @@
 /// nearly every other one.
 const MIN_HOLDERS_WITH_MANY_GROUPS: usize = 3;
 
-/// Returns the holders of one of `groups` groups, out of `staying`, the live
+/// Returns the holders of one of `groups` groups, out of `eligible`, the live
 /// instances that are not leaving. `max_connections` is the number of connections
 /// that each server of the group accepts.
 ///
@@ -53,21 +53,21 @@
     group: &GroupId,
     max_connections: usize,
     groups: usize,
-    staying: &[InstanceRecord],
+    eligible: &[InstanceRecord],
 ) -> Vec<InstanceRecord> {
     let shared = max_connections.saturating_sub(RESERVED_CONNECTIONS);
-    if staying.len() <= MAX_HOLDERS && staying.len() * MIN_CONNECTIONS_PER_HOLDER <= shared {
-        return staying.to_vec();
+    if eligible.len() <= MAX_HOLDERS && eligible.len() * MIN_CONNECTIONS_PER_HOLDER <= shared {
+        return eligible.to_vec();
     }
     let by_connections = (shared / TARGET_CONNECTIONS_PER_HOLDER).clamp(MIN_HOLDERS, MAX_HOLDERS);
-    let by_groups = (staying.len() / groups.max(1)).max(MIN_HOLDERS_WITH_MANY_GROUPS);
-    let chosen = ordered(group, staying).into_iter().take(by_connections.min(by_groups));
+    let by_groups = (eligible.len() / groups.max(1)).max(MIN_HOLDERS_WITH_MANY_GROUPS);
+    let chosen = ordered(group, eligible).into_iter().take(by_connections.min(by_groups));
     chosen.cloned().collect()
 }
 
 /// Returns the instances in the order in which they are chosen as holders.
-fn ordered<'a>(group: &GroupId, staying: &'a [InstanceRecord]) -> Vec<&'a InstanceRecord> {
-    let mut scored: Vec<_> = staying.iter().map(|record| (score(group, record), record)).collect();
+fn ordered<'a>(group: &GroupId, eligible: &'a [InstanceRecord]) -> Vec<&'a InstanceRecord> {
+    let mut scored: Vec<_> = eligible.iter().map(|record| (score(group, record), record)).collect();
     scored.sort_by(|a, b| b.0.total_cmp(&a.0).then_with(|| a.1.id.cmp(&b.1.id)));
     let mut turns: HashMap<&FailureDomainId, usize> = HashMap::new();
     let mut ordered: Vec<_> = scored
--- a/lib/src/instance.rs
+++ b/lib/src/instance.rs
@@ -234,16 +234,16 @@
 }
 
 impl Instance {
-    /// Creates an instance without databases. `life` is the number of this
+    /// Creates an instance without databases. `incarnation` is the number of this
     /// incarnation, which distinguishes it from those before a restart.
     #[must_use]
     pub fn new(
         me: PeerInfo,
-        life: &str,
+        incarnation: &str,
         membership: MembershipTiming,
         ownership: OwnershipTiming,
     ) -> Self {
-        let holder = ownership::holder_id(&me.id, life);
+        let holder = ownership::holder_id(&me.id, incarnation);
         let shards = (0..SHARD_COUNT).map(|_| Mutex::default()).collect();
         Self {
             membership: Mutex::new(Membership::new(me, membership)),
@@ -355,17 +355,17 @@
             }
             InstanceEvent::Heartbeat(body) => self.heartbeat(now, &body),
             InstanceEvent::HeartbeatAnswered { sequence, body } => {
-                self.membership().answered(now, &body.sender.id, sequence);
+                self.membership().heartbeat_answered(now, &body.sender.id, sequence);
                 self.heartbeat(now, &body)
             }
             InstanceEvent::HeartbeatFailed { peer, sequence } => {
-                self.membership().failed(&peer, sequence);
+                self.membership().heartbeat_failed(&peer, sequence);
                 Vec::new()
             }
             InstanceEvent::Listed(peers) => {
                 let listed = peers.iter().map(|peer| peer.id.clone()).collect();
                 let mut membership = self.membership();
-                membership.learn(now, peers);
+                membership.add_peers(now, peers);
                 membership.retain_listed(&listed);
                 Vec::new()
             }
@@ -415,8 +415,8 @@
     pub fn heartbeat_body(&self) -> HeartbeatBody {
         let owned = self.owned();
         let mut membership = self.membership();
-        let heard = membership.take_rumors();
-        HeartbeatBody { sender: membership.me().clone(), owned, heard }
+        let rumors = membership.take_rumors();
+        HeartbeatBody { sender: membership.me().clone(), owned, rumors }
     }
 
     /// Returns the databases that this instance owns or is taking. The term is 0
--- a/lib/src/keeper_lease.rs
+++ b/lib/src/keeper_lease.rs
@@ -118,7 +118,12 @@
 
     /// Processes the vote request of a candidate that wants to become or to stay
     /// keeper of a shard.
-    pub fn ask(&mut self, now: Moment, shard: ShardNumber, candidate: Candidate) -> Vote {
+    pub fn handle_vote_request(
+        &mut self,
+        now: Moment,
+        shard: ShardNumber,
+        candidate: Candidate,
+    ) -> Vote {
         if let Some((other, until)) = self.votes.get(&shard) {
             // A vote for an earlier incarnation of the same instance does not
             // count: that incarnation has ended.
--- a/lib/src/leader_watch.rs
+++ b/lib/src/leader_watch.rs
@@ -58,7 +58,7 @@
     pub unknown: usize,
     /// Instances that did not answer the request for a report, because they are down
     /// or partitioned.
-    pub silent: usize,
+    pub unresponsive: usize,
     /// Whether one of the instances is replacing the primary.
     pub replacing: bool,
 }
@@ -91,7 +91,7 @@
     /// this time.
     replacement_until: Moment,
     /// This instance leaves the replacement to others before this time.
-    stepped_back_until: Moment,
+    deferred_until: Moment,
     sampled_at: Option<Moment>,
     /// When each failed replica was last probed.
     replicas_probed_at: BTreeMap<TargetId, Moment>,
@@ -241,7 +241,7 @@
         let Some(rank) = rank.and_then(|rank| u32::try_from(rank).ok()) else {
             return false;
         };
-        let free = now >= self.replacement_until && now >= self.stepped_back_until;
+        let free = now >= self.replacement_until && now >= self.deferred_until;
         now >= confirmed_at + STAGGER * rank && free
     }
 
@@ -299,7 +299,7 @@
     /// A failure of this first probe counts towards the probes that have to fail.
     /// When it did not count, an unresponsive primary was detected 770 ms after its
     /// last answer (median of ten).
-    pub fn suspected(&mut self, now: Moment, group: &Group) -> Option<WatchAction> {
+    pub fn suspect_primary(&mut self, now: Moment, group: &Group) -> Option<WatchAction> {
         if self.suspected_at.is_some_and(|at| at + SUSPICION_INTERVAL > now) {
             return None;
         }
@@ -328,7 +328,7 @@
     }
 
     /// Records a round of reports from the other instances about the primary `about`.
-    pub fn heard(&mut self, now: Moment, about: Option<&TargetId>, reports: PeerReports) {
+    pub fn record_reports(&mut self, now: Moment, about: Option<&TargetId>, reports: PeerReports) {
         if reports.replacing {
             self.replacing(now);
         }
@@ -369,8 +369,8 @@
     /// Leaves the replacement to other instances, because this one cannot perform it
     /// now. The time suffices for the next two ranks in the succession and a
     /// replacement.
-    pub fn step_back(&mut self, now: Moment) {
-        self.stepped_back_until = now + STAGGER * 2 + REPLACEMENT_TIME;
+    pub fn defer_replacement(&mut self, now: Moment) {
+        self.deferred_until = now + STAGGER * 2 + REPLACEMENT_TIME;
     }
 
     /// Records that a replacement ended without a new primary, so that it may be
@@ -402,7 +402,7 @@
         return false;
     }
     let votes = reports.failed + reports.unknown + 1;
-    let all = if lasting { votes } else { votes + reports.silent };
+    let all = if lasting { votes } else { votes + reports.unresponsive };
     votes * 2 > all
 }
 
@@ -411,7 +411,7 @@
 fn is_out_of_reach(reports: PeerReports) -> bool {
     let none_reaches = reports.reached == 0 && reports.unknown == 0 && !reports.replacing;
     let answering = reports.failed + 1;
-    none_reaches && answering <= reports.silent
+    none_reaches && answering <= reports.unresponsive
 }
 
 impl Suspicion {
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -52,14 +52,14 @@
 pub mod server_list;
 pub mod server_refusal;
 pub mod settings;
-pub mod silence;
 pub mod statement;
+pub mod statement_timing;
 pub mod stop_plan;
+pub mod store_timeouts;
 pub mod succession;
 pub mod verifier;
 pub mod wait_estimator;
 pub mod wait_queue;
-pub mod waits;
 
 /// Messages between instances that coordinate the ownership of databases,
 /// generated from `protos/peer.proto`.
--- a/lib/src/membership.rs
+++ b/lib/src/membership.rs
@@ -100,7 +100,7 @@
     /// that it does not serve yet.
     pub owned: Vec<(DatabaseId, Term)>,
     /// Recent changes of ownership that the sender passes on by gossip.
-    pub heard: Vec<(DatabaseId, OwnerRecord)>,
+    pub rumors: Vec<(DatabaseId, OwnerRecord)>,
 }
 
 #[derive(Clone, Debug)]
@@ -225,7 +225,7 @@
     }
 
     /// Adds or updates instances from the platform's list or from the settings.
-    pub fn learn(&mut self, now: Instant, peers: impl IntoIterator<Item = PeerInfo>) {
+    pub fn add_peers(&mut self, now: Instant, peers: impl IntoIterator<Item = PeerInfo>) {
         for info in peers {
             self.add_peer(now, info);
         }
@@ -330,14 +330,14 @@
             let owner = body.sender.id.clone();
             (database.clone(), OwnerRecord { owner, term: *term })
         });
-        let heard = body.heard.iter().cloned();
-        for (database, record) in owned.chain(heard) {
+        let rumors = body.rumors.iter().cloned();
+        for (database, record) in owned.chain(rumors) {
             self.observe_owner(&database, record);
         }
     }
 
     /// Records that a peer answered the heartbeat with this sequence number.
-    pub fn answered(&mut self, now: Instant, peer: &str, sequence: u64) {
+    pub fn heartbeat_answered(&mut self, now: Instant, peer: &str, sequence: u64) {
         let limit = self.timing.misses_to_unresponsive;
         let Some(entry) = self.peers.get_mut(peer) else {
             return;
@@ -351,7 +351,7 @@
 
     /// Records that a heartbeat failed for certain, for example because the
     /// connection was refused.
-    pub fn failed(&mut self, peer: &str, sequence: u64) {
+    pub fn heartbeat_failed(&mut self, peer: &str, sequence: u64) {
         if let Some(entry) = self.peers.get_mut(peer) {
             entry.detector.failed(sequence);
         }
--- a/lib/src/ownership.rs
+++ b/lib/src/ownership.rs
@@ -124,15 +124,15 @@
 const HOLDER_SEPARATOR: char = '@';
 
 /// Returns the holder id of one incarnation of an instance, that is, of one run
-/// between start and exit. `life` is the number of the incarnation.
+/// between start and exit. `incarnation` is the number of the incarnation.
 ///
 /// A server grants a term again when the same holder repeats its fence request.
 /// A restarted instance has lost its term. If it had the same holder id as
 /// before, servers would grant it the old term again and it would promote a
 /// second primary in that term.
 #[must_use]
-pub fn holder_id(instance: &str, life: &str) -> HolderId {
-    format!("{instance}{HOLDER_SEPARATOR}{life}").into()
+pub fn holder_id(instance: &str, incarnation: &str) -> HolderId {
+    format!("{instance}{HOLDER_SEPARATOR}{incarnation}").into()
 }
 
 fn instance_of(holder: &str) -> &str {
--- a/lib/src/peer_contact.rs
+++ b/lib/src/peer_contact.rs
@@ -45,16 +45,16 @@
 
 /// Reachability of another instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Contact {
+pub enum Reachability {
     /// The instance is presumed reachable and can get statements.
-    Heard,
+    Reachable,
     /// Another instance recently became unreachable, and this one has answered
     /// nothing sent since then, or nothing sent within the last second. It must
     /// answer a liveness check before it gets a statement.
     Unverified,
     /// The instance is unreachable: it did not answer the last request or liveness
     /// check in time.
-    Silent,
+    Unreachable,
 }
 
 /// State of one peer.
@@ -79,7 +79,7 @@
 impl PeerContacts {
     /// Records that a peer answered a message sent at `asked_at`. Returns whether
     /// the peer was unreachable before.
-    pub fn heard(&mut self, asked_at: Moment, id: &InstanceId) -> bool {
+    pub fn record_answer(&mut self, asked_at: Moment, id: &InstanceId) -> bool {
         let known = self.peers.entry(id.clone()).or_default();
         known.answered_sent_at = known.answered_sent_at.max(asked_at);
         std::mem::take(&mut known.unreachable)
@@ -87,7 +87,7 @@
 
     /// Records that a peer did not answer a message sent at `asked_at`. Returns
     /// whether this makes the peer unreachable.
-    pub fn missed(&mut self, now: Moment, asked_at: Moment, id: &InstanceId) -> bool {
+    pub fn record_no_answer(&mut self, now: Moment, asked_at: Moment, id: &InstanceId) -> bool {
         let known = self.peers.entry(id.clone()).or_default();
         // The peer has answered a later message.
         if known.answered_sent_at > asked_at {
@@ -107,25 +107,25 @@
 
     /// Returns the reachability of a peer.
     #[must_use]
-    pub fn contact(&self, now: Moment, id: &InstanceId) -> Contact {
+    pub fn reachability(&self, now: Moment, id: &InstanceId) -> Reachability {
         let known = self.peers.get(id).copied().unwrap_or_default();
         if known.unreachable {
-            return Contact::Silent;
+            return Reachability::Unreachable;
         }
         let suspicion = self.suspicion.filter(|(_, until)| *until > now);
         let Some((since, _)) = suspicion else {
-            return Contact::Heard;
+            return Reachability::Reachable;
         };
         if known.answered_sent_at >= since && known.answered_sent_at + LIVENESS_VALIDITY > now {
-            return Contact::Heard;
+            return Reachability::Reachable;
         }
-        Contact::Unverified
+        Reachability::Unverified
     }
 
     /// Whether a liveness check of a peer is due. If so, it counts as sent at `now`.
     /// No check is due for a peer that is presumed reachable.
     pub fn take_due_liveness_check(&mut self, now: Moment, id: &InstanceId) -> bool {
-        if self.contact(now, id) == Contact::Heard {
+        if self.reachability(now, id) == Reachability::Reachable {
             return false;
         }
         let known = self.peers.entry(id.clone()).or_default();
--- a/lib/src/primary_lease.rs
+++ b/lib/src/primary_lease.rs
@@ -145,7 +145,7 @@
 pub struct Promise {
     /// Instances that hold an earlier grant of the voter, with the time until the
     /// grant expires.
-    pub given: Vec<(InstanceId, Duration)>,
+    pub unexpired_grants: Vec<(InstanceId, Duration)>,
 }
 
 impl Default for PrimaryLease {
@@ -379,40 +379,40 @@
         self.highest_token = self.highest_token.max(token);
     }
 
-    /// Promises to neither use nor grant the term of `ending` and those before it, so
+    /// Promises to neither use nor grant the term of `request` and those before it, so
     /// that the successor can be promoted.
     ///
     /// # Errors
     ///
     /// Returns an [`Objection`] if another replacement may be in progress or has
     /// completed, or if the store may have lost the order.
-    pub fn promise(&mut self, now: Moment, ending: &RetireRequest) -> Result<Promise, Objection> {
-        self.note_era(ending.written_era.unwrap_or_default());
-        if self.used > ending.term {
+    pub fn promise(&mut self, now: Moment, request: &RetireRequest) -> Result<Promise, Objection> {
+        self.note_era(request.written_era.unwrap_or_default());
+        if self.used > request.term {
             return Err(Objection::LaterTerm(self.used));
         }
-        if self.highest_token > ending.token {
+        if self.highest_token > request.token {
             return Err(Objection::HigherToken(self.highest_token));
         }
-        if ending.written_era.is_some_and(|era| era < self.era) {
+        if request.written_era.is_some_and(|era| era < self.era) {
             return Err(Objection::LaterEra(self.era));
         }
         self.voted.retain(|voted| {
-            voted.voted_at + ORDER_OUTSTANDING > now && voted.token != ending.withdrawn
+            voted.voted_at + ORDER_OUTSTANDING > now && voted.token != request.withdrawn
         });
         // If the platform carried out that earlier order later, it would undo the
         // promotion that is being prepared.
-        if let Some(other) = self.voted.iter().find(|voted| voted.successor != ending.successor) {
+        if let Some(other) = self.voted.iter().find(|voted| voted.successor != request.successor) {
             return Err(Objection::OtherSuccessor(other.successor.clone()));
         }
-        self.highest_token = ending.token;
-        self.retired = self.retired.max(ending.term);
-        self.voted.retain(|voted| voted.token != ending.token);
-        let (token, successor) = (ending.token, ending.successor.clone());
+        self.highest_token = request.token;
+        self.retired = self.retired.max(request.term);
+        self.voted.retain(|voted| voted.token != request.token);
+        let (token, successor) = (request.token, request.successor.clone());
         self.voted.push(VotedOrder { token, successor, voted_at: now });
         let unexpired = self.granted_until.iter().filter(|(_, until)| **until > now);
-        let given = unexpired.map(|(id, until)| (id.clone(), until.saturating_sub(now)));
-        Ok(Promise { given: given.collect() })
+        let unexpired_grants = unexpired.map(|(id, until)| (id.clone(), until.saturating_sub(now)));
+        Ok(Promise { unexpired_grants: unexpired_grants.collect() })
     }
 
     /// Records that the order under `token` was carried out or never will be.
@@ -422,7 +422,7 @@
 
     /// Records that the instance needs the lease on `term` now. Returns whether it
     /// holds it.
-    pub fn want(&mut self, now: Moment, term: Term) -> bool {
+    pub fn note_needed(&mut self, now: Moment, term: Term) -> bool {
         if self.holds(now, term) {
             self.missing_since = None;
             return true;
@@ -484,7 +484,7 @@
         if !self.promised.contains(id) {
             self.promised.push(id.clone());
         }
-        for (to, lasting) in promise.given {
+        for (to, lasting) in promise.unexpired_grants {
             let until = self.granted_until.entry(to).or_default();
             *until = (*until).max(now + lasting);
         }
--- a/lib/src/quota.rs
+++ b/lib/src/quota.rs
@@ -167,7 +167,7 @@
 impl QuotaCounters {
     /// Handles the request of an entry instance for `wanted` operations of an account.
     /// Grants at least one operation if a token is left, and at most `wanted`.
-    pub fn ask(
+    pub fn handle_request(
         &mut self,
         now: Moment,
         id: &AccountId,
@@ -235,7 +235,7 @@
     /// The operation may start.
     Admitted,
     /// The instance has to request this many operations from the keeper.
-    Ask(u32),
+    RequestFromKeeper(u32),
     /// The account is at its limit.
     Refused {
         /// Time after which the operation can be sent again.
@@ -281,7 +281,7 @@
             let retry_after = self.exhausted_until.saturating_sub(now);
             return Admission::Refused { retry_after };
         }
-        Admission::Ask(self.wanted())
+        Admission::RequestFromKeeper(self.wanted())
     }
 
     fn observe(&mut self, now: Moment) {
--- a/lib/src/received_statements.rs
+++ b/lib/src/received_statements.rs
@@ -40,7 +40,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeliveryState {
     /// It is running, or it is unknown whether it has run.
-    Open,
+    Unresolved,
     /// It has run, and its answer has been sent.
     Ended,
     /// It had not arrived and will not run.
@@ -91,10 +91,10 @@
     ) -> DeliveryState {
         match self.states.get(&ticket) {
             Some(State::Withdrawn { .. }) => DeliveryState::Withdrawn,
-            Some(State::Running) => DeliveryState::Open,
+            Some(State::Running) => DeliveryState::Unresolved,
             Some(State::Ended { .. }) => DeliveryState::Ended,
             None if sent_ago > MAX_WITHDRAWAL_AGE || self.started_at + sent_ago > now => {
-                DeliveryState::Open
+                DeliveryState::Unresolved
             }
             None => {
                 self.states.insert(ticket, State::Withdrawn { at: now });
--- a/lib/src/server_choice.rs
+++ b/lib/src/server_choice.rs
@@ -49,7 +49,7 @@
 
 /// Which accounts' connections can serve a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Owner {
+pub enum ConnectionOwner {
     /// Those of any account, for a request that runs no statement of a client.
     AnyAccount,
     /// Those of this account; `None` where clients have no accounts. A server executes
@@ -57,7 +57,7 @@
     Account(Option<AccountId>),
 }
 
-impl Owner {
+impl ConnectionOwner {
     /// Whether a connection of this account can serve the request.
     #[must_use]
     pub fn accepts(&self, account: Option<&AccountId>) -> bool {
--- a/lib/src/server_list.rs
+++ b/lib/src/server_list.rs
@@ -63,7 +63,7 @@
     }
 
     /// Adds or updates a server that is listed in `group`.
-    pub fn present(&mut self, group: GroupId, info: ServerInfo) {
+    pub fn upsert(&mut self, group: GroupId, info: ServerInfo) {
         let id = info.id.clone();
         let known = self.servers.get(&id);
         let before = known.map(|known| known.group.clone()).filter(|before| *before != group);
@@ -128,7 +128,7 @@
     fn replace_all(&mut self, now: Moment, listed: Vec<(GroupId, ServerInfo)>) {
         let ids: HashSet<_> = listed.iter().map(|(_, info)| info.id.clone()).collect();
         for (group, info) in listed {
-            self.present(group, info);
+            self.upsert(group, info);
         }
         let missing: Vec<_> =
             self.servers.keys().filter(|id| !ids.contains(*id)).cloned().collect();
--- a/lib/src/wait_queue.rs
+++ b/lib/src/wait_queue.rs
@@ -31,7 +31,7 @@
 /// Place of a request in the queue. The lowest is served first; requests of one rank
 /// are served in order of arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place {
+pub struct QueuePlace {
     rank: Rank,
     ticket: Ticket,
 }
@@ -39,7 +39,7 @@
 /// Waiting requests in order of service, each with an item of the caller.
 #[derive(Debug)]
 pub struct WaitQueue<T> {
-    waiting: BTreeMap<Place, T>,
+    waiting: BTreeMap<QueuePlace, T>,
     next_ticket: Ticket,
 }
 
@@ -51,32 +51,32 @@
 
 impl<T> WaitQueue<T> {
     /// Adds a request and returns its place.
-    pub fn push(&mut self, rank: Rank, item: T) -> Place {
-        let place = Place { rank, ticket: self.next_ticket };
+    pub fn push(&mut self, rank: Rank, item: T) -> QueuePlace {
+        let place = QueuePlace { rank, ticket: self.next_ticket };
         self.next_ticket += 1;
         self.waiting.insert(place, item);
         place
     }
 
     /// Removes a request. Returns `None` if it is no longer in the queue.
-    pub fn remove(&mut self, place: Place) -> Option<T> {
+    pub fn remove(&mut self, place: QueuePlace) -> Option<T> {
         self.waiting.remove(&place)
     }
 
     /// The request at a place; `None` if it is no longer in the queue.
     #[must_use]
-    pub fn get(&self, place: Place) -> Option<&T> {
+    pub fn get(&self, place: QueuePlace) -> Option<&T> {
         self.waiting.get(&place)
     }
 
     /// The waiting requests in order of service.
-    pub fn iter(&self) -> impl Iterator<Item = (Place, &T)> {
+    pub fn iter(&self) -> impl Iterator<Item = (QueuePlace, &T)> {
         self.waiting.iter().map(|(place, item)| (*place, item))
     }
 
     /// The waiting requests that are served before a new one of this rank.
     pub fn ahead_of(&self, rank: Rank) -> impl Iterator<Item = (Rank, &T)> {
-        let place = Place { rank, ticket: Ticket::MAX };
+        let place = QueuePlace { rank, ticket: Ticket::MAX };
         self.waiting.range(..place).map(|(place, item)| (place.rank, item))
     }
 
--- a/lib/tests/exploration/world.rs
+++ b/lib/tests/exploration/world.rs
@@ -137,7 +137,7 @@
     let instance = Instance::new(peer_info(index), &life, timing, OwnershipTiming::default());
     instance.configure(&configuration(), 1);
     let others = (0..INSTANCES).filter(|other| *other != index).map(peer_info);
-    instance.membership().learn(now, others);
+    instance.membership().add_peers(now, others);
     Node { instance, paused_until_ms: 0, unconfirmed: Vec::new(), handovers: 0, incarnation }
 }
 
--- a/lib/tests/lease_world/mod.rs
+++ b/lib/tests/lease_world/mod.rs
@@ -93,7 +93,7 @@
 enum Message {
     Heartbeat { from: usize, asked_ms: u64, term: Term, era: Era },
     Grant { from: usize, asked_ms: u64, retired: Term, era: Era },
-    TermEnd { from: usize, life: u64, ending: RetireRequest, planned: bool },
+    TermEnd { from: usize, life: u64, retire_request: RetireRequest, planned: bool },
     Promised { from: usize, life: u64, token: u64, reply: Result<Promise, Objection> },
     Settled { token: u64 },
     StoreRead { asked_ms: u64 },
@@ -465,15 +465,15 @@
                 let primary_lease = self.instances[to].group.primary_lease_mut();
                 primary_lease.granted(&instance_id(from), at(asked_ms), retired, era);
             }
-            Message::TermEnd { from, life, ending, planned } => {
+            Message::TermEnd { from, life, retire_request, planned } => {
                 let side = self.instances[to].side;
-                if !planned && self.servers.primary_answers(side, ending.term) {
+                if !planned && self.servers.primary_answers(side, retire_request.term) {
                     return;
                 }
-                let token = ending.token;
-                let reply = self.instances[to].group.retire(now, &ending);
+                let token = retire_request.token;
+                let reply = self.instances[to].group.retire(now, &retire_request);
                 if reply.is_ok() {
-                    self.record_promised_order(to, &ending);
+                    self.record_promised_order(to, &retire_request);
                 }
                 self.send_peer(to, from, Message::Promised { from: to, life, token, reply });
             }
@@ -539,13 +539,13 @@
     }
 
     /// Records the order that an instance promised, since a backup may lack it.
-    fn record_promised_order(&mut self, number: usize, ending: &RetireRequest) {
+    fn record_promised_order(&mut self, number: usize, retire_request: &RetireRequest) {
         let known = &mut self.instances[number].known_order;
-        if ending.token > known.token {
+        if retire_request.token > known.token {
             *known = StoredOrder {
-                token: ending.token,
-                target: number_of(&ending.successor),
-                term: ending.term + 1,
+                token: retire_request.token,
+                target: number_of(&retire_request.successor),
+                term: retire_request.term + 1,
                 holder: None,
                 ..known.clone()
             };
@@ -770,7 +770,7 @@
 
     fn request_promises(&mut self, number: usize, replacement: &Replacement, others: &[usize]) {
         let (life, planned) = (self.instances[number].life, replacement.planned);
-        let ending = RetireRequest {
+        let retire_request = RetireRequest {
             term: replacement.term,
             token: replacement.token,
             successor: server_id(replacement.target),
@@ -778,8 +778,8 @@
             written_era: replacement.written.map(|written| written.era),
         };
         for other in others {
-            let ending = ending.clone();
-            let message = Message::TermEnd { from: number, life, ending, planned };
+            let retire_request = retire_request.clone();
+            let message = Message::TermEnd { from: number, life, retire_request, planned };
             if *other == number {
                 self.send(number, message);
             } else {
--- a/lib/tests/quota_simulation/mod.rs
+++ b/lib/tests/quota_simulation/mod.rs
@@ -231,7 +231,7 @@
         if self.instances[index].fleet_known {
             let me = &mut self.instances[index];
             for record in listed {
-                me.fleet.present(now, record);
+                me.fleet.upsert(now, record);
             }
             me.fleet.forget_unlisted(now);
             return;
@@ -370,7 +370,7 @@
         if self.without == Some(Rule::OneVotePerVoter) {
             self.instances[to].votes = Votes::new(Moment::ZERO);
         }
-        let vote = self.instances[to].votes.ask(self.now, SHARD, candidate);
+        let vote = self.instances[to].votes.handle_vote_request(self.now, SHARD, candidate);
         let answer_lost = from != to && self.rng.random_bool(0.02);
         if answer_lost {
             return;
@@ -395,7 +395,7 @@
         let admitted = match self.instances[index].allowance.admit(self.now) {
             Admission::Admitted => true,
             Admission::Refused { .. } => false,
-            Admission::Ask(wanted) => self.ask_keeper(index, &account, wanted),
+            Admission::RequestFromKeeper(wanted) => self.ask_keeper(index, &account, wanted),
         };
         if admitted {
             self.record_started();
@@ -422,7 +422,7 @@
             quota.initial_burst = LIMIT.burst * 2.0;
             quota.limit.burst = quota.initial_burst;
         }
-        let answer = self.instances[keeper].counters.ask(now, account, quota, wanted);
+        let answer = self.instances[keeper].counters.handle_request(now, account, quota, wanted);
         let allowance = &mut self.instances[index].allowance;
         match answer {
             QuotaAnswer::Granted(count) => {
--- a/lib/tests/test_ownership.rs
+++ b/lib/tests/test_ownership.rs
@@ -14,12 +14,12 @@
 use chervilwharf_lib::ownership_types::TakeCause;
 use chervilwharf_lib::position::Position;
 
-fn new_ownership(life: &str) -> Ownership {
+fn new_ownership(incarnation: &str) -> Ownership {
     let server =
         |id: &str| GroupServer { id: id.into(), failure_domain: "domain".into(), leaving: false };
     Ownership::new(
         "entry-1".into(),
-        ownership::holder_id("entry-1", life),
+        ownership::holder_id("entry-1", incarnation),
         "domain".into(),
         "db".into(),
         vec![server("a"), server("b"), server("c")],
--- a/lib/tests/test_peer_contact.rs
+++ b/lib/tests/test_peer_contact.rs
@@ -14,10 +14,10 @@
 use chervilwharf_lib::id::GroupId;
 use chervilwharf_lib::id::InstanceId;
 use chervilwharf_lib::moment::Moment;
-use chervilwharf_lib::peer_contact::Contact;
 use chervilwharf_lib::peer_contact::LIVENESS_CHECK_AFTER;
 use chervilwharf_lib::peer_contact::LIVENESS_TIMEOUT;
 use chervilwharf_lib::peer_contact::PeerContacts;
+use chervilwharf_lib::peer_contact::Reachability;
 use rand::Rng;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -33,29 +33,29 @@
 #[test]
 fn test_instance_is_presumed_reachable_until_another_is_unreachable() {
     let mut peer_contacts = PeerContacts::default();
-    assert_eq!(peer_contacts.contact(at(0), &id("a")), Contact::Heard);
-    peer_contacts.heard(at(900), &id("b"));
-    assert!(peer_contacts.missed(at(1_100), at(1_000), &id("a")));
-    assert_eq!(peer_contacts.contact(at(1_100), &id("a")), Contact::Silent);
+    assert_eq!(peer_contacts.reachability(at(0), &id("a")), Reachability::Reachable);
+    peer_contacts.record_answer(at(900), &id("b"));
+    assert!(peer_contacts.record_no_answer(at(1_100), at(1_000), &id("a")));
+    assert_eq!(peer_contacts.reachability(at(1_100), &id("a")), Reachability::Unreachable);
     // Its last answer is older than the message that "a" did not answer, so it does
     // not prove that "b" is still reachable.
-    assert_eq!(peer_contacts.contact(at(1_100), &id("b")), Contact::Unverified);
-    peer_contacts.heard(at(1_150), &id("b"));
-    assert_eq!(peer_contacts.contact(at(1_160), &id("b")), Contact::Heard);
+    assert_eq!(peer_contacts.reachability(at(1_100), &id("b")), Reachability::Unverified);
+    peer_contacts.record_answer(at(1_150), &id("b"));
+    assert_eq!(peer_contacts.reachability(at(1_160), &id("b")), Reachability::Reachable);
     // After the suspicion period, all but the unreachable instance are presumed
     // reachable.
-    assert_eq!(peer_contacts.contact(at(9_000), &id("c")), Contact::Heard);
-    assert_eq!(peer_contacts.contact(at(9_000), &id("a")), Contact::Silent);
+    assert_eq!(peer_contacts.reachability(at(9_000), &id("c")), Reachability::Reachable);
+    assert_eq!(peer_contacts.reachability(at(9_000), &id("a")), Reachability::Unreachable);
 }
 
 #[test]
 fn test_unreachable_instance_is_checked_again_until_it_answers() {
     let mut peer_contacts = PeerContacts::default();
-    peer_contacts.missed(at(1_000), at(900), &id("a"));
+    peer_contacts.record_no_answer(at(1_000), at(900), &id("a"));
     assert!(!peer_contacts.take_due_liveness_check(at(1_100), &id("a")), "it was checked just now");
     assert!(peer_contacts.take_due_liveness_check(at(1_500), &id("a")));
     assert!(!peer_contacts.take_due_liveness_check(at(1_501), &id("a")));
-    assert!(peer_contacts.heard(at(1_502), &id("a")), "it was silent");
+    assert!(peer_contacts.record_answer(at(1_502), &id("a")), "it was silent");
     assert!(!peer_contacts.take_due_liveness_check(at(2_500), &id("a")));
 }
 
@@ -64,12 +64,17 @@
 #[test]
 fn test_instance_that_answered_since_is_not_unreachable() {
     let mut peer_contacts = PeerContacts::default();
-    peer_contacts.heard(at(1_050), &id("a"));
-    assert!(!peer_contacts.missed(at(1_100), at(1_000), &id("a")));
-    assert_ne!(peer_contacts.contact(at(1_100), &id("a")), Contact::Silent);
+    peer_contacts.record_answer(at(1_050), &id("a"));
+    assert!(!peer_contacts.record_no_answer(at(1_100), at(1_000), &id("a")));
+    assert_ne!(peer_contacts.reachability(at(1_100), &id("a")), Reachability::Unreachable);
 }
 
-fn candidate(name: &str, contact: Contact, recently_refused: bool, near: bool) -> Candidate {
+fn candidate(
+    name: &str,
+    reachability: Reachability,
+    recently_refused: bool,
+    near: bool,
+) -> Candidate {
     let record = InstanceRecord {
         id: name.into(),
         life: 1,
@@ -77,15 +82,15 @@
         failure_domain: "a".into(),
         capacity_millicores: 120,
     };
-    Candidate { record, contact, recently_refused, near }
+    Candidate { record, reachability, recently_refused, near }
 }
 
 #[test]
 fn test_far_holder_that_can_serve_is_preferred_to_near_ones_that_cannot() {
     let candidates = [
-        candidate("silent", Contact::Silent, false, true),
-        candidate("unable", Contact::Heard, true, true),
-        candidate("able", Contact::Heard, false, false),
+        candidate("silent", Reachability::Unreachable, false, true),
+        candidate("unable", Reachability::Reachable, true, true),
+        candidate("able", Reachability::Reachable, false, false),
     ];
     for key in 0..5 {
         assert_eq!(
@@ -175,12 +180,12 @@
         is_on_larger_side(id) == is_on_larger_side(&self.record.id)
     }
 
-    fn contact(&self, method: DetectionMethod, id: &InstanceId) -> Contact {
+    fn reachability(&self, method: DetectionMethod, id: &InstanceId) -> Reachability {
         match method {
-            DetectionMethod::ByLivenessCheck => self.peer_contacts.contact(self.now, id),
+            DetectionMethod::ByLivenessCheck => self.peer_contacts.reachability(self.now, id),
             DetectionMethod::ByStatement => match self.forgotten_at.get(id) {
-                Some(until) if *until > self.now => Contact::Silent,
-                _ => Contact::Heard,
+                Some(until) if *until > self.now => Reachability::Unreachable,
+                _ => Reachability::Reachable,
             },
         }
     }
@@ -194,7 +199,7 @@
         let untried = holders.iter().filter(|record| !tried.contains(&record.id));
         let others = untried.filter(|record| record.id != self.record.id);
         let candidate = |record: &InstanceRecord| Candidate {
-            contact: self.contact(method, &record.id),
+            reachability: self.reachability(method, &record.id),
             recently_refused: false,
             near: record.failure_domain == self.record.failure_domain,
             record: record.clone(),
@@ -208,9 +213,9 @@
         let reached = checked.iter().any(|id| self.reaches(id));
         for id in checked {
             if self.reaches(id) {
-                self.peer_contacts.heard(self.now, id);
+                self.peer_contacts.record_answer(self.now, id);
             } else {
-                self.peer_contacts.missed(self.now + LIVENESS_TIMEOUT, self.now, id);
+                self.peer_contacts.record_no_answer(self.now + LIVENESS_TIMEOUT, self.now, id);
             }
         }
         if !checked.is_empty() {
@@ -229,12 +234,12 @@
                 return false;
             };
             let id = chosen.record.id.clone();
-            match (method, chosen.contact) {
-                (DetectionMethod::ByLivenessCheck, Contact::Unverified) => {
+            match (method, chosen.reachability) {
+                (DetectionMethod::ByLivenessCheck, Reachability::Unverified) => {
                     let all: Vec<_> = candidates.iter().map(|c| c.record.id.clone()).collect();
                     self.check_liveness(&all);
                 }
-                (DetectionMethod::ByLivenessCheck, Contact::Silent) => {
+                (DetectionMethod::ByLivenessCheck, Reachability::Unreachable) => {
                     let now = self.now;
                     let ids = candidates.iter().map(|c| c.record.id.clone());
                     let due: Vec<_> = ids
@@ -245,7 +250,7 @@
                     }
                 }
                 _ if self.reaches(&id) => {
-                    self.peer_contacts.heard(self.now, &id);
+                    self.peer_contacts.record_answer(self.now, &id);
                     self.now += ROUND_TRIP + SERVICE;
                     return true;
                 }
@@ -267,7 +272,7 @@
             }
             DetectionMethod::ByLivenessCheck => {
                 self.now += LIVENESS_CHECK_AFTER + LIVENESS_TIMEOUT;
-                self.peer_contacts.missed(self.now, sent_at, id);
+                self.peer_contacts.record_no_answer(self.now, sent_at, id);
             }
         }
     }
@@ -344,7 +349,7 @@
         // An unreachable home holder is not chosen.
         let mut silent = holders.clone();
         for candidate in silent.iter_mut().filter(|other| other.record.id == at_home) {
-            candidate.contact = Contact::Silent;
+            candidate.reachability = Reachability::Unreachable;
         }
         assert_ne!(home(&silent, &account), at_home);
     }
@@ -360,5 +365,5 @@
         failure_domain: "a".into(),
         capacity_millicores: 120,
     };
-    Candidate { record, contact: Contact::Heard, recently_refused: false, near }
+    Candidate { record, reachability: Reachability::Reachable, recently_refused: false, near }
 }
--- a/lib/tests/test_received_statements.rs
+++ b/lib/tests/test_received_statements.rs
@@ -31,7 +31,7 @@
 fn test_statement_that_arrived_is_not_withdrawn() {
     let mut received = ReceivedStatements::new(START);
     assert!(received.begin(after(1), TICKET));
-    assert_eq!(received.withdraw(after(2), TICKET, SENT_AGO), DeliveryState::Open);
+    assert_eq!(received.withdraw(after(2), TICKET, SENT_AGO), DeliveryState::Unresolved);
     received.end(after(3), TICKET);
     assert!(received.begin(after(9), TICKET + 1), "another statement arrives meanwhile");
     assert_eq!(received.withdraw(after(9), TICKET, Duration::from_secs(8)), DeliveryState::Ended);
@@ -43,7 +43,7 @@
 fn test_statement_of_unknown_state_is_not_withdrawn() {
     let mut received = ReceivedStatements::new(START);
     let before_start = received.withdraw(after(1), TICKET, Duration::from_secs(2));
-    assert_eq!(before_start, DeliveryState::Open);
+    assert_eq!(before_start, DeliveryState::Unresolved);
     let forgotten = received.withdraw(after(100), TICKET, Duration::from_secs(9));
-    assert_eq!(forgotten, DeliveryState::Open);
+    assert_eq!(forgotten, DeliveryState::Unresolved);
 }
--- a/lib/tests/test_replacement.rs
+++ b/lib/tests/test_replacement.rs
@@ -60,7 +60,7 @@
 }
 
 const NONE_REACHES: PeerReports =
-    PeerReports { reached: 0, failed: 5, unknown: 0, silent: 0, replacing: false };
+    PeerReports { reached: 0, failed: 5, unknown: 0, unresponsive: 0, replacing: false };
 
 /// Lets every probe of the primary fail until the other instances are asked. Returns the
 /// time in milliseconds.
@@ -88,7 +88,7 @@
     let (mut watch, mut group) = (LeaderWatch::default(), group(false));
     group.observe_failure(at(1_000), &id("p"));
     let asked_ms = until_asked(&mut watch, &mut group, 1_000);
-    watch.heard(at(asked_ms + 5), Some(&id("p")), NONE_REACHES);
+    watch.record_reports(at(asked_ms + 5), Some(&id("p")), NONE_REACHES);
     let actions = watch.tick(at(asked_ms + 10), &group, Some(0));
     assert_eq!(replaces(&actions), Some(ReplaceReason::Unreachable));
     assert!(asked_ms < 2_000, "asked after {asked_ms} ms");
@@ -101,7 +101,7 @@
     // 250 ms to fail; the probe that the statement caused did not count as a failed one.
     let (mut watch, mut group) = (LeaderWatch::default(), group(false));
     group.observe_answer(at(900), &id("p"), None);
-    let first = watch.suspected(at(1_000), &group);
+    let first = watch.suspect_primary(at(1_000), &group);
     assert_eq!(first, Some(WatchAction::Probe(id("p"))));
     let mut failing_at = vec![1_250];
     for ms in (1_000..1_400).step_by(10) {
@@ -143,7 +143,7 @@
     // Guards against endless probes of a primary that was only slow. A statement took long,
     // and the answer to the following probe did not end the suspicion.
     let (mut watch, mut group) = (LeaderWatch::default(), group(false));
-    watch.suspected(at(1_000), &group);
+    watch.suspect_primary(at(1_000), &group);
     group.observe_answer(at(1_020), &id("p"), None);
     for ms in (1_030..3_000).step_by(10) {
         let actions = watch.tick(at(ms), &group, Some(0));
@@ -162,7 +162,7 @@
     let reports = PeerReports { reached: 1, failed: 4, ..PeerReports::default() };
     for round in 0..20 {
         let ms = asked_ms + round * 200;
-        watch.heard(at(ms), Some(&id("p")), reports);
+        watch.record_reports(at(ms), Some(&id("p")), reports);
         assert_eq!(replaces(&watch.tick(at(ms + 1), &group, Some(0))), None);
     }
 }
@@ -195,11 +195,11 @@
     // eight instances without a primary for four seconds. A partition separated the primary
     // and five instances from its replicas and the other three, which counted the five
     // unreachable instances as votes for the replacement.
-    let minority = PeerReports { failed: 2, silent: 5, ..PeerReports::default() };
+    let minority = PeerReports { failed: 2, unresponsive: 5, ..PeerReports::default() };
     assert!(!should_replace(minority, 9, false));
-    let half = PeerReports { failed: 2, silent: 3, ..PeerReports::default() };
+    let half = PeerReports { failed: 2, unresponsive: 3, ..PeerReports::default() };
     assert!(!should_replace(half, 9, false));
-    let majority = PeerReports { failed: 4, silent: 3, ..PeerReports::default() };
+    let majority = PeerReports { failed: 4, unresponsive: 3, ..PeerReports::default() };
     assert!(should_replace(majority, 9, false));
     // In a lasting suspicion, unresponsive instances count as failed.
     assert!(should_replace(minority, 9, true));
@@ -211,14 +211,15 @@
 /// that they are too few to promote.
 #[test]
 fn test_primary_beyond_a_partition_is_given_up_until_it_answers() {
-    let minority = PeerReports { reached: 0, failed: 1, unknown: 0, silent: 6, replacing: false };
+    let minority =
+        PeerReports { reached: 0, failed: 1, unknown: 0, unresponsive: 6, replacing: false };
     let mut watch = LeaderWatch::default();
     let mut group = group(false);
     group.observe_failure(at(0), &id("p"));
     let ms = until_asked(&mut watch, &mut group, 0);
-    watch.heard(at(ms), Some(&id("p")), minority);
+    watch.record_reports(at(ms), Some(&id("p")), minority);
     assert_eq!(watch.out_of_reach(), None, "one round may be lost");
-    watch.heard(at(ms + 200), Some(&id("p")), minority);
+    watch.record_reports(at(ms + 200), Some(&id("p")), minority);
     assert_eq!(watch.out_of_reach(), Some(&id("p")));
     assert!(group.set_out_of_reach(watch.out_of_reach()), "first report");
     assert!(!group.set_out_of_reach(watch.out_of_reach()), "repeated report");
@@ -230,9 +231,10 @@
 /// A primary that can be reached or replaced, or that is being replaced, is waited for.
 #[test]
 fn test_primary_that_can_be_replaced_or_reached_is_not_given_up() {
-    let minority = PeerReports { reached: 0, failed: 1, unknown: 0, silent: 6, replacing: false };
+    let minority =
+        PeerReports { reached: 0, failed: 1, unknown: 0, unresponsive: 6, replacing: false };
     let waited_for = [
-        PeerReports { failed: 6, silent: 1, ..minority },
+        PeerReports { failed: 6, unresponsive: 1, ..minority },
         PeerReports { reached: 1, ..minority },
         PeerReports { unknown: 1, ..minority },
         PeerReports { replacing: true, ..minority },
@@ -243,7 +245,7 @@
         group.observe_failure(at(0), &id("p"));
         let ms = until_asked(&mut watch, &mut group, 0);
         for round in 0..3 {
-            watch.heard(at(ms + 200 * round), Some(&id("p")), reports);
+            watch.record_reports(at(ms + 200 * round), Some(&id("p")), reports);
         }
         assert_eq!(watch.out_of_reach(), None, "{reports:?}");
     }
@@ -254,7 +256,7 @@
     let (mut watch, mut group) = (LeaderWatch::default(), group(false));
     group.observe_failure(at(0), &id("p"));
     let asked_ms = until_asked(&mut watch, &mut group, 0);
-    watch.heard(at(asked_ms), Some(&id("p")), NONE_REACHES);
+    watch.record_reports(at(asked_ms), Some(&id("p")), NONE_REACHES);
     assert_eq!(replaces(&watch.tick(at(asked_ms + 1), &group, Some(1))), None);
     assert!(replaces(&watch.tick(at(asked_ms + 800), &group, Some(1))).is_some());
     assert_eq!(replaces(&watch.tick(at(asked_ms + 5_000), &group, None)), None);
@@ -268,14 +270,14 @@
     let (mut watch, mut group) = (LeaderWatch::default(), group(false));
     group.observe_failure(at(0), &id("p"));
     let asked_ms = until_asked(&mut watch, &mut group, 0);
-    watch.heard(at(asked_ms), Some(&id("p")), NONE_REACHES);
+    watch.record_reports(at(asked_ms), Some(&id("p")), NONE_REACHES);
     watch.replacing(at(asked_ms));
-    watch.step_back(at(asked_ms + 10));
+    watch.defer_replacement(at(asked_ms + 10));
     watch.replacement_failed(at(asked_ms + 10));
     assert_eq!(replaces(&watch.tick(at(asked_ms + 3_000), &group, Some(0))), None);
     let mut next = LeaderWatch::default();
     let next_asked_ms = until_asked(&mut next, &mut group, 0);
-    next.heard(at(next_asked_ms), Some(&id("p")), NONE_REACHES);
+    next.record_reports(at(next_asked_ms), Some(&id("p")), NONE_REACHES);
     assert!(replaces(&next.tick(at(next_asked_ms + 700), &group, Some(1))).is_some());
     assert!(replaces(&watch.tick(at(asked_ms + 4_000), &group, Some(0))).is_some());
 }
@@ -286,7 +288,7 @@
     group.observe_failure(at(0), &id("p"));
     let asked_ms = until_asked(&mut watch, &mut group, 0);
     let replacing = PeerReports { replacing: true, ..NONE_REACHES };
-    watch.heard(at(asked_ms), Some(&id("p")), replacing);
+    watch.record_reports(at(asked_ms), Some(&id("p")), replacing);
     assert_eq!(replaces(&watch.tick(at(asked_ms + 2_000), &group, Some(0))), None);
     assert!(replaces(&watch.tick(at(asked_ms + 2_600), &group, Some(0))).is_some());
 }
@@ -326,7 +328,7 @@
     for ms in (0..12_000).step_by(100) {
         let actions = watch.tick(at(ms), &group, Some(0));
         if asks(&actions) {
-            watch.heard(at(ms), None, unknown);
+            watch.record_reports(at(ms), None, unknown);
         }
         if let Some(reason) = replaces(&actions) {
             replaced_at.get_or_insert((ms, reason));
@@ -365,11 +367,11 @@
 
 #[test]
 fn test_holder_comes_first_and_the_order_is_the_same_everywhere() {
-    let staying: Vec<InstanceId> = ["a", "b", "c", "d"].map(Into::into).to_vec();
-    let mut reversed = staying.clone();
+    let eligible: Vec<InstanceId> = ["a", "b", "c", "d"].map(Into::into).to_vec();
+    let mut reversed = eligible.clone();
     reversed.reverse();
     let holder: InstanceId = "c".into();
-    let order = duty::succession(&"db".into(), Some(&holder), &staying);
+    let order = duty::succession(&"db".into(), Some(&holder), &eligible);
     assert_eq!(order, duty::succession(&"db".into(), Some(&holder), &reversed));
     assert_eq!(order[0], holder);
     assert_eq!(order.len(), 4);
--- a/lib/tests/test_replacement_exploration.rs
+++ b/lib/tests/test_replacement_exploration.rs
@@ -223,7 +223,7 @@
         let now = self.now();
         for other in (0..INSTANCES).filter(|other| *other != instance) {
             if self.instance_side[other] != self.instance_side[instance] {
-                reports.silent += 1;
+                reports.unresponsive += 1;
                 continue;
             }
             // An instance reports whether it is replacing the primary.
@@ -239,7 +239,7 @@
                 None => reports.unknown += 1,
             }
         }
-        self.instances[instance].watch.heard(now, leader, reports);
+        self.instances[instance].watch.record_reports(now, leader, reports);
     }
 
     fn replace(&mut self, instance: usize, from: Option<&TargetId>) {
@@ -340,12 +340,12 @@
             if let Some(number) = (0..SERVERS).find(|n| leader == Some(server_id(*n))) {
                 self.probe(instance, number);
             }
-            let staying: Vec<_> = (0..INSTANCES)
+            let eligible: Vec<_> = (0..INSTANCES)
                 .filter(|other| self.instance_side[*other] == self.instance_side[instance])
                 .map(instance_id)
                 .collect();
             let holder = self.duty.as_ref().map(|duty| duty.holder.clone());
-            let order = duty::succession(&"db".into(), holder.as_ref(), &staying);
+            let order = duty::succession(&"db".into(), holder.as_ref(), &eligible);
             let rank = order.iter().position(|id| *id == instance_id(instance));
             let now = self.now();
             let me = &mut self.instances[instance];
--- a/lib/tests/test_server_queue.rs
+++ b/lib/tests/test_server_queue.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use chervilwharf_lib::concurrency::ConcurrencyLimit;
-use chervilwharf_lib::waits;
+use chervilwharf_lib::statement_timing;
 
 /// Statements that the server executes at the same time.
 const SLOTS: usize = 3;
@@ -76,7 +76,7 @@
         };
         self.now = ends_at;
         let took = ends_at.saturating_sub(sent_at);
-        let slow_threshold = waits::slow_threshold(OBJECTIVE);
+        let slow_threshold = statement_timing::slow_threshold(OBJECTIVE);
         let others = self.running[instance] - 1;
         self.limits[instance].answered(ends_at, others, took, slow_threshold);
         self.running[instance] -= 1;
--- a/lib/tests/test_session_parts.rs
+++ b/lib/tests/test_session_parts.rs
@@ -26,13 +26,13 @@
 fn test_connection_is_reset_only_for_values_that_cannot_be_replaced() {
     let mut connection_setup = ConnectionSetup::default();
     let both = values(&[("a", "1"), ("b", "2")]);
-    assert_eq!(connection_setup.adapt(&both, None).len(), 2);
-    assert!(connection_setup.adapt(&both, None).is_empty());
+    assert_eq!(connection_setup.begin_setup(&both, None).len(), 2);
+    assert!(connection_setup.begin_setup(&both, None).is_empty());
     let changed = values(&[("a", "9"), ("b", "2")]);
     let expected = Statement::Set { name: "a".into(), value: "9".into() };
-    assert_eq!(connection_setup.adapt(&changed, None), [expected]);
+    assert_eq!(connection_setup.begin_setup(&changed, None), [expected]);
     let fewer = values(&[("a", "9")]);
-    assert_eq!(connection_setup.adapt(&fewer, None)[0], Statement::Reset);
+    assert_eq!(connection_setup.begin_setup(&fewer, None)[0], Statement::Reset);
 }
 
 #[test]
@@ -42,9 +42,9 @@
     // with "no such name".
     let mut connection_setup = ConnectionSetup::default();
     let read = shape(Access::Read, "q");
-    connection_setup.adapt(&values(&[("a", "1")]), Some(&read));
-    assert!(connection_setup.adapt(&values(&[("a", "1")]), Some(&read)).is_empty());
-    let steps = connection_setup.adapt(&values(&[]), Some(&read));
+    connection_setup.begin_setup(&values(&[("a", "1")]), Some(&read));
+    assert!(connection_setup.begin_setup(&values(&[("a", "1")]), Some(&read)).is_empty());
+    let steps = connection_setup.begin_setup(&values(&[]), Some(&read));
     assert!(matches!(steps[..], [Statement::Reset, Statement::Prepare { .. }]));
 }
 
@@ -59,7 +59,7 @@
 }
 
 quickcheck! {
-    /// After `adapt`, a connection has exactly the values of the current session,
+    /// After `begin_setup`, a connection has exactly the values of the current session,
     /// whatever sessions used it before.
     fn prop_adapted_connection_has_exactly_the_session_values(
         sessions: Vec<Vec<(u8, u8)>>
@@ -73,9 +73,9 @@
                     ((name % 4).to_string().into(), (value % 3).to_string().into())
                 })
                 .collect();
-            let distance = connection_setup.distance(&wanted, None);
-            let steps = connection_setup.adapt(&wanted, None);
-            if distance != steps.len() {
+            let setup_cost = connection_setup.setup_cost(&wanted, None);
+            let steps = connection_setup.begin_setup(&wanted, None);
+            if setup_cost != steps.len() {
                 return false;
             }
             for step in steps {
@@ -121,11 +121,11 @@
     // write them again within two seconds after it. If the list dropped a server with
     // its entry, no server would be left for seconds although all are running.
     let mut list = ServerList::default();
-    list.present("db".into(), server("s", false));
+    list.upsert("db".into(), server("s", false));
     list.replace(at(1_000), revision(1), Vec::new());
     assert!(list.drop_missing(at(3_000)));
     assert_eq!(list.take_changed()["db"].len(), 1);
-    list.present("db".into(), server("s", false));
+    list.upsert("db".into(), server("s", false));
     assert!(!list.drop_missing(at(9_000)));
     list.missing(at(9_000), "s");
     assert!(!list.drop_missing(at(12_600)));
@@ -135,7 +135,7 @@
 #[test]
 fn test_leaving_server_that_is_gone_is_dropped_at_once() {
     let mut list = ServerList::default();
-    list.present("db".into(), server("s", true));
+    list.upsert("db".into(), server("s", true));
     list.missing(at(10), "s");
     assert_eq!(list.all().count(), 0);
 }
@@ -159,15 +159,15 @@
     // the store, which also counts changes of other kinds, instances would pull an
     // unchanged list from each other again.
     let mut list = ServerList::default();
-    list.present("db1".into(), server("s1", false));
-    list.present("db2".into(), server("s2", false));
+    list.upsert("db1".into(), server("s1", false));
+    list.upsert("db2".into(), server("s2", false));
     list.advance(revision(5));
     assert_eq!(list.take_changed().len(), 2);
-    list.present("db1".into(), server("s1", false));
+    list.upsert("db1".into(), server("s1", false));
     list.advance(revision(9));
     assert!(list.take_changed().is_empty());
     assert_eq!((list.revision(), list.changed_at()), (revision(9), revision(5)));
-    list.present("db2".into(), server("s2", true));
+    list.upsert("db2".into(), server("s2", true));
     list.advance(revision(12));
     assert_eq!(list.take_changed().into_keys().collect::<Vec<_>>(), ["db2".into()]);
     assert_eq!(list.changed_at(), revision(12));
@@ -186,7 +186,7 @@
         names.iter().map(|name| ("db".into(), server(name, false))).collect::<Vec<_>>()
     };
     list.replace(at(0), Revision::new(1, 900), listed(&["drains", "goes"]));
-    list.present("db".into(), server("drains", true));
+    list.upsert("db".into(), server("drains", true));
     list.advance(Revision::new(1, 901));
     list.replace(at(10), Revision::new(2, 880), listed(&["drains", "new"]));
     let draining = |list: &ServerList, id| list.listed(id).map(|(_, info)| info.draining);
@@ -196,6 +196,6 @@
     assert_eq!(list.changed_at(), Revision::new(2, 880), "other instances get the new list");
     list.replace(at(20), Revision::new(1, 950), listed(&["goes"]));
     assert_eq!(draining(&list, "new"), Some(false));
-    list.present("db".into(), server("drains", false));
+    list.upsert("db".into(), server("drains", false));
     assert_eq!(draining(&list, "drains"), Some(false), "the server wrote its entry again");
 }
--- a/lib/tests/test_sharing.rs
+++ b/lib/tests/test_sharing.rs
@@ -147,8 +147,8 @@
         })
         .collect();
     for ms in (0..=9_000).step_by(500) {
-        fleets[0].heard(at(ms), "b", false);
-        fleets[1].heard(at(ms), "a", false);
+        fleets[0].record_message(at(ms), "b", false);
+        fleets[1].record_message(at(ms), "a", false);
     }
     for fleet in &fleets {
         assert!(!fleet.live(UNREACHABLE_AFTER + at(500)).contains(&"c".into()));
@@ -245,8 +245,8 @@
 #[test]
 fn test_leaving_instance_takes_no_duty() {
     let mut fleet = fleet(&["a", "b"]);
-    fleet.heard(at(10), "a", true);
-    assert_eq!(fleet.staying(at(11)), ["b".into(), "me".into()]);
+    fleet.record_message(at(10), "a", true);
+    assert_eq!(fleet.eligible(at(11)), ["b".into(), "me".into()]);
     assert_eq!(fleet.live(at(11)).len(), 3);
 }
 
--- a/lib/tests/test_store_restore.rs
+++ b/lib/tests/test_store_restore.rs
@@ -32,7 +32,7 @@
     lease
 }
 
-fn ending(written_era: Option<Era>) -> RetireRequest {
+fn retire_request(written_era: Option<Era>) -> RetireRequest {
     RetireRequest { term: 1, token: 5, successor: "s1".into(), withdrawn: 0, written_era }
 }
 
@@ -58,11 +58,11 @@
         read_restored_store(&mut cut_off, at(read_ms));
         assert!(cut_off.holds(at(read_ms + 100), 1), "the store grants the lease");
     }
-    assert_eq!(voters[0].promise(at(1_200), &ending(Some(1))), Err(Objection::LaterEra(2)));
+    assert_eq!(voters[0].promise(at(1_200), &retire_request(Some(1))), Err(Objection::LaterEra(2)));
     // Without the objection the promotion would be ordered while the old primary is in use.
     let mut tally = PromiseTally::new(ids.clone(), ids.clone(), Some(at(1_000)));
     for (voter, id) in voters.iter_mut().zip(&ids[1..]) {
-        tally.promised(at(1_200), id, voter.promise(at(1_200), &ending(None)).unwrap());
+        tally.promised(at(1_200), id, voter.promise(at(1_200), &retire_request(None)).unwrap());
     }
     assert!(matches!(tally.readiness(false), Readiness::From(from) if from < at(3_000)));
     assert!(cut_off.holds(at(3_100), 1));
@@ -133,7 +133,7 @@
     fleet.replace(at(0), vec![record(1), record(2), record(3)]);
     fleet.replace_after_store_restore(at(1_000), vec![record(1)]);
     assert_eq!(names(&fleet), ["i1", "i2", "i3"].map(InstanceId::from));
-    fleet.present(at(2_000), record(2));
+    fleet.upsert(at(2_000), record(2));
     // If history is lost again, all instances are listed once more.
     fleet.replace(at(3_000), vec![record(1), record(2)]);
     assert_eq!(names(&fleet), ["i1", "i2", "i3"].map(InstanceId::from));
@@ -156,10 +156,10 @@
         let mut fleet = Fleet::new(me.id.clone());
         fleet.replace(at(0), others(me));
         fleet.replace_after_store_restore(at(1_000), all[..3].to_vec());
-        fleet.heard(at(2_000), "i3", false);
+        fleet.record_message(at(2_000), "i3", false);
         assert_eq!(fleet.restorable(at(2_400)), [], "the instance may still write it");
         writers.extend(fleet.restorable(at(2_500)));
-        fleet.present(at(2_600), record(3));
+        fleet.upsert(at(2_600), record(3));
         assert_eq!(fleet.restorable(at(2_700)), []);
     }
     assert_eq!(writers, [record(3)]);
--- a/soak/src/deployment.rs
+++ b/soak/src/deployment.rs
@@ -275,7 +275,7 @@
     pub fn silence_store(&self) {
         self.forget_store_connections();
         for instance in &self.instances {
-            instance.store_proxy.set(Behaviour::silent());
+            instance.store_proxy.set(Behaviour::unresponsive());
         }
     }
 
--- a/soak/src/fault.rs
+++ b/soak/src/fault.rs
@@ -91,7 +91,7 @@
                 instances[number].store_proxy.blackhole_open_connections();
             }
             Self::CrashServer(number) => deployment.group.crash(number),
-            Self::SilenceServer(number) => deployment.server(number).set(Behaviour::silent()),
+            Self::SilenceServer(number) => deployment.server(number).set(Behaviour::unresponsive()),
             Self::MuteServer(number) => {
                 let mute = Behaviour { down: Flow::Discard, ..Behaviour::default() };
                 deployment.server(number).set(mute);
--- a/standin/src/fault_proxy.rs
+++ b/standin/src/fault_proxy.rs
@@ -44,7 +44,7 @@
 impl Behaviour {
     /// Discards the bytes of both directions.
     #[must_use]
-    pub fn silent() -> Self {
+    pub fn unresponsive() -> Self {
         Self { up: Flow::Discard, down: Flow::Discard, ..Self::default() }
     }
 
--- a/testing/testutils/src/experiments/capacity.rs
+++ b/testing/testutils/src/experiments/capacity.rs
@@ -225,7 +225,7 @@
             Instance::new(peer(0), "life", MembershipTiming::default(), OwnershipTiming::default());
         let start = Instant::now();
         instance.configure(&config, 1);
-        instance.membership().learn(start, (1..peers).map(peer));
+        instance.membership().add_peers(start, (1..peers).map(peer));
         for number in 0..databases {
             let owner = peer(1 + number % (peers - 1)).id;
             let record = OwnerRecord { owner, term: 1 };
--- a/testing/testutils/src/experiments/gap.rs
+++ b/testing/testutils/src/experiments/gap.rs
@@ -139,8 +139,8 @@
             target.log_proxy.set(Behaviour::cut());
         }
         Fault::Silent => {
-            target.sql_proxy.set(Behaviour::silent());
-            target.log_proxy.set(Behaviour::silent());
+            target.sql_proxy.set(Behaviour::unresponsive());
+            target.log_proxy.set(Behaviour::unresponsive());
         }
         Fault::OwnerKill => {
             cluster.instances[owner].process.as_mut().expect("up").kill();
--- a/testing/testutils/tests/test_failover.rs
+++ b/testing/testutils/tests/test_failover.rs
@@ -88,8 +88,8 @@
 async fn test_silent_primary_is_replaced() {
     survive(Style::Statement, async |cluster| {
         let index = primary(cluster).await;
-        cluster.targets[index].sql_proxy.set(Behaviour::silent());
-        cluster.targets[index].log_proxy.set(Behaviour::silent());
+        cluster.targets[index].sql_proxy.set(Behaviour::unresponsive());
+        cluster.targets[index].log_proxy.set(Behaviour::unresponsive());
     })
     .await;
 }
@@ -266,7 +266,7 @@
     let index = primary(&cluster).await;
     let (_, before, _) = cluster.serving("db1").await.unwrap();
     // Its last commits reach no replica.
-    cluster.targets[index].log_proxy.set(Behaviour::silent());
+    cluster.targets[index].log_proxy.set(Behaviour::unresponsive());
     tokio::time::sleep(std::time::Duration::from_millis(100)).await;
     cluster.targets[index].process.as_mut().unwrap().kill();
     wait_for("another server is primary", async || {
--- a/testing/testutils/tests/test_requests_in_doubt.rs
+++ b/testing/testutils/tests/test_requests_in_doubt.rs
@@ -75,7 +75,7 @@
     cluster.targets[primary].sql_proxy.on_bytes(Direction::Down, b"COMMIT", false, move || {
         signal(owner_process, libc::SIGKILL);
         for proxy in &proxies {
-            proxy.set(Behaviour::silent());
+            proxy.set(Behaviour::unresponsive());
         }
     });
     let heard = caller.batch_execute(&write(BEYOND_THE_GAP_MS)).await;
--- a/testing/testutils/tests/test_tool.rs
+++ b/testing/testutils/tests/test_tool.rs
@@ -112,7 +112,7 @@
     assert_eq!(ask("never").await.code, 3);
     // No replica receives anything: a write stays in flight.
     for target in &cluster.targets {
-        target.log_proxy.set(Behaviour::silent());
+        target.log_proxy.set(Behaviour::unresponsive());
     }
     let waiting = tokio::spawn(async move {
         client.batch_execute("INSERT INTO t VALUES (3) /*request_id='waits'*/").await
