--- a/daemon/src/control.rs
+++ b/daemon/src/control.rs
@@ -141,7 +141,7 @@
     for (database, term) in context.databases.instance.owned() {
         let view = context.databases.with_database(&database, |state| {
             let everywhere = state.ownership.applied_everywhere();
-            state.floors.forget_below(everywhere, term);
+            state.floors.remove_below(everywhere, term);
             let servers: Vec<_> = state.ownership.servers().map(|s| s.id.clone()).collect();
             let primary = state.ownership.serving().map(|(_, primary)| primary);
             primary.map(|primary| (primary, servers))
--- a/daemon/src/engine/instance_control.rs
+++ b/daemon/src/engine/instance_control.rs
@@ -228,7 +228,7 @@
 /// backup.
 pub fn restore_unlisted(engine: &Arc<Engine>, directory: &Arc<dyn Directory>, at: Moment) {
     let unlisted = engine.with_fleet(|fleet| {
-        fleet.forget_unlisted(at);
+        fleet.remove_unlisted(at);
         fleet.restorable(at)
     });
     for record in unlisted {
--- a/lib/src/fleet.rs
+++ b/lib/src/fleet.rs
@@ -171,7 +171,7 @@
 
     /// Removes instances whose records are missing since a restore of the store and
     /// were not written again in time.
-    pub fn forget_unlisted(&mut self, now: Moment) {
+    pub fn remove_unlisted(&mut self, now: Moment) {
         let expired = |since: Moment| since + REMOVE_AFTER <= now;
         self.members.retain(|_, member| !member.unlisted_since.is_some_and(expired));
     }
--- a/lib/src/floors.rs
+++ b/lib/src/floors.rs
@@ -131,7 +131,7 @@
     /// Drops the floors that every server has reached, to bound the memory. `everywhere`
     /// is the position that all servers have applied; it counts only if its entry is of
     /// the current `term`.
-    pub fn forget_below(&mut self, everywhere: Position, term: Term) {
+    pub fn remove_below(&mut self, everywhere: Position, term: Term) {
         if everywhere.term != term {
             return;
         }
--- a/lib/tests/quota_simulation/mod.rs
+++ b/lib/tests/quota_simulation/mod.rs
@@ -233,7 +233,7 @@
             for record in listed {
                 me.fleet.upsert(now, record);
             }
-            me.fleet.forget_unlisted(now);
+            me.fleet.remove_unlisted(now);
             return;
         }
         let has_list = |other: &usize| {
--- a/lib/tests/test_peer_contact.rs
+++ b/lib/tests/test_peer_contact.rs
@@ -55,7 +55,7 @@
     assert!(!peer_contacts.take_due_liveness_check(at(1_100), &id("a")), "it was checked just now");
     assert!(peer_contacts.take_due_liveness_check(at(1_500), &id("a")));
     assert!(!peer_contacts.take_due_liveness_check(at(1_501), &id("a")));
-    assert!(peer_contacts.record_answer(at(1_502), &id("a")), "it was silent");
+    assert!(peer_contacts.record_answer(at(1_502), &id("a")), "it was unreachable");
     assert!(!peer_contacts.take_due_liveness_check(at(2_500), &id("a")));
 }
 
@@ -88,7 +88,7 @@
 #[test]
 fn test_far_holder_that_can_serve_is_preferred_to_near_ones_that_cannot() {
     let candidates = [
-        candidate("silent", Reachability::Unreachable, false, true),
+        candidate("unreachable", Reachability::Unreachable, false, true),
         candidate("unable", Reachability::Reachable, true, true),
         candidate("able", Reachability::Reachable, false, false),
     ];
@@ -347,11 +347,11 @@
         let moved = home(&without, &account);
         assert_eq!(moved != at_home, &*at_home == "h3", "{account}");
         // An unreachable home holder is not chosen.
-        let mut silent = holders.clone();
-        for candidate in silent.iter_mut().filter(|other| other.record.id == at_home) {
+        let mut unreachable = holders.clone();
+        for candidate in unreachable.iter_mut().filter(|other| other.record.id == at_home) {
             candidate.reachability = Reachability::Unreachable;
         }
-        assert_ne!(home(&silent, &account), at_home);
+        assert_ne!(home(&unreachable, &account), at_home);
     }
     assert_eq!(homes.len(), 8, "{homes:?}");
     assert!(homes.values().all(|count| (3..=20).contains(count)), "{homes:?}");
--- a/lib/tests/test_store_restore.rs
+++ b/lib/tests/test_store_restore.rs
@@ -137,9 +137,9 @@
     // If history is lost again, all instances are listed once more.
     fleet.replace(at(3_000), vec![record(1), record(2)]);
     assert_eq!(names(&fleet), ["i1", "i2", "i3"].map(InstanceId::from));
-    fleet.forget_unlisted(at(8_900));
+    fleet.remove_unlisted(at(8_900));
     assert_eq!(names(&fleet), ["i1", "i2", "i3"].map(InstanceId::from));
-    fleet.forget_unlisted(at(9_000));
+    fleet.remove_unlisted(at(9_000));
     assert_eq!(names(&fleet), ["i1", "i2"].map(InstanceId::from));
 }
 
