--- a/lib/src/account.rs
+++ b/lib/src/account.rs
@@ -1,8 +1,7 @@
 //! Client accounts of the configuration: their API keys and rate limits.
 //!
-//! Only digests of the keys are stored and sent to other instances. That is enough to
-//! recognise a key, and somebody who reads the traffic between instances does not
-//! obtain the keys.
+//! Only digests of the keys are stored and sent to other instances. A digest suffices
+//! to recognise a key, and the traffic between instances does not reveal the keys.
 
 use std::collections::HashMap;
 use std::collections::hash_map::Entry;
--- a/lib/src/fleet.rs
+++ b/lib/src/fleet.rs
@@ -49,8 +49,8 @@
 
 /// Time without an answer after which the record of an instance is removed. A
 /// paused instance usually continues earlier than that and finds its record in
-/// place. It is also the time after which an instance is forgotten whose record is
-/// missing since a restore of the store.
+/// place. It is also the time after which an instance leaves the fleet whose record
+/// is missing since a restore of the store.
 const REMOVE_AFTER: Duration = Duration::from_secs(8);
 
 /// Time after a restore of the store within which an instance that reaches the
@@ -264,7 +264,8 @@
         live
     }
 
-    /// Returns the live instances that are not leaving and can get new duties.
+    /// Returns the instances that are eligible for new duties: the live ones that are
+    /// not leaving.
     #[must_use]
     pub fn eligible(&self, now: Moment) -> Vec<InstanceId> {
         let leaving = |id: &InstanceId| self.members.get(id).is_some_and(|member| member.leaving);
@@ -276,8 +277,8 @@
     /// read a state that may be seconds old, at a tenth of the cost, and get newer
     /// changes from the relays.
     ///
-    /// With 74 instances that all read the current state, calls to the store cost 8 %
-    /// of the value of a day of operation.
+    /// With 74 instances that all read the current state, the calls to the store became
+    /// a noticeable part of the running cost (a share of 0.08).
     #[must_use]
     pub fn is_relay(&self, now: Moment, failure_domain: &FailureDomainId) -> bool {
         if self.members.len() < MIN_OTHERS_FOR_RELAYS {
--- a/lib/src/id.rs
+++ b/lib/src/id.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 /// Name of an instance: one running proxy process (`chervilwharfd`). A
-/// restarted process may keep the name; [`HolderId`] tells its runs apart.
+/// restarted process may keep the name; [`HolderId`] distinguishes its runs.
 pub type InstanceId = Arc<str>;
 
 /// Name of one incarnation of an instance, that is one run between its start
--- a/lib/src/leader_watch.rs
+++ b/lib/src/leader_watch.rs
@@ -56,8 +56,8 @@
     pub failed: usize,
     /// Instances that have not tried to reach the primary.
     pub unknown: usize,
-    /// Instances that did not answer the request for a report, because they are down
-    /// or partitioned.
+    /// Instances that did not answer the request for a report, because they have failed
+    /// or are partitioned from this one.
     pub unresponsive: usize,
     /// Whether one of the instances is replacing the primary.
     pub replacing: bool,
@@ -297,8 +297,8 @@
     /// probe to send, if one is due.
     ///
     /// A failure of this first probe counts towards the probes that have to fail.
-    /// When it did not count, an unresponsive primary was detected 770 ms after its
-    /// last answer (median of ten).
+    /// When it did not count, an unresponsive primary was detected only 770 ms after
+    /// its last answer.
     pub fn suspect_primary(&mut self, now: Moment, group: &Group) -> Option<WatchAction> {
         if self.suspected_at.is_some_and(|at| at + SUSPICION_INTERVAL > now) {
             return None;
@@ -366,8 +366,8 @@
         self.replacement_until = now + REPLACEMENT_TIME;
     }
 
-    /// Leaves the replacement to other instances, because this one cannot perform it
-    /// now. The time suffices for the next two ranks in the succession and a
+    /// Leaves the replacement to other instances for a while, because this one cannot
+    /// perform it now. The time suffices for the next two ranks in the succession and a
     /// replacement.
     pub fn defer_replacement(&mut self, now: Moment) {
         self.deferred_until = now + STAGGER * 2 + REPLACEMENT_TIME;
--- a/lib/src/ownership.rs
+++ b/lib/src/ownership.rs
@@ -124,7 +124,7 @@
 const HOLDER_SEPARATOR: char = '@';
 
 /// Returns the holder id of one incarnation of an instance, that is, of one run
-/// between start and exit. `incarnation` is the number of the incarnation.
+/// between start and exit. `incarnation` is its number.
 ///
 /// A server grants a term again when the same holder repeats its fence request.
 /// A restarted instance has lost its term. If it had the same holder id as
--- a/lib/src/primary_lease.rs
+++ b/lib/src/primary_lease.rs
@@ -420,8 +420,8 @@
         self.voted.retain(|voted| voted.token != token);
     }
 
-    /// Records that the instance needs the lease on `term` now. Returns whether it
-    /// holds it.
+    /// Records that a request needs the lease on `term` now. Returns whether the
+    /// instance holds it.
     pub fn note_needed(&mut self, now: Moment, term: Term) -> bool {
         if self.holds(now, term) {
             self.missing_since = None;
