--- a/lib/src/fleet.rs
+++ b/lib/src/fleet.rs
@@ -49,8 +49,8 @@
 
 /// Time without an answer after which the record of an instance is removed. A
 /// paused instance usually continues earlier than that and finds its record in
-/// place. It is also the time after which an instance leaves the fleet whose record
-/// is missing since a restore of the store.
+/// place. It is also the time after which an instance whose record is missing since
+/// a restore of the store is removed.
 const REMOVE_AFTER: Duration = Duration::from_secs(8);
 
 /// Time after a restore of the store within which an instance that reaches the
