--- a/daemon/src/engine/request.rs
+++ b/daemon/src/engine/request.rs
@@ -35,7 +35,7 @@
     /// for a new connection there.
     #[must_use]
     pub fn in_time_until(&self, now: Moment) -> Moment {
-        let max_wait = waits::max_wait(self.route.objective);
+        let max_wait = statement_timing::max_wait(self.route.objective);
         (self.arrived_at + max_wait).max(now + max_wait / 2).min(self.deadline)
     }
 
--- a/daemon/src/start.rs
+++ b/daemon/src/start.rs
@@ -207,7 +207,7 @@
         leaving: false,
         configuration_version: 0,
     });
-    context.databases.instance.membership().learn(Instant::now(), seeds);
+    context.databases.instance.membership().add_peers(Instant::now(), seeds);
 }
 
 async fn load_owners_once_configured(context: Shared) {
--- a/lib/tests/test_server_queue.rs
+++ b/lib/tests/test_server_queue.rs
@@ -76,7 +76,7 @@
         };
         self.now = ends_at;
         let took = ends_at.saturating_sub(sent_at);
-        let slow_threshold = waits::slow_threshold(OBJECTIVE);
+        let slow_threshold = statement_timing::slow_threshold(OBJECTIVE);
         let others = self.running[instance] - 1;
         self.limits[instance].answered(ends_at, others, took, slow_threshold);
         self.running[instance] -= 1;
--- a/soak/src/deployment.rs
+++ b/soak/src/deployment.rs
@@ -282,7 +282,7 @@
     pub fn make_store_unresponsive(&self) {
         self.forget_store_connections();
         for instance in &self.instances {
-            instance.store_proxy.set(Behaviour::silent());
+            instance.store_proxy.set(Behaviour::unresponsive());
         }
     }
 
--- a/testing/testutils/tests/test_failover.rs
+++ b/testing/testutils/tests/test_failover.rs
@@ -88,8 +88,8 @@
 async fn test_unresponsive_primary_is_replaced() {
     check_recovery(WriteKind::Statement, async |cluster| {
         let index = primary(cluster).await;
-        cluster.targets[index].sql_proxy.set(Behaviour::silent());
-        cluster.targets[index].log_proxy.set(Behaviour::silent());
+        cluster.targets[index].sql_proxy.set(Behaviour::unresponsive());
+        cluster.targets[index].log_proxy.set(Behaviour::unresponsive());
     })
     .await;
 }
@@ -268,7 +268,7 @@
     let index = primary(&cluster).await;
     let (_, before, _) = cluster.serving("db1").await.unwrap();
     // The last commits of the primary reach no replica.
-    cluster.targets[index].log_proxy.set(Behaviour::silent());
+    cluster.targets[index].log_proxy.set(Behaviour::unresponsive());
     tokio::time::sleep(std::time::Duration::from_millis(100)).await;
     cluster.targets[index].process.as_mut().unwrap().kill();
     wait_for("another server is primary", async || {
--- a/testing/testutils/tests/test_requests_in_doubt.rs
+++ b/testing/testutils/tests/test_requests_in_doubt.rs
@@ -78,7 +78,7 @@
     cluster.targets[primary].sql_proxy.on_bytes(Direction::Down, b"COMMIT", false, move || {
         signal(owner_process, libc::SIGKILL);
         for proxy in &proxies {
-            proxy.set(Behaviour::silent());
+            proxy.set(Behaviour::unresponsive());
         }
     });
     let result = client.batch_execute(&write(BEYOND_FAILOVER_DEADLINE_MS)).await;
