--- a/daemon/src/dispatch.rs
+++ b/daemon/src/dispatch.rs
@@ -43,7 +43,7 @@
 async fn describe_inner(context: &Shared, describe: &Describe) -> Result<StatementResult, Failure> {
     let database: DatabaseId = describe.database.as_str().into();
     let deadline = Instant::now() + Duration::from_millis(describe.deadline_ms);
-    let (serving, _work) = owner::enter(context, &database, deadline, false, false).await?;
+    let (serving, _work) = owner::begin_work(context, &database, deadline, false, false).await?;
     let mut guard =
         owner::connect(context, &database, &serving, &serving.primary, deadline).await?;
     let described = guard.get().describe(&describe.sql, &describe.parameter_type_oids);
--- a/daemon/src/engine/configuration_control.rs
+++ b/daemon/src/engine/configuration_control.rs
@@ -95,7 +95,7 @@
         self.engine.store_read_currency()
     }
 
-    fn pause_after_first_list(&self) -> Duration {
+    fn pause_after_first_listing(&self) -> Duration {
         PEER_LISTING_TIME
     }
 
--- a/daemon/src/engine/event_log.rs
+++ b/daemon/src/engine/event_log.rs
@@ -23,7 +23,7 @@
 
 /// Most lines that wait for the writer: a quarter of a megabyte at 250 bytes a line. While
 /// nothing reads standard output, further lines are dropped.
-const QUEUE_LINES: usize = 1024;
+const MAX_QUEUED_LINES: usize = 1024;
 
 /// Log target of event lines; records with other targets are not written.
 const EVENT_TARGET: &str = "chervilwharf::event";
@@ -59,7 +59,7 @@
     instance: Arc<str>,
     out: Box<dyn Write + Send>,
 ) -> Result<(), log::SetLoggerError> {
-    let (lines, queued) = sync_channel(QUEUE_LINES);
+    let (lines, queued) = sync_channel(MAX_QUEUED_LINES);
     let dispatch = fern::Dispatch::new()
         .level(LevelFilter::Off)
         .level_for(EVENT_TARGET, LevelFilter::Info)
--- a/daemon/src/engine/lease.rs
+++ b/daemon/src/engine/lease.rs
@@ -38,13 +38,17 @@
 
     /// How many statements it takes to set the connection up for a session.
     #[must_use]
-    pub fn distance(&self, values: &SessionValues, prepared: Option<&Prepared>) -> usize {
+    pub fn setup_cost(&self, values: &SessionValues, prepared: Option<&Prepared>) -> usize {
         self.connection_setup.setup_cost(values, prepared)
     }
 
     /// Statements that set the connection up for a session. They count as run from now on,
     /// so the caller has to send them; otherwise the connection cannot be reused.
-    pub fn adapt(&mut self, values: &SessionValues, prepared: Option<&Prepared>) -> Vec<Step> {
+    pub fn begin_setup(
+        &mut self,
+        values: &SessionValues,
+        prepared: Option<&Prepared>,
+    ) -> Vec<Step> {
         let steps = self.connection_setup.begin_setup(values, prepared);
         self.setup_pending |= !steps.is_empty();
         steps.into_iter().map(Step::internal).collect()
@@ -136,7 +140,7 @@
             return;
         }
         if let Some(connection) = self.connection.take() {
-            self.shard.take_back(&self.server, connection);
+            self.shard.return_to_pool(&self.server, connection);
         }
     }
 }
--- a/daemon/src/engine/primary_lease_control.rs
+++ b/daemon/src/engine/primary_lease_control.rs
@@ -94,7 +94,7 @@
             // The store never answers a call that it received during an outage. When all
             // instances were killed during an outage and waited for such calls, no
             // instance could use a primary for a second after its end.
-            () = store_answers_another_call(&engine, failed) => continue,
+            () = wait_for_another_store_answer(&engine, failed) => continue,
         };
         let Err(error) = result else {
             if engine.start_voting_where_orders_are_known() {
@@ -116,7 +116,7 @@
 }
 
 /// Waits until the store answers another call, and `ANSWER_TIME_SPREAD` longer.
-async fn store_answers_another_call(engine: &Engine, failed: bool) {
+async fn wait_for_another_store_answer(engine: &Engine, failed: bool) {
     if !failed {
         tokio::time::sleep(FIRST_READ_WAIT).await;
     }
@@ -367,7 +367,7 @@
             self.with_duties(|duties| duties.discard_promised(shard.id(), news.token));
         }
         let changed = shard.with_group(|group| {
-            group.primary_lease_mut().settle(news.token);
+            group.primary_lease_mut().record_order_ended(news.token);
             group.observe_reported_leader(now(), &id, news.term)
         });
         if changed {
@@ -384,12 +384,12 @@
     /// Changes the leases on the primary, and resumes waiting requests if the primary
     /// becomes usable by that.
     fn change_lease(self: &Arc<Self>, change: impl FnOnce(&mut PrimaryLease)) {
-        let regained = self.with_group(|group| {
+        let becomes_usable = self.with_group(|group| {
             let had = group.usable_leader(now()).is_some();
             change(group.primary_lease_mut());
             !had && group.usable_leader(now()).is_some()
         });
-        if regained {
+        if becomes_usable {
             self.primary_lease_changed();
         }
     }
@@ -421,18 +421,18 @@
 }
 
 fn encode_grants(promise: Promise) -> Vec<GivenLease> {
-    let given = promise.unexpired_grants.into_iter().map(|(instance, lasting)| GivenLease {
+    let grants = promise.unexpired_grants.into_iter().map(|(instance, lasting)| GivenLease {
         instance: instance.to_string(),
         lasting_ms: u64::try_from(lasting.as_millis()).unwrap_or(u64::MAX).saturating_add(1),
     });
-    given.collect()
+    grants.collect()
 }
 
 /// Decodes the promise of another instance.
 #[must_use]
-pub fn decode_grants(given: &[GivenLease]) -> Promise {
+pub fn decode_grants(grants: &[GivenLease]) -> Promise {
     let decode = |lease: &GivenLease| {
         (lease.instance.as_str().into(), Duration::from_millis(lease.lasting_ms))
     };
-    Promise { unexpired_grants: given.iter().map(decode).collect() }
+    Promise { unexpired_grants: grants.iter().map(decode).collect() }
 }
--- a/daemon/src/engine/record_watch.rs
+++ b/daemon/src/engine/record_watch.rs
@@ -51,7 +51,7 @@
     }
 
     /// Pause between the first listing and the first watch.
-    fn pause_after_first_list(&self) -> Duration {
+    fn pause_after_first_listing(&self) -> Duration {
         Duration::ZERO
     }
 
@@ -138,10 +138,10 @@
 
 /// Time after which the first listing of the configuration is requested once more. It
 /// is longer than a slow store needs for an answer (250 ms).
-const FIRST_LIST_REPEATED_AFTER: Duration = Duration::from_millis(400);
+const FIRST_LISTING_REPEAT_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Limit of concurrent requests for the first listing of one kind.
-const CONCURRENT_FIRST_LISTS: usize = 3;
+const MAX_CONCURRENT_FIRST_LISTINGS: usize = 3;
 
 /// The greatest difference between the times in which the store answers calls that it
 /// received together. A call that is still unanswered this long after the answer to another
@@ -182,7 +182,7 @@
                 let listing = if listed {
                     directory.list(kind, currency).await
                 } else {
-                    first_list(&*directory, &gate, kind, currency).await
+                    fetch_first_listing(&*directory, &gate, kind, currency).await
                 };
                 listing.and_then(|listing| apply_listing(&mut watcher, &era, listing))
             }
@@ -208,7 +208,7 @@
             Ok(next) => {
                 gate.answered();
                 if std::mem::take(&mut failing) {
-                    report_regained(kind, next);
+                    report_store_available(kind, next);
                     watcher.outage(false);
                 }
                 pause = FIRST_RETRY_PAUSE;
@@ -216,7 +216,7 @@
                 revision = Some(next);
                 if !listed {
                     listed = true;
-                    tokio::time::sleep(watcher.pause_after_first_list()).await;
+                    tokio::time::sleep(watcher.pause_after_first_listing()).await;
                 }
             }
             Err(DirectoryError::HistoryGone) => {
@@ -235,13 +235,14 @@
                     watcher.outage(true);
                 }
                 if availability.aborts() > aborts {
-                    let regained = availability.wait_until_available();
-                    let regained = tokio::time::timeout(AVAILABILITY_WAIT, regained).await.is_ok();
+                    let available = availability.wait_until_available();
+                    let available =
+                        tokio::time::timeout(AVAILABILITY_WAIT, available).await.is_ok();
                     // A liveness reply proves as much as a short watch, at a tenth of
                     // the price.
-                    if let (true, Some(revision)) = (regained, revision) {
+                    if let (true, Some(revision)) = (available, revision) {
                         failing = false;
-                        report_regained(kind, revision);
+                        report_store_available(kind, revision);
                         watcher.outage(false);
                     }
                     watcher.tick();
@@ -271,7 +272,7 @@
     }
 }
 
-fn report_regained(kind: RecordKind, revision: Revision) {
+fn report_store_available(kind: RecordKind, revision: Revision) {
     let event = Event::new(EventKind::StoreRegained).with("kind", kind);
     event_log::emit(&event.with("revision", revision));
 }
@@ -283,7 +284,7 @@
 /// call for another kind as soon as the store answers any call. With one call at a time,
 /// waited for until its timeout, 74 instances that were killed during an outage served
 /// no clients for 0.9 s after its end.
-async fn first_list(
+async fn fetch_first_listing(
     directory: &dyn Directory,
     gate: &StoreGate,
     kind: RecordKind,
@@ -292,7 +293,7 @@
     let mut calls = FuturesUnordered::new();
     loop {
         calls.push(directory.list(kind, currency));
-        let at_limit = calls.len() >= CONCURRENT_FIRST_LISTS;
+        let at_limit = calls.len() >= MAX_CONCURRENT_FIRST_LISTINGS;
         let repeat = async {
             if at_limit {
                 // A long listing over a slow link may take longer than the time
@@ -300,7 +301,7 @@
                 // slow down the others.
                 std::future::pending::<()>().await;
             } else if kind == RecordKind::Configuration {
-                tokio::time::sleep(FIRST_LIST_REPEATED_AFTER).await;
+                tokio::time::sleep(FIRST_LISTING_REPEAT_INTERVAL).await;
             } else {
                 gate.wait_for_answer(ANSWER_TIME_SPREAD).await;
             }
--- a/daemon/src/engine/remote.rs
+++ b/daemon/src/engine/remote.rs
@@ -45,7 +45,7 @@
 
 /// Part of a request's time that is reserved for the network trip to the other instance and
 /// back.
-const PEER_TRIP_RESERVE: Duration = Duration::from_millis(10);
+const PEER_ROUND_TRIP_RESERVE: Duration = Duration::from_millis(10);
 
 /// Interval at which an instance is asked about the state of a statement that takes long
 /// there. It is several times the usual duration of a statement, since the instance is
@@ -423,7 +423,7 @@
         .iter()
         .map(|(name, value)| SessionValue { name: name.to_string(), value: value.to_string() });
     let floor = session.floor().unwrap_or(Position::ZERO);
-    let time_left = request.time_left(now()).saturating_sub(PEER_TRIP_RESERVE);
+    let time_left = request.time_left(now()).saturating_sub(PEER_ROUND_TRIP_RESERVE);
     engine_protos::Statement {
         id: request.id.to_string(),
         route: Some(records::encode_route(&request.route)),
--- a/daemon/src/engine/server_control.rs
+++ b/daemon/src/engine/server_control.rs
@@ -66,7 +66,7 @@
         change_pause(self.currency()).max(CHANGE_BATCH_PAUSE)
     }
 
-    fn pause_after_first_list(&self) -> Duration {
+    fn pause_after_first_listing(&self) -> Duration {
         PEER_LISTING_TIME
     }
 
--- a/daemon/src/engine/session.rs
+++ b/daemon/src/engine/session.rs
@@ -93,7 +93,7 @@
     /// Whether a statement of the transaction is running.
     in_transaction: bool,
     trace: StatementTrace,
-    /// Random number below [`SPREAD_STEPS`], or 0 in a forwarded session. It sets when a
+    /// Random number below [`RANDOM_NUMBER_LIMIT`], or 0 in a forwarded session. It sets when a
     /// planned stop closes the session, and which holder its statements go to if the client
     /// has no account.
     random_number: u32,
@@ -126,7 +126,7 @@
 }
 
 /// Number of moments over which a planned stop spreads the closing of sessions.
-const SPREAD_STEPS: u32 = 1000;
+const RANDOM_NUMBER_LIMIT: u32 = 1000;
 
 /// Part of a statement's timeout that is reserved for the reply to the client: two
 /// network trips of 3 ms and the time to write.
@@ -155,7 +155,7 @@
     pub async fn begin(engine: Arc<Engine>, start: SessionStart<'_>) -> Result<Self, Failure> {
         match Self::check_start(&engine, &start).await {
             Ok((route, caller)) => {
-                Ok(Self::new(engine, &route, caller, rand::random_range(0..SPREAD_STEPS)))
+                Ok(Self::new(engine, &route, caller, rand::random_range(0..RANDOM_NUMBER_LIMIT)))
             }
             Err(kind) => {
                 report_refused(&engine, &start, kind);
@@ -361,7 +361,7 @@
         let Some(lease) = lease else {
             return Vec::new();
         };
-        lease.connection().adapt(&self.values, prepared)
+        lease.connection().begin_setup(&self.values, prepared)
     }
 
     /// Runs one statement of the client.
--- a/daemon/src/engine/shard.rs
+++ b/daemon/src/engine/shard.rs
@@ -165,7 +165,7 @@
     }
 
     /// Records that a server refused an operation that only the primary serves.
-    pub fn lost_lead(&self, server: &TargetId) {
+    pub fn observe_not_leading(&self, server: &TargetId) {
         let was = self.with_group(|group| group.observe_not_leading(server, 0));
         if was {
             let event = Event::new(EventKind::LeaderLost).with("group", &self.id);
@@ -176,7 +176,7 @@
 
     /// Records that a request needs the primary, and requests a renewal of the primary
     /// lease if that is due.
-    pub fn want_leader(&self) {
+    pub fn note_leader_needed(&self) {
         if !self.with_group(|group| group.note_leader_needed(now())) {
             self.lease_renewal.notify_one();
         }
@@ -297,7 +297,11 @@
 
     /// Returns a lent connection, with no transaction open and no reply outstanding, to the
     /// pool.
-    pub(crate) fn take_back(self: &Arc<Self>, server: &TargetId, connection: PooledConnection) {
+    pub(crate) fn return_to_pool(
+        self: &Arc<Self>,
+        server: &TargetId,
+        connection: PooledConnection,
+    ) {
         let mut inner = self.lock();
         let usable = inner.group.takes_work(server);
         let budget = inner.budget;
--- a/daemon/src/engine/shard/assign.rs
+++ b/daemon/src/engine/shard/assign.rs
@@ -66,7 +66,8 @@
             if contested {
                 return None;
             }
-            let fit = |pooled: &PooledConnection| pooled.distance(request.values, request.prepared);
+            let fit =
+                |pooled: &PooledConnection| pooled.setup_cost(request.values, request.prepared);
             if let Some(connection) = self.take_from(&server, &request.owner, fit) {
                 return Some((server, connection));
             }
@@ -157,7 +158,7 @@
             let others = idle.iter().filter(|other| other.account == *account);
             f64::from(u32::try_from(others.count()).unwrap_or(u32::MAX))
         };
-        let worth = |pooled: &PooledConnection| {
+        let rate_per_connection = |pooled: &PooledConnection| {
             let rate = pooled.account.as_ref().map_or(0.0, |id| self.request_rates.of(at, id));
             rate / same(&pooled.account)
         };
@@ -165,7 +166,8 @@
             waited >= REPLACE_DELAY || !self.is_waited_for(at, server, pooled)
         };
         let usable = idle.iter().enumerate().filter(|(_, pooled)| may_close(pooled));
-        let least = usable.min_by(|(_, a), (_, b)| worth(a).total_cmp(&worth(b)));
+        let least = usable
+            .min_by(|(_, a), (_, b)| rate_per_connection(a).total_cmp(&rate_per_connection(b)));
         least.map(|(index, _)| index)
     }
 
--- a/daemon/src/engine/single.rs
+++ b/daemon/src/engine/single.rs
@@ -263,7 +263,7 @@
             Duration::ZERO
         }
         RefusalKind::NotLeading => {
-            session.shard().lost_lead(server);
+            session.shard().observe_not_leading(server);
             Duration::ZERO
         }
         RefusalKind::Busy => {
@@ -369,7 +369,7 @@
 fn refused_write(session: &Session, server: &TargetId, refusal: ServerRefusal) -> Attempt {
     match refusal.kind {
         RefusalKind::NotLeading => {
-            session.shard().lost_lead(server);
+            session.shard().observe_not_leading(server);
             Attempt::Retry { failure: refusal.into(), pause: Duration::ZERO }
         }
         RefusalKind::Busy => {
--- a/daemon/src/engine/transaction.rs
+++ b/daemon/src/engine/transaction.rs
@@ -296,7 +296,7 @@
     state: TransactionState,
 ) -> Failure {
     if refusal.kind == RefusalKind::NotLeading {
-        session.shard().lost_lead(server);
+        session.shard().observe_not_leading(server);
     }
     match state {
         TransactionState::Open => {}
@@ -318,9 +318,11 @@
     server: &TargetId,
     position: Option<Position>,
 ) {
-    let proves_lead = !transaction.read_only;
+    let implies_leading = !transaction.read_only;
     session.shard().with_group(|group| match position {
-        Some(position) if proves_lead => group.observe_leading(sent_at, now(), server, position),
+        Some(position) if implies_leading => {
+            group.observe_leading(sent_at, now(), server, position)
+        }
         position => group.observe_answer(now(), server, position),
     });
 }
@@ -418,7 +420,7 @@
             Some(Duration::ZERO)
         }
         RefusalKind::NotLeading => {
-            session.shard().lost_lead(server);
+            session.shard().observe_not_leading(server);
             Some(Duration::ZERO)
         }
         RefusalKind::Busy => Some(statement_timing::BUSY_PAUSE),
--- a/daemon/src/engine/waiting.rs
+++ b/daemon/src/engine/waiting.rs
@@ -106,7 +106,7 @@
     ) -> Result<Lease, Failure> {
         let began_at = now();
         if request.need == Need::Leader {
-            self.want_leader();
+            self.note_leader_needed();
         }
         let tier = {
             let mut inner = self.lock();
--- a/daemon/src/inquiry.rs
+++ b/daemon/src/inquiry.rs
@@ -51,9 +51,9 @@
         if context.in_flight.contains(&key) {
             return Ok(state(State::InFlight));
         }
-        let entered =
-            owner::enter(context, &request.database, request.deadline, false, false).await;
-        let (serving, _work) = entered?;
+        let begun =
+            owner::begin_work(context, &request.database, request.deadline, false, false).await;
+        let (serving, _work) = begun?;
         // Checked again after the wait: an inquiry must not write a tombstone
         // for a request that has started in the meantime.
         if context.in_flight.contains(&key) {
--- a/daemon/src/link.rs
+++ b/daemon/src/link.rs
@@ -324,7 +324,7 @@
         owner: String::new(),
         term: *term,
     });
-    let heard = body.rumors.iter().map(|(database, record)| Ownership {
+    let rumors = body.rumors.iter().map(|(database, record)| Ownership {
         database: database.to_string(),
         owner: record.owner.to_string(),
         term: record.term,
@@ -337,7 +337,7 @@
         leaving: sender.leaving,
         configuration_version: sender.configuration_version,
         owned: owned.collect(),
-        heard: heard.collect(),
+        heard: rumors.collect(),
         sequence,
     }
 }
@@ -346,7 +346,7 @@
 #[must_use]
 pub fn heartbeat_from_wire(heartbeat: &Heartbeat) -> HeartbeatBody {
     let owned = heartbeat.owned.iter().map(|entry| (entry.database.as_str().into(), entry.term));
-    let heard = heartbeat.heard.iter().map(|entry| {
+    let rumors = heartbeat.heard.iter().map(|entry| {
         let record = OwnerRecord { owner: entry.owner.as_str().into(), term: entry.term };
         (entry.database.as_str().into(), record)
     });
@@ -360,6 +360,6 @@
             configuration_version: heartbeat.configuration_version,
         },
         owned: owned.collect(),
-        rumors: heard.collect(),
+        rumors: rumors.collect(),
     }
 }
--- a/daemon/src/owner.rs
+++ b/daemon/src/owner.rs
@@ -113,7 +113,7 @@
 /// Interval at which a wait checks its condition even without a notification.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-enum EnterDecision {
+enum BeginDecision {
     Serve(Serving, WorkGuard),
     Wait,
     NotOwner,
@@ -128,7 +128,7 @@
 /// When another instance owns the database, when the database does not exist,
 /// or when no primary is available before `deadline` or within
 /// [`EXPECTED_FAILOVER_TIME`]. No part of the request has run in these cases.
-pub async fn enter(
+pub async fn begin_work(
     context: &Shared,
     database: &DatabaseId,
     deadline: Instant,
@@ -138,11 +138,11 @@
     let began = Instant::now();
     loop {
         let changed = context.databases.changed.notified();
-        match try_enter(context, database, begins_transaction, in_transaction) {
-            EnterDecision::Serve(serving, guard) => return Ok((serving, guard)),
-            EnterDecision::NotOwner => return Err(not_owner(context, database)),
-            EnterDecision::UnknownDatabase => return Err(failure(ErrorKind::UnknownDatabase)),
-            EnterDecision::Wait => {}
+        match try_begin_work(context, database, begins_transaction, in_transaction) {
+            BeginDecision::Serve(serving, guard) => return Ok((serving, guard)),
+            BeginDecision::NotOwner => return Err(not_owner(context, database)),
+            BeginDecision::UnknownDatabase => return Err(failure(ErrorKind::UnknownDatabase)),
+            BeginDecision::Wait => {}
         }
         let now = Instant::now();
         if now >= deadline || now.saturating_duration_since(began) >= EXPECTED_FAILOVER_TIME {
@@ -152,16 +152,16 @@
     }
 }
 
-fn try_enter(
+fn try_begin_work(
     context: &Shared,
     database: &DatabaseId,
     begins_transaction: bool,
     in_transaction: bool,
-) -> EnterDecision {
+) -> BeginDecision {
     let decision = context.databases.with_database(database, |state| {
         state.ownership.requested(Instant::now());
         if !state.ownership.owns_or_is_taking() {
-            return EnterDecision::NotOwner;
+            return BeginDecision::NotOwner;
         }
         let gate_closed = match state.gate {
             Gate::Open => false,
@@ -170,12 +170,12 @@
         };
         let ready = !gate_closed && state.ledger_ready;
         let Some((term, primary)) = state.ownership.serving().filter(|_| ready) else {
-            return EnterDecision::Wait;
+            return BeginDecision::Wait;
         };
         let guard = WorkGuard::new(&context.databases, database, state);
-        EnterDecision::Serve(Serving { term, primary }, guard)
+        BeginDecision::Serve(Serving { term, primary }, guard)
     });
-    decision.unwrap_or(EnterDecision::UnknownDatabase)
+    decision.unwrap_or(BeginDecision::UnknownDatabase)
 }
 
 /// Builds the failure of a request that came to an instance that does not own
--- a/daemon/src/read.rs
+++ b/daemon/src/read.rs
@@ -66,7 +66,7 @@
     let mut excluded: Vec<TargetId> = Vec::new();
     for tries in 0..MAX_TRIES {
         let (serving, work) =
-            owner::enter(context, &request.database, request.deadline, false, false).await?;
+            owner::begin_work(context, &request.database, request.deadline, false, false).await?;
         let (server, floor) = choose_server(context, request, &serving, &excluded);
         let by_replica = server != serving.primary;
         match try_at_server(context, request, &serving, &server, floor, tries == 0).await {
--- a/daemon/src/transaction.rs
+++ b/daemon/src/transaction.rs
@@ -73,7 +73,7 @@
 
 async fn begin(context: &Shared, request: &Request) -> Result<OpenTransaction, Failure> {
     let (database, deadline) = (&request.database, request.deadline);
-    let (serving, work) = owner::enter(context, database, deadline, true, false).await?;
+    let (serving, work) = owner::begin_work(context, database, deadline, true, false).await?;
     let count = TransactionCount::new(&context.databases, database);
     let server = serving.primary.clone();
     let (_slot, mut guard) =
@@ -193,9 +193,9 @@
 /// writes a tombstone that keeps it from committing later.
 async fn resolve_commit(context: &Shared, request: &Request) -> Result<StatementResult, Failure> {
     loop {
-        let entered =
-            owner::enter(context, &request.database, request.deadline, false, false).await;
-        let (serving, _work) = entered.map_err(write::in_doubt)?;
+        let begun =
+            owner::begin_work(context, &request.database, request.deadline, false, false).await;
+        let (serving, _work) = begun.map_err(write::in_doubt)?;
         if let Ok(row) = write::look_up_or_cancel(context, request, &serving).await {
             let position = row.position_in(&serving);
             match write::confirm_write(context, request, &serving, position).await {
--- a/daemon/src/write.rs
+++ b/daemon/src/write.rs
@@ -186,9 +186,9 @@
 ) -> Result<StatementResult, Failure> {
     let mut progress = Progress::new(digest, request.submit.resend);
     loop {
-        let entered =
-            owner::enter(context, &request.database, request.deadline, false, false).await;
-        let (serving, _work) = entered.map_err(|failure| progress.give_up(failure))?;
+        let begun =
+            owner::begin_work(context, &request.database, request.deadline, false, false).await;
+        let (serving, _work) = begun.map_err(|failure| progress.give_up(failure))?;
         let last = match try_in_term(context, request, &serving, &mut progress).await {
             AttemptResult::Committed(result, position) => {
                 match confirm_write(context, request, &serving, position).await {
--- a/lib/src/admission.rs
+++ b/lib/src/admission.rs
@@ -174,7 +174,7 @@
     /// Restricts the server to one slot. Called after a failover, when the caches of
     /// the new primary are cold and all clients reconnect at once. Each call of
     /// [`Self::allow_more`] adds a slot.
-    pub fn start_slowly(&mut self) {
+    pub fn begin_slow_start(&mut self) {
         self.allowed = 1.min(self.slots);
     }
 
--- a/lib/src/instance.rs
+++ b/lib/src/instance.rs
@@ -382,7 +382,7 @@
                 self.handover_ended(now, &database, accepted)
             }
             InstanceEvent::Leave => {
-                self.membership().leave();
+                self.membership().mark_leaving();
                 Vec::new()
             }
         }
@@ -427,8 +427,9 @@
         for shard in &self.shards {
             let shard = lock(shard);
             let active = shard.active.iter().filter_map(|id| shard.databases.get_key_value(id));
-            let engaged = active.filter(|(_, state)| state.ownership.owns_or_is_taking());
-            owned.extend(engaged.map(|(id, state)| {
+            let owned_or_being_taken =
+                active.filter(|(_, state)| state.ownership.owns_or_is_taking());
+            owned.extend(owned_or_being_taken.map(|(id, state)| {
                 let term = state.ownership.serving().map_or(0, |(term, _)| term);
                 (id.clone(), term)
             }));
@@ -621,7 +622,7 @@
         state.ledger_ready = first.index > MAX_LOG_WITHOUT_LEDGER;
         state.floors.promoted(*first);
         if let Some(slots) = state.slots.get_mut(primary) {
-            slots.start_slowly();
+            slots.begin_slow_start();
         }
     }
 }
--- a/lib/src/leader_watch.rs
+++ b/lib/src/leader_watch.rs
@@ -86,7 +86,7 @@
 pub struct LeaderWatch {
     suspicion: Option<Suspicion>,
     /// The draining primary, and since when it drains.
-    leaving_since: Option<(TargetId, Moment)>,
+    draining_since: Option<(TargetId, Moment)>,
     /// An instance is replacing the primary; this one starts no replacement before
     /// this time.
     replacement_until: Moment,
@@ -165,8 +165,8 @@
         let lagging_replicas = group.lagging_replicas(now).filter(|view| view.failures == 0);
         actions.extend(lagging_replicas.map(|view| WatchAction::Sample(view.info.id.clone())));
         self.probe_failed_replicas(now, group, &mut actions);
-        self.watch_leaving(now, group, rank, &mut actions);
-        self.watch_failing(now, group, rank, &mut actions);
+        self.check_draining_primary(now, group, rank, &mut actions);
+        self.check_failing_primary(now, group, rank, &mut actions);
         actions
     }
 
@@ -208,7 +208,7 @@
         actions.push(WatchAction::Sample(leader.id.clone()));
     }
 
-    fn watch_leaving(
+    fn check_draining_primary(
         &mut self,
         now: Moment,
         group: &Group,
@@ -221,23 +221,28 @@
             .confirmed_leader()
             .filter(|leader| group.server(&leader.id).is_some_and(|view| view.info.draining));
         let Some(leader) = leaving else {
-            self.leaving_since = None;
+            self.draining_since = None;
             return;
         };
-        let since = match &self.leaving_since {
+        let since = match &self.draining_since {
             Some((id, since)) if *id == leader.id => *since,
             _ => {
-                self.leaving_since = Some((leader.id.clone(), now));
+                self.draining_since = Some((leader.id.clone(), now));
                 now
             }
         };
-        if self.may_act(now, since, rank) {
+        if self.may_start_replacement(now, since, rank) {
             let from = Some(leader.id.clone());
             actions.push(WatchAction::Replace { from, reason: ReplaceReason::Leaving });
         }
     }
 
-    fn may_act(&self, now: Moment, confirmed_at: Moment, rank: Option<usize>) -> bool {
+    fn may_start_replacement(
+        &self,
+        now: Moment,
+        confirmed_at: Moment,
+        rank: Option<usize>,
+    ) -> bool {
         let Some(rank) = rank.and_then(|rank| u32::try_from(rank).ok()) else {
             return false;
         };
@@ -245,7 +250,7 @@
         now >= confirmed_at + STAGGER * rank && free
     }
 
-    fn watch_failing(
+    fn check_failing_primary(
         &mut self,
         now: Moment,
         group: &Group,
@@ -276,7 +281,7 @@
         let Some(confirmed_at) = confirmed_at else {
             return;
         };
-        if self.may_act(now, confirmed_at, rank) {
+        if self.may_start_replacement(now, confirmed_at, rank) {
             let reason = match leader {
                 _ if since + LAST_RESORT_AFTER <= now => ReplaceReason::LastResort,
                 Some(_) => ReplaceReason::Unreachable,
--- a/lib/src/membership.rs
+++ b/lib/src/membership.rs
@@ -162,7 +162,7 @@
 const SUCCESSORS: usize = 2;
 
 /// A longer gap between two ticks means that this process was paused.
-const PAUSE_GAP: Duration = Duration::from_millis(400);
+const PAUSE_THRESHOLD: Duration = Duration::from_millis(400);
 
 impl Membership {
     /// Creates a membership without other instances.
@@ -196,7 +196,7 @@
 
     /// Marks this instance as leaving, so that it is no longer a candidate for
     /// ownership.
-    pub fn leave(&mut self) {
+    pub fn mark_leaving(&mut self) {
         self.me.leaving = true;
         self.succession.remove(&self.me.id.clone());
     }
@@ -362,8 +362,9 @@
     /// with its sequence number.
     pub fn tick(&mut self, now: Instant) -> Vec<(PeerInfo, u64)> {
         self.started_at.get_or_insert(now);
-        let paused =
-            self.last_tick_at.is_some_and(|last| now.saturating_duration_since(last) > PAUSE_GAP);
+        let paused = self
+            .last_tick_at
+            .is_some_and(|last| now.saturating_duration_since(last) > PAUSE_THRESHOLD);
         self.last_tick_at = Some(now);
         if paused {
             self.vacant_since.clear();
--- a/lib/src/ownership.rs
+++ b/lib/src/ownership.rs
@@ -140,7 +140,7 @@
 }
 
 /// A longer gap between two ticks means that this process was paused.
-const PAUSE_GAP: Duration = Duration::from_millis(300);
+const PAUSE_THRESHOLD: Duration = Duration::from_millis(300);
 
 impl Ownership {
     /// Creates the state machine of a database without a known owner.
@@ -335,7 +335,7 @@
                 self.probed(now, &server, sequence, state)
             }
             OwnershipEvent::HigherTerm(term) => self.higher_term(now, term),
-            OwnershipEvent::Release => self.lose(now, LossReason::Released),
+            OwnershipEvent::Release => self.end_ownership(now, LossReason::Released),
             OwnershipEvent::Servers(servers) => {
                 self.set_servers(servers);
                 Vec::new()
@@ -406,8 +406,9 @@
     }
 
     fn reset_after_pause(&mut self, now: Instant) {
-        let paused =
-            self.last_tick_at.is_some_and(|last| now.saturating_duration_since(last) > PAUSE_GAP);
+        let paused = self
+            .last_tick_at
+            .is_some_and(|last| now.saturating_duration_since(last) > PAUSE_THRESHOLD);
         self.last_tick_at = Some(now);
         if !paused {
             return;
@@ -426,7 +427,9 @@
     fn higher_term(&mut self, now: Instant, term: Term) -> Vec<OwnershipAction> {
         self.highest_term = self.highest_term.max(term);
         match &self.phase {
-            Phase::Serving { term: own, .. } if term > *own => self.lose(now, LossReason::Fenced),
+            Phase::Serving { term: own, .. } if term > *own => {
+                self.end_ownership(now, LossReason::Fenced)
+            }
             Phase::Fencing { term: own, .. } | Phase::Promoting { term: own, .. }
                 if term > *own =>
             {
@@ -436,7 +439,7 @@
         }
     }
 
-    fn lose(&mut self, now: Instant, reason: LossReason) -> Vec<OwnershipAction> {
+    fn end_ownership(&mut self, now: Instant, reason: LossReason) -> Vec<OwnershipAction> {
         if !self.owns_or_is_taking() {
             return Vec::new();
         }
--- a/lib/src/ownership/fencing.rs
+++ b/lib/src/ownership/fencing.rs
@@ -118,7 +118,11 @@
     ) -> Vec<OwnershipAction> {
         self.highest_term = self.highest_term.max(higher);
         if let Phase::Serving { term: own, .. } = &self.phase {
-            return if higher > *own { self.lose(now, LossReason::Fenced) } else { Vec::new() };
+            return if higher > *own {
+                self.end_ownership(now, LossReason::Fenced)
+            } else {
+                Vec::new()
+            };
         }
         let Phase::Fencing { term: own, cause, .. } = &self.phase else {
             return Vec::new();
--- a/lib/src/ownership/watching.rs
+++ b/lib/src/ownership/watching.rs
@@ -26,7 +26,7 @@
             view.detector.tick(now);
         }
         if self.is_isolated(now) {
-            return self.lose(now, LossReason::Isolated);
+            return self.end_ownership(now, LossReason::Isolated);
         }
         if let Some(cause) = self.primary_fault(primary) {
             return self.replace_primary(now, primary.clone(), cause);
@@ -46,7 +46,7 @@
             view.probed_at = Some(now);
             actions.push(OwnershipAction::Probe { server: id.clone(), sequence });
         }
-        actions.extend(self.repair_followers(term, primary));
+        actions.extend(self.repair_replicas(term, primary));
         actions
     }
 
@@ -171,7 +171,7 @@
     /// Returns the actions that repair replicas: a server with an older term is
     /// fenced again, and a server of the current term that does not follow the
     /// primary is made to follow it.
-    pub(super) fn repair_followers(&self, term: Term, primary: &TargetId) -> Vec<OwnershipAction> {
+    pub(super) fn repair_replicas(&self, term: Term, primary: &TargetId) -> Vec<OwnershipAction> {
         let mut actions = Vec::new();
         for (id, view) in &self.servers {
             let Some(state) = &view.state else {
@@ -224,7 +224,7 @@
             return Vec::new();
         };
         if term > own_term {
-            return self.lose(now, LossReason::Fenced);
+            return self.end_ownership(now, LossReason::Fenced);
         }
         if term == own_term && owner == holder {
             if let Some(sent_at) = sent_at {
--- a/lib/src/primary_lease.rs
+++ b/lib/src/primary_lease.rs
@@ -416,7 +416,7 @@
     }
 
     /// Records that the order under `token` was carried out or never will be.
-    pub fn settle(&mut self, token: DutyToken) {
+    pub fn record_order_ended(&mut self, token: DutyToken) {
         self.voted.retain(|voted| voted.token != token);
     }
 
--- a/lib/src/stop_plan.rs
+++ b/lib/src/stop_plan.rs
@@ -41,13 +41,13 @@
         self.began_at + self.grace * percent / 100
     }
 
-    /// When an idle session is closed. `spread` is a random number from 0 to 999, drawn
+    /// When an idle session is closed. `random_number` is a number from 0 to 999, drawn
     /// once for each session, that distributes the closing times.
     #[must_use]
-    pub fn close_at(&self, spread: u32) -> Moment {
+    pub fn close_at(&self, random_number: u32) -> Moment {
         let first = self.at(CLOSING_BEGINS_PERCENT);
         let last = self.at(CLOSING_ENDS_PERCENT);
-        first + last.saturating_sub(first) * spread.min(999) / 1000
+        first + last.saturating_sub(first) * random_number.min(999) / 1000
     }
 
     /// From when on a session is closed as soon as its operation has ended.
--- a/lib/src/store_timeouts.rs
+++ b/lib/src/store_timeouts.rs
@@ -19,10 +19,10 @@
 
 /// Share of the available time that a liveness check waits, in eighths. The rest allows
 /// for processes that are scheduled late.
-const WAIT_EIGHTHS: u32 = 5;
+const LIVENESS_WAIT_EIGHTHS: u32 = 5;
 
-const SHORTEST_WAIT: Duration = Duration::from_millis(200);
-const LONGEST_WAIT: Duration = Duration::from_secs(4);
+const MIN_LIVENESS_WAIT: Duration = Duration::from_millis(200);
+const MAX_LIVENESS_WAIT: Duration = Duration::from_secs(4);
 
 /// Timeouts by which an instance detects that the store is unresponsive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -37,8 +37,8 @@
     #[must_use]
     pub fn within(bound: Duration) -> Self {
         let fixed = ANSWER_TIMEOUT + STORE_RETRY_INTERVAL + HEARTBEAT_INTERVAL;
-        let wait = bound.saturating_sub(fixed) * WAIT_EIGHTHS / 8;
-        Self { liveness_wait: wait.clamp(SHORTEST_WAIT, LONGEST_WAIT) }
+        let wait = bound.saturating_sub(fixed) * LIVENESS_WAIT_EIGHTHS / 8;
+        Self { liveness_wait: wait.clamp(MIN_LIVENESS_WAIT, MAX_LIVENESS_WAIT) }
     }
 
     /// Longest time from when the store stops responding until an instance detects it.
--- a/lib/tests/lease_world/mod.rs
+++ b/lib/tests/lease_world/mod.rs
@@ -483,7 +483,7 @@
                 }
             }
             Message::Settled { token } => {
-                self.instances[to].group.primary_lease_mut().settle(token);
+                self.instances[to].group.primary_lease_mut().record_order_ended(token);
             }
             Message::StoreRead { asked_ms } => {
                 let (stored, era) = (self.stored.clone(), self.era);
