--- a/daemon/src/engine/fleet_control.rs
+++ b/daemon/src/engine/fleet_control.rs
@@ -76,8 +76,8 @@
 /// An instance to send a heartbeat to.
 struct HeartbeatTarget {
     record: InstanceRecord,
-    /// Groups that this instance uses and on which the other votes or to which it also
-    /// holds connections.
+    /// The groups that this instance uses and for which the other instance votes or holds
+    /// connections.
     shared_groups: Vec<Arc<Shard>>,
 }
 
--- a/daemon/src/engine/instance_control.rs
+++ b/daemon/src/engine/instance_control.rs
@@ -172,8 +172,9 @@
 async fn write_record(engine: &Engine, directory: &dyn Directory) -> Result<(), WriteError> {
     let me = engine.me();
     let record = Record::Instance(me.clone());
-    // Each call to the store has a price. So the record of an earlier incarnation is
-    // replaced at the revision that was listed, and read only if that write is refused.
+    // The platform charges for each call to the store. So the record of an earlier
+    // incarnation is replaced at the revision that was listed, and read only if that write
+    // is refused.
     let earlier = engine.take_earlier_record();
     match directory.write(&me.id, &record, earlier).await {
         Err(WriteError::Conflict(Some(present))) if present.record == record => {
--- a/daemon/src/engine/leader_control.rs
+++ b/daemon/src/engine/leader_control.rs
@@ -203,8 +203,8 @@
     });
 }
 
-/// Time after the start before an instance takes vacant duties. At first it knows few
-/// other instances and ranks itself too high: when 74 instances started together, 140 of
+/// Time after the start before an instance takes vacant duties. At first it has the records
+/// of few other instances and ranks itself too high: when 74 instances started together, 140 of
 /// 170 attempts were refused, and each needed a read.
 const CLAIM_AFTER: Duration = Duration::from_secs(3);
 
@@ -328,7 +328,7 @@
     }
 
     /// Answers another instance that suspects a primary: whether this one reaches it, and
-    /// which primary this one knows. Probes the primary if it has no recent answer.
+    /// which primary this one has observed. Probes the primary if it has no recent answer.
     #[must_use]
     pub fn leader_reply(&self, query: &LeaderQuery) -> LeaderReply {
         let group: GroupId = query.group.as_str().into();
--- a/daemon/src/engine/primary_lease_control.rs
+++ b/daemon/src/engine/primary_lease_control.rs
@@ -359,7 +359,7 @@
     }
 
     /// Handles the outcome of a replacement: its order, for which this instance may have
-    /// promised, is settled.
+    /// made a promise, was carried out or never will be.
     pub fn apply_primary_news(&self, news: &PrimaryNews) {
         let shard = self.shard(&news.group.as_str().into());
         let id = news.server.as_str().into();
--- a/daemon/src/engine/quota_control.rs
+++ b/daemon/src/engine/quota_control.rs
@@ -150,7 +150,7 @@
     loop {
         tokio::time::sleep(SHARD_CHECK_INTERVAL).await;
         let has_accounts = engine.catalog().accounts.is_some();
-        // An instance that knows no others would take itself for a majority.
+        // An instance without a list of the others would count its own vote as a majority.
         if !has_accounts || !engine.is_fleet_listed() || !engine.is_fleet_known() {
             continue;
         }
--- a/daemon/src/engine/record_watch.rs
+++ b/daemon/src/engine/record_watch.rs
@@ -120,7 +120,7 @@
 const STALE_CHANGE_PAUSE: Duration = Duration::from_secs(1);
 
 /// Time in which a starting instance has listed the other instances (4 ms, or 100 ms
-/// from a slow store) and knows whether it is a relay. Without a pause of this length
+/// from a slow store) and can compute whether it is a relay. Without a pause of this length
 /// all starting instances began with a watch of current data, at ten times the price.
 pub const PEER_LISTING_TIME: Duration = Duration::from_secs(1);
 
@@ -238,8 +238,8 @@
                     let available = availability.wait_until_available();
                     let available =
                         tokio::time::timeout(AVAILABILITY_WAIT, available).await.is_ok();
-                    // A liveness reply proves as much as a short watch, at a tenth of
-                    // the price.
+                    // A liveness reply shows as reliably as a short watch that the store
+                    // is available, at a tenth of the price.
                     if let (true, Some(revision)) = (available, revision) {
                         failing = false;
                         report_store_available(kind, revision);
--- a/daemon/src/engine/remote.rs
+++ b/daemon/src/engine/remote.rs
@@ -282,7 +282,8 @@
     }
 }
 
-/// Whether a reply says that another holder may serve the statement. Nothing ran.
+/// Whether a reply is a refusal after which another holder may serve the statement. The
+/// statement did not run.
 fn needs_other_holder(reply: &StatementReply) -> bool {
     let kind = ErrorKind::from_name(&reply.error);
     let elsewhere = matches!(kind, ErrorKind::NotOwner | ErrorKind::Stopping | ErrorKind::CutOff);
@@ -310,8 +311,8 @@
 }
 
 /// Sends a single statement, or the first one of a transaction, on any link to a holder. If
-/// that link turns out to be dead, it is sent again on a new one. Returns the link with the
-/// reply.
+/// that link turns out to be dead, sends the statement again on a new one. Returns the link
+/// with the reply.
 async fn send_first(
     session: &mut Session,
     request: &Request,
@@ -387,7 +388,7 @@
 }
 
 /// Asks an instance, on another link, about a statement that it has not answered. Returns
-/// when the link of the statement turns out to be dead, with what became of the statement;
+/// when the link of the statement turns out to be dead, with the statement's delivery state;
 /// `None` if the instance is unreachable.
 async fn detect_dead_link(
     engine: &Engine,
--- a/daemon/src/engine/replacement.rs
+++ b/daemon/src/engine/replacement.rs
@@ -486,7 +486,7 @@
         self.written_era = written_era;
         self.withdrawn_token = std::mem::replace(&mut self.duty, duty).token;
         self.successor = target.id.clone();
-        // The voters have to learn the new successor: until the order is settled they
+        // The new successor has to be sent to the voters: until the order has ended, they
         // object to an order for another server.
         let voters = self.replacer.engine.voters(self.shard.id());
         let replies = self.send_term_end_to_all(false).await;
--- a/daemon/src/engine/server_control.rs
+++ b/daemon/src/engine/server_control.rs
@@ -29,7 +29,7 @@
 
 /// Pause after a change, so that one watch returns all changes within it. It is far below
 /// the time in which a leaving server must get no more requests, and below the interval of
-/// the heartbeats by which other instances learn of the change.
+/// the heartbeats by which other instances detect the change.
 const CHANGE_BATCH_PAUSE: Duration = Duration::from_millis(200);
 
 /// Interval of the checks whether missing servers are to be dropped.
--- a/daemon/src/engine/shared.rs
+++ b/daemon/src/engine/shared.rs
@@ -334,7 +334,7 @@
         newer
     }
 
-    /// Recomputes what follows from the configuration and from the live instances: the
+    /// Recomputes what depends on the configuration and on the live instances: the
     /// holders of each group, the number of connections that this instance may open to
     /// its servers, and its voters.
     pub fn recompute_assignments(&self) {
--- a/daemon/src/engine/shared/known_fleet.rs
+++ b/daemon/src/engine/shared/known_fleet.rs
@@ -1,4 +1,4 @@
-//! Whether an instance knows the other instances, and from which source.
+//! Whether an instance has a list of the other instances, and from which source.
 //!
 //! The fleet is *listed* once the instances come from a listing of the store, received
 //! from the store or from another instance. It is *known* once this instance serves with
--- a/lib/src/duty.rs
+++ b/lib/src/duty.rs
@@ -14,7 +14,7 @@
 use crate::revision::Era;
 
 /// Fencing token of a duty. The platform refuses an order whose token is lower than
-/// one that it has seen.
+/// one that it received before.
 pub type DutyToken = u64;
 
 /// Number of tokens reserved for one era of the store, far more than are issued in
--- a/lib/src/fleet.rs
+++ b/lib/src/fleet.rs
@@ -319,7 +319,7 @@
     }
 
     /// Restarts the time without an answer of all instances, after this process was
-    /// paused: that no answer was processed meanwhile says nothing about the others.
+    /// paused: it could not process answers meanwhile, so their lack is no sign of a failure.
     pub fn process_paused(&mut self, now: Moment) {
         for member in self.members.values_mut() {
             member.last_contact_at = now;
--- a/lib/src/ledger.rs
+++ b/lib/src/ledger.rs
@@ -12,7 +12,8 @@
 use sha2::Sha256;
 
 /// Largest answer that the ledger stores for a repeated request, in bytes. If the
-/// answer was larger, the repeated request learns that it ran, without the rows.
+/// answer was larger, the answer to a repeated request shows that the request ran, but
+/// does not contain the rows.
 pub const KEPT_ANSWER_LIMIT_BYTES: usize = 64 * 1024;
 
 /// How long the ledger keeps a row. Older request ids are refused.
--- a/lib/src/membership.rs
+++ b/lib/src/membership.rs
@@ -40,7 +40,7 @@
     /// Additional wait of each successor compared with the one before it.
     pub stagger: Duration,
     /// Time after which a database that its owner omits from heartbeats counts
-    /// as given up.
+    /// as released.
     pub omitted_grace: Duration,
     /// Interval between searches for better placed owners.
     pub balance_interval: Duration,
@@ -112,7 +112,7 @@
     has_reported: bool,
 }
 
-/// A change of ownership that is spread by gossip.
+/// A rumor: a change of ownership that is spread by gossip.
 #[derive(Clone, Debug)]
 struct Rumor {
     record: OwnerRecord,
@@ -387,8 +387,8 @@
 
     /// Returns the heartbeat interval for the size of the fleet.
     ///
-    /// A small fleet can afford frequent heartbeats. In a large one the longer
-    /// interval limits the traffic; each owner is still watched by two instances.
+    /// In a small fleet, frequent heartbeats cause little traffic. In a large one the
+    /// longer interval limits the traffic; each owner is still watched by two instances.
     fn heartbeat_interval(&self) -> Duration {
         if self.peers.len() <= WATCH_ALL_LIMIT {
             self.timing.heartbeat_interval
@@ -479,7 +479,7 @@
     /// Whether this instance has to take the database now.
     ///
     /// Returns `Some(true)` if the known owner is unresponsive, `Some(false)` if
-    /// there is no owner or the owner has given the database up, and `None` if
+    /// there is no owner or the owner has released the database, and `None` if
     /// this instance must not take it now.
     pub fn should_take(&mut self, now: Instant, database: &DatabaseId) -> Option<bool> {
         let started_at = self.started_at?;
--- a/lib/src/ownership_types.rs
+++ b/lib/src/ownership_types.rs
@@ -38,8 +38,8 @@
     /// Time after which the owner replaces a primary from which the reachable
     /// replicas, if they form a majority, have received nothing.
     pub replication_timeout: Duration,
-    /// Time without a reachable majority after which the owner gives up the
-    /// database.
+    /// Time without a reachable majority after which the owner stops serving
+    /// the database.
     pub isolation_limit: Duration,
     /// Shortest wait before another attempt after a lost race.
     pub backoff: Duration,
--- a/lib/tests/test_group.rs
+++ b/lib/tests/test_group.rs
@@ -139,7 +139,8 @@
         let asked_at = at(step * 100);
         group.observe_leading(asked_at, asked_at, &id("p"), Position::new(1, 100 + step));
     }
-    // r1 has 1/110, and the primary was first beyond it at 1,100 ms: r1 is 3.9 s behind.
+    // r1 has applied the log up to 1/110. The primary first reported a later position at
+    // 1,100 ms, so at 5,000 ms r1 is 3.9 s behind.
     group.observe_answer(at(5_000), &id("r1"), Some(Position::new(1, 110)));
     assert!(group.can_read(at(5_000), &id("r1"), Position::new(1, 110)));
     assert!(!group.can_read(at(5_000), &id("r1"), Position::new(1, 130)));
