--- a/daemon/src/engine/instance_control.rs
+++ b/daemon/src/engine/instance_control.rs
@@ -115,8 +115,8 @@
 
     fn replace(&mut self, listing: Listing) {
         self.engine.note_store_answered();
-        let mine = listing.entries.iter().find(|entry| *entry.name == *self.engine.me().id);
-        let earlier = mine.map(|entry| entry.revision);
+        let own_entry = listing.entries.iter().find(|entry| *entry.name == *self.engine.me().id);
+        let earlier = own_entry.map(|entry| entry.revision);
         let mut records: Vec<_> = listing.entries.into_iter().filter_map(instance_of).collect();
         records.extend(self.engine.with_fleet(|fleet| {
             let known = listing.unreadable.iter().filter_map(|id| fleet.record(id));
@@ -218,8 +218,8 @@
 
 /// Removes the records of instances that have long been unresponsive.
 pub fn remove_unresponsive(engine: &Arc<Engine>, directory: &Arc<dyn Directory>, at: Moment) {
-    let lost = engine.with_fleet(|fleet| fleet.removable(at));
-    for record in lost {
+    let removable = engine.with_fleet(|fleet| fleet.removable(at));
+    for record in removable {
         let directory = directory.clone();
         tokio::spawn(async move { remove_record(&*directory, record).await });
     }
--- a/daemon/src/engine/probe.rs
+++ b/daemon/src/engine/probe.rs
@@ -106,7 +106,7 @@
 pub async fn sample(shard: &Arc<Shard>, id: &TargetId) {
     let values = SessionValues::new();
     let asked_at = now();
-    let want = ConnectionRequest {
+    let connection_request = ConnectionRequest {
         owner: ConnectionOwner::AnyAccount,
         need: Need::Server(id.clone()),
         priority: SAMPLE_PRIORITY,
@@ -115,7 +115,7 @@
         values: &values,
         prepared: None,
     };
-    let mut lease = match shard.acquire(&want).await {
+    let mut lease = match shard.acquire(&connection_request).await {
         Ok(lease) => lease,
         Err(failure) => {
             report_failure(shard, id, &failure.text);
--- a/daemon/src/engine/replacement.rs
+++ b/daemon/src/engine/replacement.rs
@@ -172,15 +172,17 @@
         return Ok(());
     }
     let target = found.best.ok_or(Abandoned::BeforeOrder("no replica can take over"))?;
-    let seen_term = shard.with_group(|group| group.seen_term()).max(target.status.term);
+    let highest_observed_term =
+        shard.with_group(|group| group.highest_observed_term()).max(target.status.term);
     let known = replacer.engine.with_duties(|duties| duties.record(shard.id()).cloned());
     let last_order = known.and_then(|record| record.order);
-    if !last_resort && !duty::order_permits(last_order.as_ref(), &target.id, seen_term) {
+    if !last_resort && !duty::order_permits(last_order.as_ref(), &target.id, highest_observed_term)
+    {
         return Err(Abandoned::BeforeOrder(
             "the outcome of an order for another server is unknown",
         ));
     }
-    let highest_term = shard.with_group(|group| group.highest_term()).max(seen_term);
+    let highest_term = shard.with_group(|group| group.highest_term()).max(highest_observed_term);
     let order = DutyOrder { server: target.id.clone(), term: highest_term + 1 };
     let metrics = replacer.engine.metrics();
     let began_at = now();
@@ -435,10 +437,10 @@
     }
 
     fn report_promises(&self, tally: &PromiseTally) {
-        let silent = tally.missing().count();
+        let missing_promises = tally.missing().count();
         let event = Event::new(EventKind::ReplacementAgreed).with("group", self.shard.id());
         let event = event.with("term", self.term).with("token", self.duty.token);
-        event_log::emit(&event.with_count("silent", silent));
+        event_log::emit(&event.with_count("silent", missing_promises));
     }
 
     /// Chooses the server to promote, now that no instance acknowledges commits of the
--- a/daemon/src/engine/session.rs
+++ b/daemon/src/engine/session.rs
@@ -455,7 +455,7 @@
         prepared: Option<&Prepared>,
     ) -> Result<Lease, Failure> {
         let began_at = now();
-        let want = ConnectionRequest {
+        let connection_request = ConnectionRequest {
             need,
             owner: ConnectionOwner::Account(self.caller.account.clone()),
             priority: request.route.priority,
@@ -464,7 +464,7 @@
             values: &self.values,
             prepared,
         };
-        let acquired = self.shard.acquire(&want).await;
+        let acquired = self.shard.acquire(&connection_request).await;
         self.trace.waited += now().saturating_sub(began_at);
         acquired
     }
--- a/daemon/src/engine/survey.rs
+++ b/daemon/src/engine/survey.rs
@@ -70,7 +70,7 @@
             continue;
         }
         answered += 1;
-        if can_take_over(shard, &id, &status, last_resort) {
+        if can_be_promoted(shard, &id, &status, last_resort) {
             survey.note_replica(Candidate { id, status });
         }
     }
@@ -111,7 +111,7 @@
 
 /// Whether a replica can be promoted: it is not about to leave, and it did not miss a
 /// change of primary, unless this is the last resort.
-fn can_take_over(
+fn can_be_promoted(
     shard: &Arc<Shard>,
     id: &TargetId,
     status: &ServerStatus,
--- a/daemon/src/engine/waiting.rs
+++ b/daemon/src/engine/waiting.rs
@@ -227,14 +227,14 @@
         let measured =
             |tier, ahead| self.wait_estimator.expected_wait(now, request.sub_queue(tier), ahead);
         let in_time = measured(Tier::InTime, ahead);
-        let prospect = WaitForecast {
+        let forecast = WaitForecast {
             in_time: in_time.or_else(|| self.computed_wait(&servers, ahead)),
             late: measured(Tier::Late, late_waiting),
             late_waiting,
             max_wait,
             time_left: late_until(request).saturating_sub(now),
         };
-        match prospect.decide() {
+        match forecast.decide() {
             QueueDecision::Wait(tier) => Ok(tier),
             QueueDecision::Refuse(after) => {
                 Err(Failure::new(ErrorKind::Overloaded).with_retry_after(after))
--- a/lib/src/floors.rs
+++ b/lib/src/floors.rs
@@ -108,8 +108,8 @@
             Freshness::OwnWrites => Some(own),
             Freshness::Fresh => Some(own.max(self.last_acknowledged)),
             Freshness::MaxAge(age) => {
-                let young = self.oldest_within(now, age)?;
-                Some(own.max(young))
+                let oldest = self.oldest_within(now, age)?;
+                Some(own.max(oldest))
             }
         }
     }
--- a/lib/src/group.rs
+++ b/lib/src/group.rs
@@ -107,7 +107,7 @@
     /// primary's loss of the lead.
     highest_term: Term,
     /// Highest term that any server was seen in.
-    seen_term: Term,
+    highest_observed_term: Term,
     /// The lease on the primary's term.
     primary_lease: PrimaryLease,
     /// Samples of the primary's position.
@@ -220,7 +220,10 @@
         // The entry has no term, so it cannot be compared with what servers reported,
         // and a primary that was replaced may still be listed as one. The list is used
         // only by an instance that has just started and has seen no term yet.
-        if self.leader.is_none() && self.seen_term == 0 && self.primary_lease.retired() == 0 {
+        if self.leader.is_none()
+            && self.highest_observed_term == 0
+            && self.primary_lease.retired() == 0
+        {
             self.leader = Some(Leader { id: view.info.id.clone(), term: 0, since: now });
         }
     }
@@ -241,7 +244,7 @@
             return self.observe_not_leading(id, status.term) || outdated;
         }
         // A primary that was replaced may still report that it leads.
-        if status.term < self.seen_term || status.term <= self.primary_lease.retired() {
+        if status.term < self.highest_observed_term || status.term <= self.primary_lease.retired() {
             return false;
         }
         // A primary that restarted without its log lacks commits that it acknowledged.
@@ -282,9 +285,11 @@
     /// of the present primary, which is then dropped: it has a successor, and a
     /// replacement must not start from it.
     fn observe_term(&mut self, term: Term) -> bool {
-        self.seen_term = self.seen_term.max(term);
-        let seen_term = self.seen_term;
-        self.leader.take_if(|leader| leader.term > 0 && leader.term < seen_term).is_some()
+        self.highest_observed_term = self.highest_observed_term.max(term);
+        let highest_observed_term = self.highest_observed_term;
+        self.leader
+            .take_if(|leader| leader.term > 0 && leader.term < highest_observed_term)
+            .is_some()
     }
 
     /// The lease on the primary's term.
@@ -306,8 +311,8 @@
     /// Returns an [`Objection`] if a server was seen in a later term, or for the reasons
     /// given at [`PrimaryLease::promise`].
     pub fn retire(&mut self, now: Moment, request: &RetireRequest) -> Result<Promise, Objection> {
-        if self.seen_term > request.term {
-            return Err(Objection::LaterTerm(self.seen_term));
+        if self.highest_observed_term > request.term {
+            return Err(Objection::LaterTerm(self.highest_observed_term));
         }
         let promise = self.primary_lease.promise(now, request)?;
         self.leader.take_if(|leader| leader.term <= request.term);
@@ -374,8 +379,8 @@
 
     /// Highest term that any server was seen in.
     #[must_use]
-    pub fn seen_term(&self) -> Term {
-        self.seen_term
+    pub fn highest_observed_term(&self) -> Term {
+        self.highest_observed_term
     }
 
     /// Records a position of the primary, if this instance held the lease when it sent
--- a/lib/src/quota.rs
+++ b/lib/src/quota.rs
@@ -299,8 +299,8 @@
         reason = "between one and the most"
     )]
     fn wanted(&self) -> u32 {
-        let soon = self.rate_per_s * GRANT_LIFETIME.as_secs_f64() / 2.0;
-        soon.floor().clamp(1.0, MAX_REQUESTED) as u32
+        let expected = self.rate_per_s * GRANT_LIFETIME.as_secs_f64() / 2.0;
+        expected.floor().clamp(1.0, MAX_REQUESTED) as u32
     }
 
     /// Records that the keeper granted `count` operations, of which one starts now.
--- a/lib/tests/lease_world/mod.rs
+++ b/lib/tests/lease_world/mod.rs
@@ -608,7 +608,7 @@
             return;
         }
         let group = &self.instances[number].group;
-        let term = group.seen_term().max(group.primary_lease().retired()).max(1);
+        let term = group.highest_observed_term().max(group.primary_lease().retired()).max(1);
         let known = group.leader().filter(|leader| leader.term > 0);
         let from = known.map(|leader| number_of(&leader.id));
         let side = self.instances[number].side;
@@ -646,10 +646,10 @@
     /// of the present incarnation. Returns whether that was possible.
     fn claim(&mut self, number: usize, replacement: &mut Replacement) -> bool {
         let me = (number, self.instances[number].life);
-        let seen_term = self.instances[number].group.seen_term();
+        let highest_observed_term = self.instances[number].group.highest_observed_term();
         let last = self.last_order(number);
         let order = DutyOrder { server: server_id(last.target), term: last.term };
-        if !order_permits(Some(&order), &server_id(replacement.target), seen_term) {
+        if !order_permits(Some(&order), &server_id(replacement.target), highest_observed_term) {
             return false;
         }
         // Another instance has taken the duty since this one began the replacement.
