--- a/daemon/src/engine/session.rs
+++ b/daemon/src/engine/session.rs
@@ -125,7 +125,8 @@
     event_log::emit(&event.with_some_ms("store_answered_ms", age));
 }
 
-/// Number of moments over which a planned stop spreads the closing of sessions.
+/// Exclusive upper limit of the random number of a session: the number of moments over which
+/// a planned stop spreads the closing of sessions.
 const RANDOM_NUMBER_LIMIT: u32 = 1000;
 
 /// Part of a statement's timeout that is reserved for the reply to the client: two
--- a/lib/src/group.rs
+++ b/lib/src/group.rs
@@ -49,7 +49,7 @@
 pub struct ServerStatus {
     /// Whether the server reports itself as the primary.
     pub leads: bool,
-    /// The latest term that the server has seen.
+    /// The latest term that the server reported.
     pub term: Term,
     /// Last position that the server received.
     pub received: Position,
@@ -96,17 +96,17 @@
 /// it raises a suspicion.
 const RECENT_ANSWER: Duration = Duration::from_millis(100);
 
-/// The servers of one group, as seen by this instance.
+/// The servers of one group, as observed by this instance.
 #[derive(Clone, Debug, Default)]
 pub struct Group {
     /// The failure domain that this instance runs in.
     home: FailureDomainId,
     servers: BTreeMap<TargetId, ServerView>,
     leader: Option<Leader>,
-    /// Highest term that must exist: one that was seen, or one that follows from a
+    /// Highest term that must exist: one that was observed, or one that follows from a
     /// primary's loss of the lead.
     highest_term: Term,
-    /// Highest term that any server was seen in.
+    /// Highest term in which a server was observed, by this or another instance.
     highest_observed_term: Term,
     /// The lease on the primary's term.
     primary_lease: PrimaryLease,
@@ -219,7 +219,7 @@
         }
         // The entry has no term, so it cannot be compared with what servers reported,
         // and a primary that was replaced may still be listed as one. The list is used
-        // only by an instance that has just started and has seen no term yet.
+        // only by an instance that has just started and has observed no term yet.
         if self.leader.is_none()
             && self.highest_observed_term == 0
             && self.primary_lease.retired() == 0
@@ -308,7 +308,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an [`Objection`] if a server was seen in a later term, or for the reasons
+    /// Returns an [`Objection`] if a server was observed in a later term, or for the reasons
     /// given at [`PrimaryLease::promise`].
     pub fn retire(&mut self, now: Moment, request: &RetireRequest) -> Result<Promise, Objection> {
         if self.highest_observed_term > request.term {
@@ -377,7 +377,7 @@
         !before && self.is_out_of_reach()
     }
 
-    /// Highest term that any server was seen in.
+    /// Highest term in which a server was observed, by this or another instance.
     #[must_use]
     pub fn highest_observed_term(&self) -> Term {
         self.highest_observed_term
@@ -460,7 +460,7 @@
         self.leader.as_ref()
     }
 
-    /// Highest term that must exist: one that was seen, or one that follows from a
+    /// Highest term that must exist: one that was observed, or one that follows from a
     /// primary's loss of the lead.
     #[must_use]
     pub fn highest_term(&self) -> Term {
