--- a/daemon/src/answer.rs
+++ b/daemon/src/answer.rs
@@ -51,7 +51,7 @@
     Answer { outcome: Some(outcome) }
 }
 
-/// Unwraps an answer. An empty answer is a fault of the sender and says nothing
+/// Unwraps an answer. An empty answer is a fault of the sender and has no information
 /// about the request, so it becomes [`ErrorKind::OutcomeUnknown`].
 ///
 /// # Errors
@@ -73,7 +73,7 @@
 
 /// Translates a failure into the PostgreSQL error for the client.
 ///
-/// The detail field says whether the request may have run, the hint field when to
+/// The detail field states whether the request may have run, the hint field when to
 /// retry.
 #[must_use]
 pub fn to_wire(failure: &Failure, request_id: Option<&str>) -> PgWireError {
@@ -92,7 +92,7 @@
     let request = request_id.map(|id| format!(" request_id={id}")).unwrap_or_default();
     info.detail = Some(format!("outcome={outcome} kind={}{request}", kind.name()));
     if kind == ErrorKind::Stopping {
-        // FATAL says that the connection closes after this error.
+        // The severity FATAL indicates that the connection closes after this error.
         "FATAL".clone_into(&mut info.severity);
     }
     info.hint = retry_hint(failure, rule.retry_after, rule.outcome);
--- a/daemon/src/command.rs
+++ b/daemon/src/command.rs
@@ -55,7 +55,7 @@
         let mut terminate = signal(SignalKind::terminate()).map_err(|e| e.to_string())?;
         let mut interrupt = signal(SignalKind::interrupt()).map_err(|e| e.to_string())?;
         let daemon = Daemon::start(settings).await.map_err(|error| error.to_string())?;
-        // With port 0 in the settings, the parent process learns the actual ports
+        // With port 0 in the settings, the parent process reads the actual ports
         // from this line.
         println!(
             "ready client={} peer={} admin={}",
--- a/daemon/src/forward.rs
+++ b/daemon/src/forward.rs
@@ -56,7 +56,7 @@
     WireFreshness { kind: kind.into(), max_age_ms }
 }
 
-/// Owner of a database, as far as this instance knows.
+/// Owner of a database, according to the ownership records of this instance.
 enum Owner {
     /// This instance owns the database or is taking it over.
     Local,
--- a/daemon/src/link.rs
+++ b/daemon/src/link.rs
@@ -112,7 +112,7 @@
     LengthDelimitedCodec::builder().max_frame_length(FRAME_LIMIT_BYTES).new_codec()
 }
 
-/// Computes the proof that the sender of a link's first message knows the shared
+/// Computes the proof that the sender of a link's first message has the shared
 /// key: a SHA-256 digest of key, instance and link number.
 #[must_use]
 pub fn proof(key: &str, instance: &str, link_number: u64) -> Vec<u8> {
--- a/daemon/src/link_server.rs
+++ b/daemon/src/link_server.rs
@@ -48,8 +48,8 @@
 
 impl NewestLinks {
     /// Registers a link and closes an older one of the same instance. The sender
-    /// has given up the messages still in transit on the older link and may have
-    /// resent them on this one, so they must not arrive later.
+    /// no longer waits for replies to the messages still in transit on the older link and
+    /// may have resent them on this one, so they must not arrive later.
     ///
     /// Returns `None` if the instance already has a link with a number at least as
     /// high; otherwise a receiver that completes when a newer link replaces this
--- a/daemon/src/owner.rs
+++ b/daemon/src/owner.rs
@@ -6,7 +6,7 @@
 //!
 //! The functions here wait until this instance serves the database, acquire an
 //! execution slot and a connection on which the term is declared, and delay an
-//! answer until it may be given.
+//! answer until it may be sent.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -179,7 +179,7 @@
 }
 
 /// Builds the failure of a request that came to an instance that does not own
-/// the database. The failure names the owner if this instance knows it.
+/// the database. The failure names the owner if this instance has a record of it.
 #[must_use]
 pub fn not_owner(context: &Context, database: &str) -> Failure {
     let membership = context.databases.instance.membership();
@@ -300,7 +300,7 @@
     }
 }
 
-/// Waits until an answer that depends on the log up to `position` may be given.
+/// Waits until an answer that depends on the log up to `position` may be sent.
 ///
 /// With `needs_confirmation` and [`Acknowledge::Replica`] a replica must have
 /// received that position, so that the answer survives the loss of the primary.
@@ -328,7 +328,7 @@
     })
 }
 
-/// Waits until answers may be given in `term`: a majority of the servers has
+/// Waits until answers may be sent in `term`: a majority of the servers has
 /// confirmed the term recently, and the previous owner can no longer answer
 /// reads. The previous owner may answer until its own last confirmation
 /// expires.
--- a/daemon/src/platform_sync.rs
+++ b/daemon/src/platform_sync.rs
@@ -3,7 +3,7 @@
 //! database.
 //!
 //! Only a few instances of each failure domain, the relays, watch the
-//! configuration. The others see its version in heartbeats and pull it from the
+//! configuration. The others receive its version in heartbeats and pull it from the
 //! sender.
 
 use std::sync::Arc;
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct StoredConfiguration {
-    /// Id of this update, by which its writer finds out whether it took effect
+    /// Id of this update, by which its writer detects whether it took effect
     /// when the store's answer was lost.
     pub update_id: String,
     /// Operator who applied it.
--- a/daemon/src/transaction.rs
+++ b/daemon/src/transaction.rs
@@ -119,7 +119,7 @@
 ///
 /// # Errors
 ///
-/// The failure for the client. Its kind says whether the transaction may have
+/// The failure for the client. Its kind indicates whether the transaction may have
 /// committed.
 pub async fn commit(context: &Shared, request: &Request) -> Result<StatementResult, Failure> {
     let work = {
--- a/daemon/src/write.rs
+++ b/daemon/src/write.rs
@@ -95,7 +95,7 @@
 ///
 /// # Errors
 ///
-/// The failure for the client. Its kind says whether the write may have run.
+/// The failure for the client. Its kind indicates whether the write may have run.
 pub async fn run(context: &Shared, request: &Request) -> Result<StatementResult, Failure> {
     let digest = digest_of(&request.submit);
     let work = {
@@ -136,7 +136,7 @@
     /// COMMIT was sent in this term but not answered.
     CommitSent(Term),
     /// The entry instance sent the request before, perhaps to an earlier owner,
-    /// and does not know its outcome.
+    /// and has not received its outcome.
     SentEarlier,
 }
 
@@ -156,7 +156,7 @@
     }
 
     /// Returns the failure to report to the client when no further attempt is
-    /// made. It says "not run" only if no attempt can have committed.
+    /// made. Its kind indicates "not run" only if no attempt can have committed.
     fn give_up(&self, failure: Failure) -> Failure {
         if self.possible_commit == PossibleCommit::None {
             return failure;
--- a/lib/src/group.rs
+++ b/lib/src/group.rs
@@ -49,7 +49,7 @@
 pub struct ServerStatus {
     /// Whether the server reports itself as the primary.
     pub leads: bool,
-    /// The latest term that the server reported.
+    /// The latest term that the server has received.
     pub term: Term,
     /// Last position that the server received.
     pub received: Position,
--- a/lib/src/primary_lease.rs
+++ b/lib/src/primary_lease.rs
@@ -49,7 +49,7 @@
     /// When the grant was requested.
     asked_at: Moment,
     retired: Term,
-    /// The store's era at the read, or the latest era that the voter had seen when
+    /// The store's era at the read, or the latest era that the voter had received when
     /// it answered.
     era: Era,
 }
@@ -75,7 +75,7 @@
     /// The latest grant of each other voter.
     grants: BTreeMap<InstanceId, Grant>,
     store_grant: Option<Grant>,
-    /// Latest era of the store that this instance has seen.
+    /// Latest era of the store that this instance has received.
     era: Era,
     /// Reads of the store that were requested before this time grant nothing.
     store_grants_from: Moment,
@@ -83,9 +83,9 @@
     granted_until: BTreeMap<InstanceId, Moment>,
     /// Since when the instance has needed the lease and lacked it.
     missing_since: Option<Moment>,
-    /// Highest token of the group's duty that this instance has seen.
+    /// Highest token of the group's duty that this instance has received.
     highest_token: DutyToken,
-    /// Orders that this instance voted for, until they are settled or too old to
+    /// Orders that this instance voted for, until they have ended or are too old to
     /// be carried out.
     voted: Vec<VotedOrder>,
 }
--- a/lib/tests/test_group.rs
+++ b/lib/tests/test_group.rs
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn test_without_a_young_sample_no_replica_may_answer() {
+fn test_without_a_recent_sample_no_replica_may_answer() {
     let group = group();
     assert_eq!(group.floor(at(1_501), Consistency::Bounded(STALENESS), None), None);
     assert_eq!(group.floor(at(1), Consistency::Latest, None), None);
