--- a/daemon/src/engine/transaction.rs
+++ b/daemon/src/engine/transaction.rs
@@ -318,11 +318,9 @@
     server: &TargetId,
     position: Option<Position>,
 ) {
-    let implies_leading = !transaction.read_only;
+    let is_read_write = !transaction.read_only;
     session.shard().with_group(|group| match position {
-        Some(position) if implies_leading => {
-            group.observe_leading(sent_at, now(), server, position)
-        }
+        Some(position) if is_read_write => group.observe_leading(sent_at, now(), server, position),
         position => group.observe_answer(now(), server, position),
     });
 }
