--- a/daemon/src/engine/remote.rs
+++ b/daemon/src/engine/remote.rs
@@ -45,7 +45,7 @@
 
 /// Part of a request's time that is reserved for the network trip to the other instance and
 /// back.
-const PEER_TRIP_RESERVE: Duration = Duration::from_millis(10);
+const PEER_ROUND_TRIP_RESERVE: Duration = Duration::from_millis(10);
 
 /// Interval at which an instance is asked about the state of a statement that takes long
 /// there. It is several times the usual duration of a statement, since the instance is
@@ -282,7 +282,8 @@
     }
 }
 
-/// Whether a reply says that another holder may serve the statement. Nothing ran.
+/// Whether a reply is a refusal after which another holder may serve the statement. The
+/// statement did not run.
 fn needs_other_holder(reply: &StatementReply) -> bool {
     let kind = ErrorKind::from_name(&reply.error);
     let elsewhere = matches!(kind, ErrorKind::NotOwner | ErrorKind::Stopping | ErrorKind::CutOff);
@@ -310,8 +311,8 @@
 }
 
 /// Sends a single statement, or the first one of a transaction, on any link to a holder. If
-/// that link turns out to be dead, it is sent again on a new one. Returns the link with the
-/// reply.
+/// that link turns out to be dead, sends the statement again on a new one. Returns the link
+/// with the reply.
 async fn send_first(
     session: &mut Session,
     request: &Request,
@@ -387,7 +388,7 @@
 }
 
 /// Asks an instance, on another link, about a statement that it has not answered. Returns
-/// when the link of the statement turns out to be dead, with what became of the statement;
+/// when the link of the statement turns out to be dead, with the statement's delivery state;
 /// `None` if the instance is unreachable.
 async fn detect_dead_link(
     engine: &Engine,
@@ -423,7 +424,7 @@
         .iter()
         .map(|(name, value)| SessionValue { name: name.to_string(), value: value.to_string() });
     let floor = session.floor().unwrap_or(Position::ZERO);
-    let time_left = request.time_left(now()).saturating_sub(PEER_TRIP_RESERVE);
+    let time_left = request.time_left(now()).saturating_sub(PEER_ROUND_TRIP_RESERVE);
     engine_protos::Statement {
         id: request.id.to_string(),
         route: Some(records::encode_route(&request.route)),
--- a/daemon/src/engine/session.rs
+++ b/daemon/src/engine/session.rs
@@ -93,7 +93,7 @@
     /// Whether a statement of the transaction is running.
     in_transaction: bool,
     trace: StatementTrace,
-    /// Random number below [`SPREAD_STEPS`], or 0 in a forwarded session. It sets when a
+    /// Random number below [`RANDOM_NUMBER_LIMIT`], or 0 in a forwarded session. It sets when a
     /// planned stop closes the session, and which holder its statements go to if the client
     /// has no account.
     random_number: u32,
@@ -125,8 +125,9 @@
     event_log::emit(&event.with_some_ms("store_answered_ms", age));
 }
 
-/// Number of moments over which a planned stop spreads the closing of sessions.
-const SPREAD_STEPS: u32 = 1000;
+/// Exclusive upper limit of the random number of a session: the number of moments over which
+/// a planned stop spreads the closing of sessions.
+const RANDOM_NUMBER_LIMIT: u32 = 1000;
 
 /// Part of a statement's timeout that is reserved for the reply to the client: two
 /// network trips of 3 ms and the time to write.
@@ -155,7 +156,7 @@
     pub async fn begin(engine: Arc<Engine>, start: SessionStart<'_>) -> Result<Self, Failure> {
         match Self::check_start(&engine, &start).await {
             Ok((route, caller)) => {
-                Ok(Self::new(engine, &route, caller, rand::random_range(0..SPREAD_STEPS)))
+                Ok(Self::new(engine, &route, caller, rand::random_range(0..RANDOM_NUMBER_LIMIT)))
             }
             Err(kind) => {
                 report_refused(&engine, &start, kind);
@@ -361,7 +362,7 @@
         let Some(lease) = lease else {
             return Vec::new();
         };
-        lease.connection().adapt(&self.values, prepared)
+        lease.connection().begin_setup(&self.values, prepared)
     }
 
     /// Runs one statement of the client.
@@ -455,7 +456,7 @@
         prepared: Option<&Prepared>,
     ) -> Result<Lease, Failure> {
         let began_at = now();
-        let want = ConnectionRequest {
+        let connection_request = ConnectionRequest {
             need,
             owner: ConnectionOwner::Account(self.caller.account.clone()),
             priority: request.route.priority,
@@ -464,7 +465,7 @@
             values: &self.values,
             prepared,
         };
-        let acquired = self.shard.acquire(&want).await;
+        let acquired = self.shard.acquire(&connection_request).await;
         self.trace.waited += now().saturating_sub(began_at);
         acquired
     }
--- a/daemon/src/write.rs
+++ b/daemon/src/write.rs
@@ -95,7 +95,7 @@
 ///
 /// # Errors
 ///
-/// The failure for the client. Its kind says whether the write may have run.
+/// The failure for the client. Its kind indicates whether the write may have run.
 pub async fn run(context: &Shared, request: &Request) -> Result<StatementResult, Failure> {
     let digest = digest_of(&request.submit);
     let work = {
@@ -136,7 +136,7 @@
     /// COMMIT was sent in this term but not answered.
     CommitSent(Term),
     /// The entry instance sent the request before, perhaps to an earlier owner,
-    /// and does not know its outcome.
+    /// and has not received its outcome.
     SentEarlier,
 }
 
@@ -156,7 +156,7 @@
     }
 
     /// Returns the failure to report to the client when no further attempt is
-    /// made. It says "not run" only if no attempt can have committed.
+    /// made. Its kind indicates "not run" only if no attempt can have committed.
     fn give_up(&self, failure: Failure) -> Failure {
         if self.possible_commit == PossibleCommit::None {
             return failure;
@@ -186,9 +186,9 @@
 ) -> Result<StatementResult, Failure> {
     let mut progress = Progress::new(digest, request.submit.resend);
     loop {
-        let entered =
-            owner::enter(context, &request.database, request.deadline, false, false).await;
-        let (serving, _work) = entered.map_err(|failure| progress.give_up(failure))?;
+        let begun =
+            owner::begin_work(context, &request.database, request.deadline, false, false).await;
+        let (serving, _work) = begun.map_err(|failure| progress.give_up(failure))?;
         let last = match try_in_term(context, request, &serving, &mut progress).await {
             AttemptResult::Committed(result, position) => {
                 match confirm_write(context, request, &serving, position).await {
--- a/lib/src/group.rs
+++ b/lib/src/group.rs
@@ -49,7 +49,7 @@
 pub struct ServerStatus {
     /// Whether the server reports itself as the primary.
     pub leads: bool,
-    /// The latest term that the server has seen.
+    /// The latest term that the server has received.
     pub term: Term,
     /// Last position that the server received.
     pub received: Position,
@@ -96,18 +96,18 @@
 /// it raises a suspicion.
 const RECENT_ANSWER: Duration = Duration::from_millis(100);
 
-/// The servers of one group, as seen by this instance.
+/// The servers of one group, as observed by this instance.
 #[derive(Clone, Debug, Default)]
 pub struct Group {
     /// The failure domain that this instance runs in.
     home: FailureDomainId,
     servers: BTreeMap<TargetId, ServerView>,
     leader: Option<Leader>,
-    /// Highest term that must exist: one that was seen, or one that follows from a
+    /// Highest term that must exist: one that was observed, or one that follows from a
     /// primary's loss of the lead.
     highest_term: Term,
-    /// Highest term that any server was seen in.
-    seen_term: Term,
+    /// Highest term in which a server was observed, by this or another instance.
+    highest_observed_term: Term,
     /// The lease on the primary's term.
     primary_lease: PrimaryLease,
     /// Samples of the primary's position.
@@ -219,8 +219,11 @@
         }
         // The entry has no term, so it cannot be compared with what servers reported,
         // and a primary that was replaced may still be listed as one. The list is used
-        // only by an instance that has just started and has seen no term yet.
-        if self.leader.is_none() && self.seen_term == 0 && self.primary_lease.retired() == 0 {
+        // only by an instance that has just started and has observed no term yet.
+        if self.leader.is_none()
+            && self.highest_observed_term == 0
+            && self.primary_lease.retired() == 0
+        {
             self.leader = Some(Leader { id: view.info.id.clone(), term: 0, since: now });
         }
     }
@@ -241,7 +244,7 @@
             return self.observe_not_leading(id, status.term) || outdated;
         }
         // A primary that was replaced may still report that it leads.
-        if status.term < self.seen_term || status.term <= self.primary_lease.retired() {
+        if status.term < self.highest_observed_term || status.term <= self.primary_lease.retired() {
             return false;
         }
         // A primary that restarted without its log lacks commits that it acknowledged.
@@ -282,9 +285,11 @@
     /// of the present primary, which is then dropped: it has a successor, and a
     /// replacement must not start from it.
     fn observe_term(&mut self, term: Term) -> bool {
-        self.seen_term = self.seen_term.max(term);
-        let seen_term = self.seen_term;
-        self.leader.take_if(|leader| leader.term > 0 && leader.term < seen_term).is_some()
+        self.highest_observed_term = self.highest_observed_term.max(term);
+        let highest_observed_term = self.highest_observed_term;
+        self.leader
+            .take_if(|leader| leader.term > 0 && leader.term < highest_observed_term)
+            .is_some()
     }
 
     /// The lease on the primary's term.
@@ -303,11 +308,11 @@
     ///
     /// # Errors
     ///
-    /// Returns an [`Objection`] if a server was seen in a later term, or for the reasons
+    /// Returns an [`Objection`] if a server was observed in a later term, or for the reasons
     /// given at [`PrimaryLease::promise`].
     pub fn retire(&mut self, now: Moment, request: &RetireRequest) -> Result<Promise, Objection> {
-        if self.seen_term > request.term {
-            return Err(Objection::LaterTerm(self.seen_term));
+        if self.highest_observed_term > request.term {
+            return Err(Objection::LaterTerm(self.highest_observed_term));
         }
         let promise = self.primary_lease.promise(now, request)?;
         self.leader.take_if(|leader| leader.term <= request.term);
@@ -372,10 +377,10 @@
         !before && self.is_out_of_reach()
     }
 
-    /// Highest term that any server was seen in.
+    /// Highest term in which a server was observed, by this or another instance.
     #[must_use]
-    pub fn seen_term(&self) -> Term {
-        self.seen_term
+    pub fn highest_observed_term(&self) -> Term {
+        self.highest_observed_term
     }
 
     /// Records a position of the primary, if this instance held the lease when it sent
@@ -455,7 +460,7 @@
         self.leader.as_ref()
     }
 
-    /// Highest term that must exist: one that was seen, or one that follows from a
+    /// Highest term that must exist: one that was observed, or one that follows from a
     /// primary's loss of the lead.
     #[must_use]
     pub fn highest_term(&self) -> Term {
